--- a/ospreyline/__main__.py
+++ b/ospreyline/__main__.py
@@ -17,14 +17,16 @@
 if TYPE_CHECKING:
     from ospreyline.operator import Operator
 
-CONFIG = click.argument(
-    "config", envvar="PROXY_CONFIG", type=click.Path(dir_okay=False, path_type=Path))
+CONFIG = click.argument("config", envvar="PROXY_CONFIG", type=click.Path(dir_okay=False, path_type=Path))
 
 
 OPERATOR = click.option(
-    "--operator", "operator_file", envvar="OSPREYLINE_OPERATOR",
+    "--operator",
+    "operator_file",
+    envvar="OSPREYLINE_OPERATOR",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="The operator's file (TOML), which switches on what is off by default; see deploy/operator.toml.")
+    help="The operator's file (TOML), which switches on what is off by default; see deploy/operator.toml.",
+)
 
 
 def _post(path: Path) -> facts.Post:
@@ -52,9 +54,12 @@
 # name: module and command
 FURTHER = {
     "capacity": ("ospreyline.capacity.command", "command"),
-    "explore": ("ospreyline.check.command", "explore"), "lab": ("ospreyline.lab.command", "lab"),
-    "pairs": ("ospreyline.pairs", "command"), "regression": ("ospreyline.regression", "command"),
-    "rig": ("ospreyline.rig.command", "rig")}
+    "explore": ("ospreyline.check.command", "explore"),
+    "lab": ("ospreyline.lab.command", "lab"),
+    "pairs": ("ospreyline.pairs", "command"),
+    "regression": ("ospreyline.regression", "command"),
+    "rig": ("ospreyline.rig.command", "rig"),
+}
 
 
 class Groups(click.Group):
@@ -71,7 +76,8 @@
             command: click.Command = getattr(import_module(module), call)
         except ModuleNotFoundError as error:
             raise click.ClickException(
-                f"{name} needs {error.name}: pip install -r requirements-lab.txt") from error
+                f"{name} needs {error.name}: pip install -r requirements-lab.txt"
+            ) from error
         return command
 
 
@@ -127,26 +133,36 @@
 def check(config: Path, operator_file: Path | None) -> None:
     """Read CONFIG and the operator's file as `serve` would and say what they hold."""
     post, operator = _post(config), _operator(operator_file)
-    click.echo(f"{post.name}: listens on {post.listen[0]}:{post.listen[1]}, "
-               f"zone {post.zone_names[post.terms.zone]!r}, {post.sockets} descriptors")
+    click.echo(
+        f"{post.name}: listens on {post.listen[0]}:{post.listen[1]}, "
+        f"zone {post.zone_names[post.terms.zone]!r}, {post.sockets} descriptors"
+    )
     terms = post.terms
     listed = "asked for" if terms.ask_for_list else "pushed"
     messages = "allowed, but not carried on sockets" if terms.may_tell else "off"
-    click.echo(f"{terms.balancers} balancers, number {terms.number}, {terms.zones} zones, "
-               f"the list is {listed}, messages {messages}")
-    click.echo(f"of the goal: worst prefix {terms.worst_prefix:.3g}, nines {post.nines:.3g} "
-               f"(in full at {post.full_at_nines:g})")
+    click.echo(
+        f"{terms.balancers} balancers, number {terms.number}, {terms.zones} zones, "
+        f"the list is {listed}, messages {messages}"
+    )
+    click.echo(
+        f"of the goal: worst prefix {terms.worst_prefix:.3g}, nines {post.nines:.3g} "
+        f"(in full at {post.full_at_nines:g})"
+    )
     for name, prefix in zip(post.prefix_names, terms.prefixes, strict=True):
-        click.echo(f"/{name}: {prefix.kind.value}, target latency {prefix.target_latency:g} ms, "
-                   f"client timeout {prefix.client_timeout:g} ms, gain {prefix.gain:g}")
+        click.echo(
+            f"/{name}: {prefix.kind.value}, target latency {prefix.target_latency:g} ms, "
+            f"client timeout {prefix.client_timeout:g} ms, gain {prefix.gain:g}"
+        )
     on = []
     if operator is not None and operator.list.calls_per_s:
         on.append(f"calls spread for a list service of {operator.list.calls_per_s:g} a second")
     if operator is not None and operator.list.keep:
         on.append(f"the list is kept in {operator.list.keep} for {operator.list.keep_for_s:g} s")
     if operator is not None and operator.fleet.bank:
-        on.append(f"links in the bank {operator.fleet.bank!r} on {operator.fleet.listen}, "
-                  f"{len(operator.fleet.peers)} peers named")
+        on.append(
+            f"links in the bank {operator.fleet.bank!r} on {operator.fleet.listen}, "
+            f"{len(operator.fleet.peers)} peers named"
+        )
     click.echo("switched on by the operator's file: " + ("; ".join(on) or "nothing"))
 
 
@@ -165,19 +181,25 @@
     post, operator = _post(config), _operator(operator_file)
     from_file = facts.given(config)
     for key, value, variable, sighup in (
-            ("name", post.name, "PROXY_NAME", False),
-            ("listen", "{}:{}".format(*post.listen), "PROXY_LISTEN", False),
-            ("discovery", "{}:{}".format(*post.discovery), "PROXY_DISCOVERY", True),
-            ("seed", f"{post.seed:x}", "", False),
-            ("limits.sockets", post.sockets, "", False),
-            ("limits.memory_mb", post.memory >> 20, "", False),
-            ("settings", f"{len(post.prefix_names)} path prefixes", "", True)):
-        origin = variable if variable and os.environ.get(variable) else (
-            str(config) if key.split(".")[0] in from_file else "default")
+        ("name", post.name, "PROXY_NAME", False),
+        ("listen", "{}:{}".format(*post.listen), "PROXY_LISTEN", False),
+        ("discovery", "{}:{}".format(*post.discovery), "PROXY_DISCOVERY", True),
+        ("seed", f"{post.seed:x}", "", False),
+        ("limits.sockets", post.sockets, "", False),
+        ("limits.memory_mb", post.memory >> 20, "", False),
+        ("settings", f"{len(post.prefix_names)} path prefixes", "", True),
+    ):
+        origin = (
+            variable
+            if variable and os.environ.get(variable)
+            else (str(config) if key.split(".")[0] in from_file else "default")
+        )
         click.echo(f"{key} = {value}  # {origin}; SIGHUP {'applies it' if sighup else 'does not apply it'}")
     for one in parts.keys(operator or parts.OFF, operator_file):
-        click.echo(f"{one.name} = {one.value!r}  # {one.origin}; "
-                   f"SIGHUP {'applies it' if one.sighup else 'does not apply it'}; {one.about}")
+        click.echo(
+            f"{one.name} = {one.value!r}  # {one.origin}; "
+            f"SIGHUP {'applies it' if one.sighup else 'does not apply it'}; {one.about}"
+        )
 
 
 @main.group()
@@ -194,17 +216,26 @@
     try:
         told = msgspec.json.decode(file.read_bytes(), type=dict[str, Any])
         age = time() - told["at"]
-        click.echo(f"{told['name']} in {told['bank']!r}: {told['words']}, {age:.0f} s ago"
-                   + (" - this is old" if age > 10 else ""))
+        click.echo(
+            f"{told['name']} in {told['bank']!r}: {told['words']}, {age:.0f} s ago"
+            + (" - this is old" if age > 10 else "")
+        )
         if told["superseded"]:
             click.echo("a newer process has its name: it speaks no more")
-        click.echo(f"linked to {', '.join(told['linked']) or 'nobody'}; "
-                   f"list version {told['list_rev']}, "
-                   + ("passes it on" if told["passes_the_list_on"] else
-                      f"listens to {', '.join(told['listens_to']) or 'nobody'}"))
+        click.echo(
+            f"linked to {', '.join(told['linked']) or 'nobody'}; "
+            f"list version {told['list_rev']}, "
+            + (
+                "passes it on"
+                if told["passes_the_list_on"]
+                else f"listens to {', '.join(told['listens_to']) or 'nobody'}"
+            )
+        )
         for member in told["members"]:
-            click.echo(f"  {member['name']:16} {member['state']:10} {member['zone']:12} "
-                       f"{member['address']:22} for {member['for_s']:g} s")
+            click.echo(
+                f"  {member['name']:16} {member['state']:10} {member['zone']:12} "
+                f"{member['address']:22} for {member['for_s']:g} s"
+            )
     except OSError as error:
         click.echo(f"ospreyline: {file}: {error.strerror}", err=True)
         sys.exit(2)
--- a/ospreyline/capacity/command.py
+++ b/ospreyline/capacity/command.py
@@ -42,8 +42,10 @@
     if factor >= 0.99 * model.GREATEST:
         return "any size"
     share = f"{figure(factor)} of the size" if factor < 1 else f"{figure(factor)} times the size"
-    return (f"{share}: {figure(factor * size.upstreams)} upstreams, {figure(factor * size.routes)} routes, "
-            f"{figure(factor * size.balancers)} balancers")
+    return (
+        f"{share}: {figure(factor * size.upstreams)} upstreams, {figure(factor * size.routes)} routes, "
+        f"{figure(factor * size.balancers)} balancers"
+    )
 
 
 def budget(row: Row) -> str:
@@ -87,30 +89,55 @@
         if not flat:
             return "No budget breaks at this size."
         never = [row for row, factor in flat if factor <= 0]
-        said = [f"Kept at no size: {row.role}, {row.quantity}: {figure(row.value)} {row.unit} where "
-                f"{budget(row)} is allowed." for row in never]
-        for row, factor in flat[len(never):][:1]:
+        said = [
+            f"Kept at no size: {row.role}, {row.quantity}: {figure(row.value)} {row.unit} where "
+            f"{budget(row)} is allowed."
+            for row in never
+        ]
+        for row, factor in flat[len(never) :][:1]:
             said.append(
                 f"Breaks first: {row.role}, {row.quantity}: {figure(row.value)} {row.unit} where "
                 f"{budget(row)} is allowed, most of it for {row.largest.mechanism}; it lasts to "
-                f"{lasts(self.size, factor)}.")
+                f"{lasts(self.size, factor)}."
+            )
         return " ".join(said)
 
     def _first(self) -> Iterator[str]:
         yield self.headline()
         yield ""
-        yield from table(("design", "role or hour", "budget", "at this size", "times the budget", "lasts to",
-                          "most of it"), (
-            (row.design, row.role, f"{row.quantity}: {budget(row)} {row.unit}", figure(row.value),
-             figure((row.value or 0) / (row.budget or 1)), lasts(self.size, factor), row.largest.mechanism)
-            for row, factor in self.first))
+        yield from table(
+            (
+                "design",
+                "role or hour",
+                "budget",
+                "at this size",
+                "times the budget",
+                "lasts to",
+                "most of it",
+            ),
+            (
+                (
+                    row.design,
+                    row.role,
+                    f"{row.quantity}: {budget(row)} {row.unit}",
+                    figure(row.value),
+                    figure((row.value or 0) / (row.budget or 1)),
+                    lasts(self.size, factor),
+                    row.largest.mechanism,
+                )
+                for row, factor in self.first
+            ),
+        )
 
     def _size(self) -> Iterator[str]:
         fields = msgspec.structs.asdict(self.size)
-        yield from table(("key", "value", ""), (
-            (f"`{key}`", exact(value),
-             "grows" if key in GROWS else "assumed" if key in ASSUMED else "")
-            for key, value in fields.items()))
+        yield from table(
+            ("key", "value", ""),
+            (
+                (f"`{key}`", exact(value), "grows" if key in GROWS else "assumed" if key in ASSUMED else "")
+                for key, value in fields.items()
+            ),
+        )
 
     def _roles(self) -> Iterator[str]:
         yield from self._table(lambda row: row.role not in model.EVENTS)
@@ -126,46 +153,95 @@
                 yield f"- {row.design}, {row.quantity}: {figure(row.value)}; {words}."
 
     def _table(self, wanted: Any) -> Iterator[str]:
-        yield from table(("design", "role or hour", "quantity", "figure", "budget", "", "lasts to"), (
-            (row.design, row.role, row.quantity, f"{figure(row.value)} {row.unit}" if row.value is not None
-             else NOT_MEASURED, budget(row), verdict(row),
-             lasts(self.size, self.breaking[row.key]) if row.key in self.breaking else "")
-            for row in self.rows if wanted(row)))
+        yield from table(
+            ("design", "role or hour", "quantity", "figure", "budget", "", "lasts to"),
+            (
+                (
+                    row.design,
+                    row.role,
+                    row.quantity,
+                    f"{figure(row.value)} {row.unit}" if row.value is not None else NOT_MEASURED,
+                    budget(row),
+                    verdict(row),
+                    lasts(self.size, self.breaking[row.key]) if row.key in self.breaking else "",
+                )
+                for row in self.rows
+                if wanted(row)
+            ),
+        )
 
     def _parts(self) -> Iterator[str]:
-        yield from table(("design", "role or hour", "quantity", "mechanism", "figure", "times the budget",
-                          "from"), (
-            (row.design, row.role, row.quantity, part.mechanism,
-             f"{figure(part.value)} {row.unit}" if part.value is not None else NOT_MEASURED,
-             figure(part.value / row.budget) if part.value is not None and row.budget else "", source(part))
-            for row in self.rows for part in row.parts))
+        yield from table(
+            ("design", "role or hour", "quantity", "mechanism", "figure", "times the budget", "from"),
+            (
+                (
+                    row.design,
+                    row.role,
+                    row.quantity,
+                    part.mechanism,
+                    f"{figure(part.value)} {row.unit}" if part.value is not None else NOT_MEASURED,
+                    figure(part.value / row.budget) if part.value is not None and row.budget else "",
+                    source(part),
+                )
+                for row in self.rows
+                for part in row.parts
+            ),
+        )
 
     def _slopes(self) -> Iterator[str]:
-        yield from table(("slope", "what", "unit", "by", "points", "date", "command", "machine",
-                          "reference, ms"), (
-            (f"`{name}`", slope.about, slope.unit, slope.by,
-             ", ".join(f"{figure(x)}: {figure(y)}" for x, y in slope.points) or NOT_MEASURED,
-             slope.date, f"`{slope.command}`" if slope.command else "", slope.machine,
-             " / ".join(figure(ms) for ms in slope.reference_ms))
-            for name, slope in self.slopes.items()))
+        yield from table(
+            ("slope", "what", "unit", "by", "points", "date", "command", "machine", "reference, ms"),
+            (
+                (
+                    f"`{name}`",
+                    slope.about,
+                    slope.unit,
+                    slope.by,
+                    ", ".join(f"{figure(x)}: {figure(y)}" for x, y in slope.points) or NOT_MEASURED,
+                    slope.date,
+                    f"`{slope.command}`" if slope.command else "",
+                    slope.machine,
+                    " / ".join(figure(ms) for ms in slope.reference_ms),
+                )
+                for name, slope in self.slopes.items()
+            ),
+        )
 
     def data(self) -> dict[str, Any]:
         """The same, for programs."""
         return {
             "size": msgspec.structs.asdict(self.size),
             "headline": self.headline(),
-            "breaks": [{"design": row.design, "role": row.role, "quantity": row.quantity,
-                        "times_the_size": factor} for row, factor in self.first],
-            "rows": [{
-                "design": row.design, "role": row.role, "quantity": row.quantity, "unit": row.unit,
-                "value": row.value, "budget": row.budget, "budget_name": row.budget_name or None,
-                "broken": row.broken if row.value is not None else None,
-                "lasts_to_times_the_size": self.breaking.get(row.key),
-                "parts": [{"mechanism": part.mechanism, "value": part.value, "slope": part.slope or None,
-                           "at": part.size if part.slope else None,
-                           "measured_to": part.measured_to if part.slope else None,
-                           "extrapolated": part.extrapolated} for part in row.parts]}
-                for row in self.rows]}
+            "breaks": [
+                {"design": row.design, "role": row.role, "quantity": row.quantity, "times_the_size": factor}
+                for row, factor in self.first
+            ],
+            "rows": [
+                {
+                    "design": row.design,
+                    "role": row.role,
+                    "quantity": row.quantity,
+                    "unit": row.unit,
+                    "value": row.value,
+                    "budget": row.budget,
+                    "budget_name": row.budget_name or None,
+                    "broken": row.broken if row.value is not None else None,
+                    "lasts_to_times_the_size": self.breaking.get(row.key),
+                    "parts": [
+                        {
+                            "mechanism": part.mechanism,
+                            "value": part.value,
+                            "slope": part.slope or None,
+                            "at": part.size if part.slope else None,
+                            "measured_to": part.measured_to if part.slope else None,
+                            "extrapolated": part.extrapolated,
+                        }
+                        for part in row.parts
+                    ],
+                }
+                for row in self.rows
+            ],
+        }
 
     def page(self, text: str) -> str:
         """A page with the sections between its markers as they come out now."""
@@ -200,12 +276,20 @@
 
 
 @click.command()
-@click.option("--size", "file", type=click.Path(dir_okay=False, path_type=Path),
-              help="Your own size (TOML); what it leaves out is as planned.")
+@click.option(
+    "--size",
+    "file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Your own size (TOML); what it leaves out is as planned.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The same for programs.")
 @click.option("--parts", is_flag=True, help="Each mechanism's part, and the slope it is worked out from.")
-@click.option("--page", type=click.Path(dir_okay=False, exists=True, path_type=Path), hidden=True,
-              help="Write the tables of this page anew, between its markers.")
+@click.option(
+    "--page",
+    type=click.Path(dir_okay=False, exists=True, path_type=Path),
+    hidden=True,
+    help="Write the tables of this page anew, between its markers.",
+)
 def command(file: Path | None, as_json: bool, parts: bool, page: Path | None) -> None:
     """What a size costs each role beside its budget; the budget that breaks first comes first."""
     try:
@@ -219,8 +303,12 @@
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(report.data())).decode())
         return
-    for title, section in (("", "first"), ("An ordinary day", "roles"), ("Bad hours", "hours"),
-                           ("Parts", "parts")):
+    for title, section in (
+        ("", "first"),
+        ("An ordinary day", "roles"),
+        ("Bad hours", "hours"),
+        ("Parts", "parts"),
+    ):
         if section != "parts" or parts:
             click.echo(f"\n{title}\n" if title else "", nl=bool(title))
             for line in plain(report.lines(section)):
--- a/ospreyline/capacity/size.py
+++ b/ospreyline/capacity/size.py
@@ -56,10 +56,27 @@
         return msgspec.structs.replace(self, **{key: factor * getattr(self, key) for key in GROWS})
 
 
-GROWS = ("balancers", "upstreams", "services", "requests_per_s", "routes", "tenants", "changes_a_day",
-         "failures_a_day", "restarts_a_day")
-ASSUMED = ("rack_machines", "waves_a_day", "wave_minutes", "entries_a_restart", "lines_per_s",
-           "calls_per_s", "machine_mb_per_s", "balancers_a_service")
+GROWS = (
+    "balancers",
+    "upstreams",
+    "services",
+    "requests_per_s",
+    "routes",
+    "tenants",
+    "changes_a_day",
+    "failures_a_day",
+    "restarts_a_day",
+)
+ASSUMED = (
+    "rack_machines",
+    "waves_a_day",
+    "wave_minutes",
+    "entries_a_restart",
+    "lines_per_s",
+    "calls_per_s",
+    "machine_mb_per_s",
+    "balancers_a_service",
+)
 
 
 def parse(text: str) -> Size:
--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -59,9 +59,18 @@
 class Explorer:
     """The small world and its steps; a planted mistake is a subclass, or a patch of the code explored."""
 
-    def __init__(self, takers: int = 1, doublings: int = 0, restarts: int = 0, forgets: int = 0,
-                 may_refuse: bool = True, covered: bool = False, at_once: bool = False,
-                 answers: bool = False, anew: bool = False) -> None:
+    def __init__(
+        self,
+        takers: int = 1,
+        doublings: int = 0,
+        restarts: int = 0,
+        forgets: int = 0,
+        may_refuse: bool = True,
+        covered: bool = False,
+        at_once: bool = False,
+        answers: bool = False,
+        anew: bool = False,
+    ) -> None:
         """`covered`: the world begins when all guardians have the visit; else when its owner takes it.
         `at_once`: its first word asks for a permit; `answers`: who wrote may record an answer.
         `anew`: those that claim do so for its client, who asks again, and may run what was refused."""
@@ -76,8 +85,9 @@
         for guard in guards:
             for member in ("o", *self.takers):
                 guard.linked(member)
-        owner = state.works["o"] = Work(WORK, "o", GUARDS, self.sessions(state, "o"), b"request",
-                                        serials=dict.fromkeys(GUARDS, 1))
+        owner = state.works["o"] = Work(
+            WORK, "o", GUARDS, self.sessions(state, "o"), b"request", serials=dict.fromkeys(GUARDS, 1)
+        )
         if self.at_once:
             state.asked["o"] = 1
             owner.permit()
@@ -116,8 +126,12 @@
             if work.mine and not work.lost and work.answer is None:
                 if not work.permitted and not state.asked.get(name) and not work.may_have_run:
                     out.append(("permit", name))
-                if (self.may_refuse and not work.permitted and not work.may_have_run
-                        and name not in state.refused):
+                if (
+                    self.may_refuse
+                    and not work.permitted
+                    and not work.may_have_run
+                    and name not in state.refused
+                ):
                     out.append(("refuse", name))
             if work.permitted and name not in state.written:
                 out.append(("write", name))
@@ -177,7 +191,8 @@
             return f"{GUARDS[whom]} {kind}s"
         assert isinstance(whom, str)
         work = state.works.get(whom) or Work(
-            WORK, whom, GUARDS, self.sessions(state, whom), anew=self.for_client)
+            WORK, whom, GUARDS, self.sessions(state, whom), anew=self.for_client
+        )
         if kind == "claim":
             state.works[whom] = work
             work.claim((self.takers.index(whom), "o"))
@@ -214,8 +229,7 @@
     def broken(self, state: State) -> str:
         if len(state.written) > 1:
             return f"effects: written by {state.written}"
-        if state.refused and state.written and (
-                not self.for_client or state.written[0] in state.refused):
+        if state.refused and state.written and (not self.for_client or state.written[0] in state.refused):
             return f"refusal: {state.refused} told that it never ran, written by {state.written}"
         for name, work in state.works.items():
             if name != "o" and work.outcome() == "never ran" and any(w != name for w in state.written):
@@ -261,24 +275,77 @@
         each = []
         for guard in state.guards:
             kept = guard.works.get(WORK)
-            record = kept and (kept.promised, kept.guards, kept.answer, kept.answered, kept.closed,
-                               tuple(sorted(kept.permits)))
+            record = kept and (
+                kept.promised,
+                kept.guards,
+                kept.answer,
+                kept.answered,
+                kept.closed,
+                tuple(sorted(kept.permits)),
+            )
             serials = tuple(sorted(guard._serials.items()))
-            wire = sorted(hash((s.what, s.ballot, s.session, s.to if s.to not in GUARDS else "",
-                                s.by if s.by not in GUARDS else "", s.body, s.permits, s.promised, s.about,
-                                bool(s.guards), s.answered, s.closed, s.here))
-                          for s in state.net if guard.name in (s.to, s.by))
+            wire = sorted(
+                hash(
+                    (
+                        s.what,
+                        s.ballot,
+                        s.session,
+                        s.to if s.to not in GUARDS else "",
+                        s.by if s.by not in GUARDS else "",
+                        s.body,
+                        s.permits,
+                        s.promised,
+                        s.about,
+                        bool(s.guards),
+                        s.answered,
+                        s.closed,
+                        s.here,
+                    )
+                )
+                for s in state.net
+                if guard.name in (s.to, s.by)
+            )
             heard = tuple(
-                (guard.name in state.works[n]._noes,
-                 (y := state.works[n]._yeses.get(guard.name))
-                 and (y.permits, bool(y.guards), y.answered, y.body, y.closed)) for n in names)
+                (
+                    guard.name in state.works[n]._noes,
+                    (y := state.works[n]._yeses.get(guard.name))
+                    and (y.permits, bool(y.guards), y.answered, y.body, y.closed),
+                )
+                for n in names
+            )
             held = tuple(state.works[n].sessions.get(guard.name) for n in names)
-            each.append(hash((tuple(sorted(guard.sessions.items())), serials, record, tuple(wire), heard,
-                              held)))
+            each.append(
+                hash((tuple(sorted(guard.sessions.items())), serials, record, tuple(wire), heard, held))
+            )
         works = tuple(
-            (n, w.ballot, w.mine, w.lost, w.covered, w.permitted, w.refused, w.may_have_run, w.answer,
-             w.closed,
-             w._asked, w._closing, w._registered) for n in names for w in (state.works[n],))
-        return hash((tuple(sorted(each)), works, tuple(state.written), tuple(state.refused),
-                     tuple(sorted(state.asked.items())), tuple(state.answered), state.doublings,
-                     state.restarts, state.forgets))
+            (
+                n,
+                w.ballot,
+                w.mine,
+                w.lost,
+                w.covered,
+                w.permitted,
+                w.refused,
+                w.may_have_run,
+                w.answer,
+                w.closed,
+                w._asked,
+                w._closing,
+                w._registered,
+            )
+            for n in names
+            for w in (state.works[n],)
+        )
+        return hash(
+            (
+                tuple(sorted(each)),
+                works,
+                tuple(state.written),
+                tuple(state.refused),
+                tuple(sorted(state.asked.items())),
+                tuple(state.answered),
+                state.doublings,
+                state.restarts,
+                state.forgets,
+            )
+        )
--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -41,27 +41,49 @@
 
 ENDS = (End.LAST_CHUNK, End.FIN, End.RESET, End.SILENCE)
 BROKEN = (End.FIN, End.RESET, End.SILENCE)
-PLACES = ("nothing of it arrives", "a part of its head arrives", "its head arrives",
-          "the size of a chunk arrives", "half a line arrives", "all but the end of its line arrives")
-
-ANSWERS = (STANDING,
-           Outcome("is answered after 2 s, and stands", "answered", 2_000.0),
-           Outcome("is answered after 2.25 s, which is read late, and stands", "answered", 2_250.0,
-                   held_up=HELD_UP),
-           *(Outcome(f"is answered, and {how.value} after 0.5 s", "answered", 0.0, None, how, 500.0)
-             for how in ENDS))
-TURNED_AWAY = (Outcome("is turned away at once", "turned away"),
-               Outcome("is turned away after 2 s", "turned away", 2_000.0),
-               Outcome("is turned away, in a part of a head, and is reset", "turned away", 0.0, 9, End.RESET))
-NOTHING = (Outcome("is refused", "refused"), Outcome("never connects", "unreached"),
-           Outcome("hears nothing", "nothing"),
-           *(Outcome(f"{how.value} with nothing written", "nothing", 0.0, None, how)
-             for how in (End.FIN, End.RESET)))
-LOST = tuple(Outcome(f"is answered, {words}, then it {how.value}", "answered", 0.0, place, how)
-             for place, words in enumerate(PLACES) for how in BROKEN)
-LOST_LATE = tuple(Outcome(f"is answered after 0.1 s, {words}, then it {how.value}", "answered", 100.0,
-                          place, how)
-                  for place, words in enumerate(PLACES) if place in (0, 4) for how in BROKEN)
+PLACES = (
+    "nothing of it arrives",
+    "a part of its head arrives",
+    "its head arrives",
+    "the size of a chunk arrives",
+    "half a line arrives",
+    "all but the end of its line arrives",
+)
+
+ANSWERS = (
+    STANDING,
+    Outcome("is answered after 2 s, and stands", "answered", 2_000.0),
+    Outcome("is answered after 2.25 s, which is read late, and stands", "answered", 2_250.0, held_up=HELD_UP),
+    *(
+        Outcome(f"is answered, and {how.value} after 0.5 s", "answered", 0.0, None, how, 500.0)
+        for how in ENDS
+    ),
+)
+TURNED_AWAY = (
+    Outcome("is turned away at once", "turned away"),
+    Outcome("is turned away after 2 s", "turned away", 2_000.0),
+    Outcome("is turned away, in a part of a head, and is reset", "turned away", 0.0, 9, End.RESET),
+)
+NOTHING = (
+    Outcome("is refused", "refused"),
+    Outcome("never connects", "unreached"),
+    Outcome("hears nothing", "nothing"),
+    *(
+        Outcome(f"{how.value} with nothing written", "nothing", 0.0, None, how)
+        for how in (End.FIN, End.RESET)
+    ),
+)
+LOST = tuple(
+    Outcome(f"is answered, {words}, then it {how.value}", "answered", 0.0, place, how)
+    for place, words in enumerate(PLACES)
+    for how in BROKEN
+)
+LOST_LATE = tuple(
+    Outcome(f"is answered after 0.1 s, {words}, then it {how.value}", "answered", 100.0, place, how)
+    for place, words in enumerate(PLACES)
+    if place in (0, 4)
+    for how in BROKEN
+)
 OUTCOMES = (*ANSWERS, *TURNED_AWAY, *NOTHING, *LOST, *LOST_LATE)
 
 
@@ -112,8 +134,9 @@
 class Explorer:
     """Paths of one kind of beginning; a planted mistake is a patch of the code explored."""
 
-    def __init__(self, begin: str, calls: int = 2, outcomes: Sequence[Outcome] = OUTCOMES,
-                 apart: bool = False) -> None:
+    def __init__(
+        self, begin: str, calls: int = 2, outcomes: Sequence[Outcome] = OUTCOMES, apart: bool = False
+    ) -> None:
         """`begin`: a key of `BEGINNINGS`; `calls`: of which it is explored what becomes of them."""
         self.begin, self.calls, self.outcomes, self.apart = BEGINNINGS[begin], calls, outcomes, apart
 
@@ -170,8 +193,10 @@
         return ""
     world.now = at
     world.say(f"a request may be sent to u0, which counts as told since {(told - START) / 1e3:.2f} s")
-    return (f"grace: a request leaves for u0 up to {at + HELD_UP - told:.0f} ms after it counts as told, "
-            f"of {GRACE:.0f}")
+    return (
+        f"grace: a request leaves for u0 up to {at + HELD_UP - told:.0f} ms after it counts as told, "
+        f"of {GRACE:.0f}"
+    )
 
 
 def liveness(world: World) -> str:
@@ -236,5 +261,10 @@
 
 
 BEGINNINGS: dict[str, Callable[[World], None]] = {
-    "standing": _standing, "broken": _broken, "waiting": _asked_for, "first": _first, "moved": _moved,
-    "restarted": _restarted}
+    "standing": _standing,
+    "broken": _broken,
+    "waiting": _asked_for,
+    "first": _first,
+    "moved": _moved,
+    "restarted": _restarted,
+}
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -244,10 +244,14 @@
         self.asking.fit(BALANCERS, MUST_ASK_IN)
         self._noted: list[Callable[[], None]] = []
         self.lists = Discovery(
-            cast(asyncio.AbstractEventLoop, _Loop(world)), HERE, 1, cast(Any, _Silent()),
+            cast(asyncio.AbstractEventLoop, _Loop(world)),
+            HERE,
+            1,
+            cast(Any, _Silent()),
             tell=lambda news: self._noted.append(lambda: self._told(news)),
             tell_failed=lambda failure: self._noted.append(lambda: self._failed(failure)),
-            tell_lease=lambda message: self._noted.append(lambda: self._renew(message)))
+            tell_lease=lambda message: self._noted.append(lambda: self._renew(message)),
+        )
         self.lists.again, self.lists.patient = self.asking.period / 1e3, True
 
     def turn(self) -> None:
@@ -282,8 +286,9 @@
 class World:
     """The service, the balancer and what lies between them; `step` moves on to what comes next."""
 
-    def __init__(self, choices: Choices, outcomes: Sequence[Outcome], most_calls: int,
-                 machine: Machine) -> None:
+    def __init__(
+        self, choices: Choices, outcomes: Sequence[Outcome], most_calls: int, machine: Machine
+    ) -> None:
         self.choices, self.options, self.calls_left, self.machine = choices, outcomes, most_calls, machine
         self.now = START
         self.trace: list[str] = []
@@ -376,8 +381,10 @@
             self.say(f"it is written on call {number}, and arrives" + (" late" if held_up else ""))
             connection.bytes_arrive(data, held_up)
             return
-        self.say(f"it is written on call {number}, {place} of {len(data)} bytes arrive, then it {how.value}"
-                 + (", which is read late" if held_up else ""))
+        self.say(
+            f"it is written on call {number}, {place} of {len(data)} bytes arrive, then it {how.value}"
+            + (", which is read late" if held_up else "")
+        )
         connection.bytes_arrive(data[:place], held_up)
         connection.cut_off = True
         if how is End.SILENCE:
@@ -417,7 +424,7 @@
         if connection.ended or connection.left:
             return
         if outcome.kind == "turned away":
-            connection.bytes_arrive(TURNED_AWAY[:outcome.cut])
+            connection.bytes_arrive(TURNED_AWAY[: outcome.cut])
             connection.end(outcome.end or End.LAST_CHUNK)
             return
         if outcome.kind == "nothing":
@@ -522,8 +529,10 @@
             task.cancel()
 
 
-TAILS = (Outcome("is answered, as all from now on", "answered"),
-         Outcome("is turned away at once, as all from now on", "turned away"))
+TAILS = (
+    Outcome("is answered, as all from now on", "answered"),
+    Outcome("is turned away at once, as all from now on", "turned away"),
+)
 
 
 def listing(at: tuple[str, int], after: int, drains: bool) -> bytes:
@@ -533,7 +542,10 @@
     entries = b'{"uid":"u0","endpoint":"10.1.0.1:70","az":"a","state":"%b"}' % state
     version = offset + (2 if drains else 1)
     return b'{"rev":%d,"all":%b,"targets":[%b]}' % (
-        version, b"true" if after < 0 else b"false", entries if after < version else b"")
+        version,
+        b"true" if after < 0 else b"false",
+        entries if after < version else b"",
+    )
 
 
 def chunk(line: bytes) -> bytes:
--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -66,6 +66,7 @@
 @dataclass(slots=True, eq=False)
 class Level:
     """A zone: its healthy upstreams, and what fetches to it tell of those that are seldom met."""
+
     latency: float  # smoothed over all its fetches
     lowest: float
     healthy: list[Upstream] = field(default_factory=list)
@@ -101,6 +102,7 @@
 @dataclass(slots=True, eq=False)
 class Upstream:
     """All that is known of one upstream."""
+
     id: int
     mark: int
     zone: int
@@ -213,7 +215,10 @@
         # guards: by chance some of hundreds see silence where others do not, so as many must agree
         self._told_rests: deque[tuple[float, float]] = deque(maxlen=2 + terms.balancers // AGREE)
         self._cross_fee, self._tip_after, self._warm_within = (
-            terms.cross_fee, terms.tip_after, terms.warm_within)
+            terms.cross_fee,
+            terms.tip_after,
+            terms.warm_within,
+        )
         # cold sends a window at a capacity of one a second; those of any zone may send to a cold upstream
         self._cold_window = terms.overload_factor * terms.tip_after / 1e3 / max(3, zones)
         self._granted = 1 - SPARE * (1 - share)
@@ -316,8 +321,15 @@
         elif u.failing and end is not End.FULL:
             u.trial_at = now + HOLD_DOWN / 4  # guards: no trial visit is spent on one that no probe reaches
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool,
-             ran: Sequence[tuple[int, int, float]] = ()) -> Visit:
+    def take(
+        self,
+        now: float,
+        tag: int,
+        prefix: int,
+        ttl: float,
+        repeat: bool,
+        ran: Sequence[tuple[int, int, float]] = (),
+    ) -> Visit:
         """A visit has come; it is sent, held or answered before this returns. `ran`: fetches of it that may
         have run, of balancers that had it before us: zone, cell, time."""
         lane = self._lanes[prefix]
@@ -332,8 +344,16 @@
             self._hold(visit, now)
         return visit
 
-    def _ended(self, visit: Visit, f: Fetch, now: float, end: End, spent: float, final: bool,
-               report: tuple[float, ...]) -> None:
+    def _ended(
+        self,
+        visit: Visit,
+        f: Fetch,
+        now: float,
+        end: End,
+        spent: float,
+        final: bool,
+        report: tuple[float, ...],
+    ) -> None:
         u = f.upstream
         if f.end is None:
             f.end = end
@@ -413,8 +433,12 @@
             if len(silent) > max(SILENT, 2 * sum(short) / max(1, len(short))) * len(long):
                 self._rest = RESTED * rest
                 # guards: few silences, or mostly those of one path prefix, may be the upstreams'
-                if (self._terms.may_tell and self._rest < RESTED * self._told_rest and len(silent) > 2
-                        and max(map(silent.count, silent)) <= len(silent) * MIXED):
+                if (
+                    self._terms.may_tell
+                    and self._rest < RESTED * self._told_rest
+                    and len(silent) > 2
+                    and max(map(silent.count, silent)) <= len(silent) * MIXED
+                ):
                     self._host.tell(HINT.pack(int(self._rest)))
                 break
         # guards: an upstream that left one path prefix unanswered and served the others was never ejected
@@ -478,8 +502,11 @@
     def _may_bounce(self, visit: Visit) -> bool:
         """A bounce tells the client that trying again is harmless."""
         lane = visit.lane
-        return (lane.kind is Kind.READ_LIKE or visit.may_have_run() is None
-                or (lane.kind is Kind.TAGGED and lane.scope is Scope.ALL))
+        return (
+            lane.kind is Kind.READ_LIKE
+            or visit.may_have_run() is None
+            or (lane.kind is Kind.TAGGED and lane.scope is Scope.ALL)
+        )
 
     def _send(self, visit: Visit, u: Upstream, now: float, trial: bool = False) -> bool:
         """The one place that sends."""
@@ -551,7 +578,8 @@
         """What a visit stands to lose at an upstream, by its wait and the fee, in the unit of its value."""
         # were waits exponential; and it may not be reached
         late = 1 - u.level.reach_at(now) * (
-            1 - exp((visit.came - visit.target_at) / max(1e-3, visit.lane.pace * self._predicted(u, now))))
+            1 - exp((visit.came - visit.target_at) / max(1e-3, visit.lane.pace * self._predicted(u, now)))
+        )
         return visit.lane.value * late + (self._cross_fee if u.zone != self._zone else 0.0)
 
     def _patience(self, visit: Visit, fee: float) -> float:
@@ -560,8 +588,9 @@
         target = visit.target_at - visit.came
         return IDLE_SHARE * self._base + self._bold * max(0.0, target - self._base) * value / (value + 1)
 
-    def _lower_of_two(self, level: list[Upstream], visit: Visit, now: float,
-                      patience: float) -> Upstream | None:
+    def _lower_of_two(
+        self, level: list[Upstream], visit: Visit, now: float, patience: float
+    ) -> Upstream | None:
         """The lower-scored of two random upstreams that have room for the visit and may take it."""
         tried = [f.upstream for f in visit.fetches] if visit.fetches else ()
         first = None
@@ -581,9 +610,12 @@
     def _fit(self, u: Upstream, visit: Visit, now: float, patience: float) -> bool:
         """Whether it has room for the visit and may take it; a fresh one is passed over by chance."""
         failing = u.failing or (u.until and now < u.until.get(visit.lane, -inf))
-        return ((not failing or not self._shares) and self._has_room(u, now, patience)
-                and (now - u.start >= self._warm_within or self._random() < self._warmth(u, now))
-                and self._may_go(visit, u, now))
+        return (
+            (not failing or not self._shares)
+            and self._has_room(u, now, patience)
+            and (now - u.start >= self._warm_within or self._random() < self._warmth(u, now))
+            and self._may_go(visit, u, now)
+        )
 
     def _predicted(self, u: Upstream, now: float) -> float:
         """The latency of one more: the expected one, scaled by what we have out; others do as we do."""
@@ -620,7 +652,7 @@
         lane = visit.lane
         if lane not in self._by_value:
             self._by_value.append(lane)  # a former one: its terms are no longer those of new visits
-        ahead = 1 + sum(len(other.held) for other in self._by_value[:self._by_value.index(lane) + 1])
+        ahead = 1 + sum(len(other.held) for other in self._by_value[: self._by_value.index(lane) + 1])
         # guards: one that has just started has seen nothing delivered; what is out tells when room comes
         flow = self._flow or sum(1e3 * level.out / level.latency for level in self._levels)
         wait = 1e3 * ahead / flow if flow else inf
@@ -711,7 +743,8 @@
                     continue
                 late = now - next(iter(u.out)).sent
                 if late > LATENCY_MARK * expected and (
-                        len(self._lanes) == 1 or len({f.lane for f in u.out if f.sent < now - late / 2}) > 1):
+                    len(self._lanes) == 1 or len({f.lane for f in u.out if f.sent < now - late / 2}) > 1
+                ):
                     u.latency = expected + 2 * SMOOTH * (late - expected)
                     u.measured_at = now
         home = self._levels[self._zone]
@@ -794,8 +827,9 @@
         rings: list[list[tuple[Upstream, bool]]] = [[] for _ in range(self._zones)]
         for u, latency in zip(ready, latencies, strict=True):
             # E3: where all are as slow, it is load and no fault of one; marking them would swing the shares
-            marked = (latency > LATENCY_MARK * min(u.lowest, u.lowest_before)
-                      and latency > max(self._harmless, 2 * mean_latency))
+            marked = latency > LATENCY_MARK * min(u.lowest, u.lowest_before) and latency > max(
+                self._harmless, 2 * mean_latency
+            )
             rings[u.zone].append((u, marked))
             totals[u.zone] += 1
             if u.failing or marked:
--- a/ospreyline/facts.py
+++ b/ospreyline/facts.py
@@ -78,8 +78,7 @@
     full_at_nines: float = 3.0  # the nines that count in full: a figure of that part, no weight
 
     def total(self) -> float:
-        return (self.whole + self.worst_class + self.worst_tenant + self.worst_window
-                + self.availability)
+        return self.whole + self.worst_class + self.worst_tenant + self.worst_window + self.availability
 
 
 class _Feedback(_Wire):
@@ -153,10 +152,10 @@
 
         `seed` and `known` are for a start alone, so they are not compared.
         """
-        groups = {
-            "name": ("name",), "listen": ("listen",), "limits": ("sockets", "memory")}
-        return [key for key, fields in groups.items()
-                if any(getattr(self, f) != getattr(new, f) for f in fields)]
+        groups = {"name": ("name",), "listen": ("listen",), "limits": ("sockets", "memory")}
+        return [
+            key for key, fields in groups.items() if any(getattr(self, f) != getattr(new, f) for f in fields)
+        ]
 
 
 def read(text: bytes) -> Deployment:
@@ -257,23 +256,35 @@
             raise FactError(f"{at}KeyScope: unknown {p.key_scope!r}")
         if not p.client_timeout_us > 0:
             raise FactError(f"{at}ClientTimeoutUs: {p.client_timeout_us} is no time")
-        for key, figure in (("TargetLatencyUs", p.target_latency_us), ("WindowUs", p.window_us),
-                            ("Gain", p.gain), ("LateGain", p.late_gain)):
+        for key, figure in (
+            ("TargetLatencyUs", p.target_latency_us),
+            ("WindowUs", p.window_us),
+            ("Gain", p.gain),
+            ("LateGain", p.late_gain),
+        ):
             if not 0 <= figure < inf:
                 raise FactError(f"{at}{key}: {figure} is under 0 or no figure")
-    for key, span in (("ConnectTimeoutUs", facts.caps.connect_timeout_us),
-                      ("KeepaliveUs", facts.caps.keepalive_us)):
+    for key, span in (
+        ("ConnectTimeoutUs", facts.caps.connect_timeout_us),
+        ("KeepaliveUs", facts.caps.keepalive_us),
+    ):
         if not span > 0:
             raise FactError(f"{root}Caps.{key}: {span} is no time")
     rules, goal = facts.invariants, facts.goal
     for key, figure in (
-            ("Caps.MaxRetryAfterUs", facts.caps.max_retry_after_us),
-            ("Fees.CrossZone", facts.fees.cross_zone), ("Fees.Probe", facts.fees.probe),
-            ("Goal.Whole", goal.whole), ("Goal.WorstClass", goal.worst_class),
-            ("Goal.WorstTenant", goal.worst_tenant), ("Goal.WorstWindow", goal.worst_window),
-            ("Goal.Availability", goal.availability), ("Invariants.ColdFrom", rules.cold_from),
-            ("Invariants.OverloadFactor", rules.overload_factor),
-            ("Invariants.TipAfterUs", rules.tip_after_us), ("Invariants.WarmWithinUs", rules.warm_within_us)):
+        ("Caps.MaxRetryAfterUs", facts.caps.max_retry_after_us),
+        ("Fees.CrossZone", facts.fees.cross_zone),
+        ("Fees.Probe", facts.fees.probe),
+        ("Goal.Whole", goal.whole),
+        ("Goal.WorstClass", goal.worst_class),
+        ("Goal.WorstTenant", goal.worst_tenant),
+        ("Goal.WorstWindow", goal.worst_window),
+        ("Goal.Availability", goal.availability),
+        ("Invariants.ColdFrom", rules.cold_from),
+        ("Invariants.OverloadFactor", rules.overload_factor),
+        ("Invariants.TipAfterUs", rules.tip_after_us),
+        ("Invariants.WarmWithinUs", rules.warm_within_us),
+    ):
         if not 0 <= figure < inf:
             raise FactError(f"{root}{key}: {figure} is under 0 or no figure")
     if not 0 < goal.full_at_nines < inf:
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -45,9 +45,18 @@
 class Bank:
     """What the front holds of the bank, where the operator's file has it on."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, log: Any, name: str, zone: str, on: Any, seed: int,
-                 listed: Callable[[News], None], hinted: Callable[[bytes], None],
-                 hasten: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        log: Any,
+        name: str,
+        zone: str,
+        on: Any,
+        seed: int,
+        listed: Callable[[News], None],
+        hinted: Callable[[bytes], None],
+        hasten: Callable[[], None],
+    ) -> None:
         """`on` is the `[fleet]` table; `hasten` is called when the list is to be asked for without delay."""
         self._loop = loop
         self._log = log
@@ -59,8 +68,16 @@
         me = Entry(name, on.address or on.listen, zone, int(time() * 1e3), 0, ALIVE)
         self.members = Members(me, seeds, draw, self._now(), on.watched())
         self.lists = Lists(name, zone, me.start, draw, self._now()) if on.lists else None
-        self.links = Links(loop, on.bank, log, lambda: self.members.me, self._greeted, self._heard,
-                           self._lost, self._namesake)
+        self.links = Links(
+            loop,
+            on.bank,
+            log,
+            lambda: self.members.me,
+            self._greeted,
+            self._heard,
+            self._lost,
+            self._namesake,
+        )
         self._timer: asyncio.TimerHandle | None = None
         self.takeover: Takeover | None = None  # of work in hand, where it is on
         self._taken_over: Callable[[], None] = lambda: None
@@ -171,8 +188,11 @@
         living = [(n, m.entry.zone, m.entry.start) for n, m in members.items() if m.entry.state < DEAD]
         if self._now() - self._begun < UNMET:
             # until members are known, the configured peers are taken to live, in our zone and before us
-            living += [(n, self.lists.zone, 0) for n, _ in self._on.named()
-                       if n not in members and n != self.lists.name]
+            living += [
+                (n, self.lists.zone, 0)
+                for n, _ in self._on.named()
+                if n not in members and n != self.lists.name
+            ]
         self.lists.members(self._now(), living)
 
     # links
@@ -248,8 +268,12 @@
     def counts(self) -> dict[str, Any]:
         """For the line of counts."""
         hears, of = self.members.hears()
-        return {"fleet_hears": hears, "fleet_of": of, "fleet_links": len(self.links.by_name),
-                "fleet_dropped": self.links.dropped}
+        return {
+            "fleet_hears": hears,
+            "fleet_of": of,
+            "fleet_links": len(self.links.by_name),
+            "fleet_dropped": self.links.dropped,
+        }
 
     def leave(self) -> None:
         self.members.leave(self._now())
@@ -266,17 +290,32 @@
         hears, of = self.members.hears()
         now = self._now()
         return {
-            "name": self.members.me.name, "bank": self._on.bank, "at": time(), "hears": hears, "of": of,
-            "words": words(hears, of), "superseded": self.members.superseded, "doubt": self.members.doubt,
-            "neighbours": self.members.neighbours, "linked": sorted(self.links.by_name),
+            "name": self.members.me.name,
+            "bank": self._on.bank,
+            "at": time(),
+            "hears": hears,
+            "of": of,
+            "words": words(hears, of),
+            "superseded": self.members.superseded,
+            "doubt": self.members.doubt,
+            "neighbours": self.members.neighbours,
+            "linked": sorted(self.links.by_name),
             "passes_the_list_on": bool(self.lists and self.lists.passing),
             "listens_to": self.lists.sources if self.lists else [],
             "list_rev": self.lists.rev if self.lists else None,
             "cover": self.takeover.covered(now) if self.takeover else None,
             "guards": len(self.takeover.guardian.works) if self.takeover else 0,
-            "members": [{"name": n, "address": m.entry.address, "zone": m.entry.zone,
-                         "state": State[m.entry.state], "for_s": round((now - m.since) / 1e3, 1)}
-                        for n, m in sorted(self.members.members.items())]}
+            "members": [
+                {
+                    "name": n,
+                    "address": m.entry.address,
+                    "zone": m.entry.zone,
+                    "state": State[m.entry.state],
+                    "for_s": round((now - m.since) / 1e3, 1),
+                }
+                for n, m in sorted(self.members.members.items())
+            ],
+        }
 
     def _write_status(self) -> None:
         if self._writing is not None:
--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -233,8 +233,26 @@
     full: bool = False  # ask another
 
 
-Message = (Hello | Ask | Here | AskFor | Tell | Whole | Hint | Listen | Passed | Deaf | Sit | Pulse | Say
-           | Subscribe | Unsubscribe | Got | Change | Told)
+Message = (
+    Hello
+    | Ask
+    | Here
+    | AskFor
+    | Tell
+    | Whole
+    | Hint
+    | Listen
+    | Passed
+    | Deaf
+    | Sit
+    | Pulse
+    | Say
+    | Subscribe
+    | Unsubscribe
+    | Got
+    | Change
+    | Told
+)
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Message)
 
@@ -268,8 +286,8 @@
                 raise FrameError(f"a message of {length} bytes, {MOST} is the most")
             if len(rest) < HEAD.size + length:
                 break
-            body = bytes(rest[HEAD.size:HEAD.size + length])
-            del rest[:HEAD.size + length]
+            body = bytes(rest[HEAD.size : HEAD.size + length])
+            del rest[: HEAD.size + length]
             if crc32(body) != checksum:
                 raise FrameError("a wrong checksum")
             try:
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/guard.py
@@ -43,6 +43,7 @@
 
 def guardians(work: str, members: Iterable[tuple[str, str]], count: int = GUARDS) -> list[str]:
     """Who guards a visit: members as (name, zone), spread by a hash, of as many zones as there are."""
+
     def place(member: tuple[str, str]) -> bytes:
         return blake2b(member[0].encode(), digest_size=8, key=work.encode()[:64]).digest()
 
@@ -151,8 +152,14 @@
         if not self._room(len(say.body)):
             return None
         self.bytes += len(say.body)
-        kept = self.works[say.work] = Kept(say.ballot, say.guards, say.body, session=say.session,
-                                           until=now + self.keep_for, ends=now + say.left)
+        kept = self.works[say.work] = Kept(
+            say.ballot,
+            say.guards,
+            say.body,
+            session=say.session,
+            until=now + self.keep_for,
+            ends=now + say.left,
+        )
         return kept
 
     def _answered(self, now: float, say: Say, kept: Kept) -> Say:
@@ -182,6 +189,7 @@
 
     def _room(self, more: int, but: str = "") -> bool:
         """Whether so many bytes of one more visit can be kept; answered ones make room, oldest first."""
+
         def full() -> bool:
             return len(self.works) >= MOST_WORKS + bool(but) or self.bytes + more > MOST_BYTES
 
@@ -209,8 +217,11 @@
         """The visits without an end that a member had in hand, over a link that has ended."""
         session = self.sessions.get(member)
         # guards: its next process may be here already, and has what it took since
-        return [work for work, kept in self.works.items()
-                if kept.promised[1] == member and kept.session != session and kept.guards and not kept.over]
+        return [
+            work
+            for work, kept in self.works.items()
+            if kept.promised[1] == member and kept.session != session and kept.guards and not kept.over
+        ]
 
     def _tell(self, now: float, work: str, kept: Kept, by: str) -> None:
         name = kept.promised[1]
@@ -220,20 +231,56 @@
 
     def _yes(self, now: float, say: Say, kept: Kept) -> Say:
         if say.what != "claim":
-            return Say("yes", say.work, say.ballot, say.session, say.by, self.name, promised=kept.promised,
-                       about=say.what, guards=kept.guards, number=say.number)
-        permits = tuple(sorted((ballot, number, zone, cell, now - at)
-                               for (ballot, number), (zone, cell, at) in kept.permits.items()))
-        return Say("yes", say.work, say.ballot, say.session, say.by, self.name,
-                   kept.answer if kept.answered else kept.body, permits, kept.promised, say.what, kept.guards,
-                   kept.answered, left=max(0.0, kept.ends - now), here=kept.holder() in self.sessions,
-                   closed=kept.closed)
+            return Say(
+                "yes",
+                say.work,
+                say.ballot,
+                say.session,
+                say.by,
+                self.name,
+                promised=kept.promised,
+                about=say.what,
+                guards=kept.guards,
+                number=say.number,
+            )
+        permits = tuple(
+            sorted(
+                (ballot, number, zone, cell, now - at)
+                for (ballot, number), (zone, cell, at) in kept.permits.items()
+            )
+        )
+        return Say(
+            "yes",
+            say.work,
+            say.ballot,
+            say.session,
+            say.by,
+            self.name,
+            kept.answer if kept.answered else kept.body,
+            permits,
+            kept.promised,
+            say.what,
+            kept.guards,
+            kept.answered,
+            left=max(0.0, kept.ends - now),
+            here=kept.holder() in self.sessions,
+            closed=kept.closed,
+        )
 
     def _no(self, say: Say, kept: Kept | None) -> Say:
         self.refused += 1
         promised = kept.promised if kept is not None else (0, "")
-        return Say("no", say.work, say.ballot, say.session, say.by, self.name, promised=promised,
-                   about=say.what, number=say.number)
+        return Say(
+            "no",
+            say.work,
+            say.ballot,
+            say.session,
+            say.by,
+            self.name,
+            promised=promised,
+            about=say.what,
+            number=say.number,
+        )
 
 
 class Work:
@@ -246,16 +293,54 @@
     """
 
     __slots__ = (
-        "_asked", "_closing", "_noes", "_number", "_registered", "_registering",
-        "_yeses", "again", "anew", "answer",
-        "away", "ballot", "body", "closed", "covered", "ever", "guards", "holder_here", "id", "known",
-        "left", "lost",
-        "may_have_run", "me", "mine", "out", "permits", "permitted", "promised", "refused", "serials",
-        "sessions", "taken", "unheld")
-
-    def __init__(self, id_: str, me: str, guards: Iterable[str], sessions: dict[str, int],
-                 body: bytes = b"", left: float = 0.0, serials: dict[str, int] | None = None,
-                 again: bool = False, anew: bool = False) -> None:
+        "_asked",
+        "_closing",
+        "_noes",
+        "_number",
+        "_registered",
+        "_registering",
+        "_yeses",
+        "again",
+        "anew",
+        "answer",
+        "away",
+        "ballot",
+        "body",
+        "closed",
+        "covered",
+        "ever",
+        "guards",
+        "holder_here",
+        "id",
+        "known",
+        "left",
+        "lost",
+        "may_have_run",
+        "me",
+        "mine",
+        "out",
+        "permits",
+        "permitted",
+        "promised",
+        "refused",
+        "serials",
+        "sessions",
+        "taken",
+        "unheld",
+    )
+
+    def __init__(
+        self,
+        id_: str,
+        me: str,
+        guards: Iterable[str],
+        sessions: dict[str, int],
+        body: bytes = b"",
+        left: float = 0.0,
+        serials: dict[str, int] | None = None,
+        again: bool = False,
+        anew: bool = False,
+    ) -> None:
         """`guards`: who guards it, as its owner names them; who takes it over may guess, and is told.
         `sessions`: that of our link to each member when the visit was taken, or is claimed; `serials`: the
         place of its registration in each. `left`: ms that its client waits. `again`: its kind may be sent
@@ -291,11 +376,24 @@
         self._asked, self._number, self._yeses, self._noes = what, number, {}, set()
         first = what in ("register", "permit") and not self._registered and not self.ballot[0]
         self._registered, self._registering = self._registered or first, first
-        self.out += [Say(what, self.id, self.ballot, self.sessions.get(g, 0), g, self.me,
-                         self.body if first else body, guards=self.guards if first else (), number=number,
-                         zone=zone, cell=cell, left=self.left if first else 0.0,
-                         serial=self.serials.get(g, 0) if first else 0)
-                     for g in self.guards]
+        self.out += [
+            Say(
+                what,
+                self.id,
+                self.ballot,
+                self.sessions.get(g, 0),
+                g,
+                self.me,
+                self.body if first else body,
+                guards=self.guards if first else (),
+                number=number,
+                zone=zone,
+                cell=cell,
+                left=self.left if first else 0.0,
+                serial=self.serials.get(g, 0) if first else 0,
+            )
+            for g in self.guards
+        ]
 
     def register(self) -> None:
         """The owner has taken it, and sends nothing for it yet."""
--- a/ospreyline/fleet/hollow.py
+++ b/ospreyline/fleet/hollow.py
@@ -65,14 +65,31 @@
 class Node:
     """A name with its links; `take` gets what comes."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, name: str, at: dict[str, tuple[str, int]],
-                 take: Callable[[str, Message], None], lost: Callable[[str], None], most: int = 64) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        name: str,
+        at: dict[str, tuple[str, int]],
+        take: Callable[[str, Message], None],
+        lost: Callable[[str], None],
+        most: int = 64,
+    ) -> None:
         me = Entry(name, "", "", int(time() * 1e3), 0, ALIVE)
         self.at, self.blocked = at, set[str]()
         self.said = 0  # messages
         self.take = take
-        self.links = Links(loop, BANK, Log(), lambda: me, lambda entry, wanted: None, self._heard, lost,
-                           lambda entry: None, most, lost)
+        self.links = Links(
+            loop,
+            BANK,
+            Log(),
+            lambda: me,
+            lambda entry, wanted: None,
+            self._heard,
+            lost,
+            lambda entry: None,
+            most,
+            lost,
+        )
 
     def _heard(self, name: str, message: Message) -> None:
         if name not in self.blocked:
@@ -109,9 +126,19 @@
             self._status_at = now + 1.0
             with open("/proc/self/statm") as file:
                 pages = int(file.read().split()[1])
-            say({"status": self.what["name"], "phase": self.phase, "t": now_ms(), "cpu": process_time(),
-                 "mb": pages * 4096 / 1e6, "lag_ms": 1e3 * self.lag, "calls": self.calls, "words": self.words,
-                 **self.status()})
+            say(
+                {
+                    "status": self.what["name"],
+                    "phase": self.phase,
+                    "t": now_ms(),
+                    "cpu": process_time(),
+                    "mb": pages * 4096 / 1e6,
+                    "lag_ms": 1e3 * self.lag,
+                    "calls": self.calls,
+                    "words": self.words,
+                    **self.status(),
+                }
+            )
             self.lag = 0.0
 
     def tick(self, now: float) -> None:
@@ -165,8 +192,13 @@
     def body(self) -> bytes:
         """About as long as an entry of the list is."""
         self.made += 1
-        return (b'{"uid":"s-%010d","endpoint":"10.%d.%d.%d:9001","az":"zone-%02d","state":"active"}'
-                % (self.made, self.made >> 16 & 255, self.made >> 8 & 255, self.made & 255, self.made % 43))
+        return b'{"uid":"s-%010d","endpoint":"10.%d.%d.%d:9001","az":"zone-%02d","state":"active"}' % (
+            self.made,
+            self.made >> 16 & 255,
+            self.made >> 8 & 255,
+            self.made & 255,
+            self.made % 43,
+        )
 
     def take(self, name: str, message: Message) -> None:
         self.count(message)
@@ -212,11 +244,16 @@
             self.next = dict.fromkeys(self.every, float("inf"))
 
     def status(self) -> dict[str, Any]:
-        return {**self.bytes(self.node.links), "said": self.node.said,
-                "backlog": self.source.publisher.backlog(),
-                "changes": len(self.changes), "planned": len(self.planned),
-                "subscribers": len(self.source.publisher),
-                "sent": self.source.publisher.sent, "snapshots": self.source.publisher.snapshots}
+        return {
+            **self.bytes(self.node.links),
+            "said": self.node.said,
+            "backlog": self.source.publisher.backlog(),
+            "changes": len(self.changes),
+            "planned": len(self.planned),
+            "subscribers": len(self.source.publisher),
+            "sent": self.source.publisher.sent,
+            "snapshots": self.source.publisher.snapshots,
+        }
 
     def end(self) -> None:
         say({"changes": self.changes, "records": sum(len(s.records) for s in self.source.scopes.values())})
@@ -228,11 +265,24 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
         super().__init__(loop, what)
         name = what["name"]
-        self.fan = Fanout(Subscriber(name, int(time() * 1e3), [("source", "")], Random(what["seed"]).random,
-                                     now_ms(), number=what["number"], count=what["count"], everything=True,
-                                     rate=2 << 20, most_bytes=1 << 30, beat=500.0))
-        self.node = Node(loop, name, self.at, self.take, lambda n: self.fan.lost(now_ms(), n),
-                         MOST_SUBSCRIBERS + 16)
+        self.fan = Fanout(
+            Subscriber(
+                name,
+                int(time() * 1e3),
+                [("source", "")],
+                Random(what["seed"]).random,
+                now_ms(),
+                number=what["number"],
+                count=what["count"],
+                everything=True,
+                rate=2 << 20,
+                most_bytes=1 << 30,
+                beat=500.0,
+            )
+        )
+        self.node = Node(
+            loop, name, self.at, self.take, lambda n: self.fan.lost(now_ms(), n), MOST_SUBSCRIBERS + 16
+        )
 
     def take(self, name: str, message: Message) -> None:
         self.count(message)
@@ -251,11 +301,18 @@
     def status(self) -> dict[str, Any]:
         down: Publisher = self.fan.down
         self.node.links.tidy(set(self.node.links.by_name), 1e9)
-        return {**self.bytes(self.node.links), "said": self.node.said, "subscribers": len(down),
-                "backlog": down.backlog(),
-                "ready": self.fan.up.complete[0] > 0, "scopes": len(self.fan.up.scopes), "sent": down.sent,
-                "age": min(1e9, now_ms() - self.fan.up.fresh), "snapshots": down.snapshots,
-                "resent": down.resent}
+        return {
+            **self.bytes(self.node.links),
+            "said": self.node.said,
+            "subscribers": len(down),
+            "backlog": down.backlog(),
+            "ready": self.fan.up.complete[0] > 0,
+            "scopes": len(self.fan.up.scopes),
+            "sent": down.sent,
+            "age": min(1e9, now_ms() - self.fan.up.fresh),
+            "snapshots": down.snapshots,
+            "resent": down.resent,
+        }
 
 
 class Hollow:
@@ -273,9 +330,16 @@
         self.begun = now_ms()
         self.whole_at = float("inf")
         self.least = 0.0
-        self.sub = Subscriber(self.name, int(time() * 1e3), self.process.publishers, self.process.draw.random,
-                              self.begun, zone=self.process.zone(self.number), number=self.number,
-                              count=what["subscribers"])
+        self.sub = Subscriber(
+            self.name,
+            int(time() * 1e3),
+            self.process.publishers,
+            self.process.draw.random,
+            self.begun,
+            zone=self.process.zone(self.number),
+            number=self.number,
+            count=what["subscribers"],
+        )
         for scope in self.wants:
             self.sub.want(self.begun, scope)
         self.node = Node(self.process.loop, self.name, self.process.at, self.take, self.lost)
@@ -299,8 +363,9 @@
                 version = self.sub.scopes[one.scope].version[1]
                 ahead = [r.n for r in one.records if r.n > version]
                 # a drain that came ahead is in force, and nothing else of its scope
-                process.took += [(self.number, one.scope, n, now, True) for n in ahead] \
-                    or [(self.number, one.scope, version, now, False)]
+                process.took += [(self.number, one.scope, n, now, True) for n in ahead] or [
+                    (self.number, one.scope, version, now, False)
+                ]
             self.sub.news.clear()
         self.flush()
 
@@ -343,8 +408,10 @@
         self._look_at = self._tidy_at = 0.0
         self._looked = 0
         services = assigned(what["services"], what["subscribers"], what["per"], what["seed"])
-        self.all = [Hollow(self, i, [f"s{k}" for k in services[i]])
-                    for i in range(what["first"], what["first"] + what["many"])]
+        self.all = [
+            Hollow(self, i, [f"s{k}" for k in services[i]])
+            for i in range(what["first"], what["first"] + what["many"])
+        ]
         self._half = 0
 
     def zone(self, number: int) -> str:
@@ -360,7 +427,7 @@
 
     def tick(self, now: float) -> None:
         self._half ^= 1  # each every 50 ms
-        for one in self.all[self._half::2]:
+        for one in self.all[self._half :: 2]:
             one.tick(now)
         if now >= self._look_at:
             self._look_at = now + 1e3 * SAMPLE
@@ -383,24 +450,37 @@
                 one.node.blocked = self.blocked(one.number)
 
     def status(self) -> dict[str, Any]:
-        return {"in": sum(o.links_in + o.node.links.bytes_in for o in self.all),
-                "out": sum(o.links_out + o.node.links.bytes_out for o in self.all),
-                "said": sum(o.said + o.node.said for o in self.all),
-                "whole": sum(o.whole_at < float("inf") for o in self.all), "subscribers": len(self.all),
-                "moves": sum(o.moves + o.sub.moves for o in self.all),
-                "taken": sum(o.sub.taken for o in self.all),
-                "doubts": sum(o.sub.doubts for o in self.all)}
+        return {
+            "in": sum(o.links_in + o.node.links.bytes_in for o in self.all),
+            "out": sum(o.links_out + o.node.links.bytes_out for o in self.all),
+            "said": sum(o.said + o.node.said for o in self.all),
+            "whole": sum(o.whole_at < float("inf") for o in self.all),
+            "subscribers": len(self.all),
+            "moves": sum(o.moves + o.sub.moves for o in self.all),
+            "taken": sum(o.sub.taken for o in self.all),
+            "doubts": sum(o.sub.doubts for o in self.all),
+        }
 
     def end(self) -> None:
         scopes = sum(len(o.sub.scopes) for o in self.all)
-        say({"took": self.took, "deaf": {p: [[k, v] for k, v in d.items()] for p, d in self.deaf.items()},
-             "whole": self.whole, "wants": [[o.number, o.wants] for o in self.all], "scopes": scopes,
-             "records": sum(len(s.records) for o in self.all for s in o.sub.scopes.values()),
-             "held": sum(o.sub.bytes for o in self.all)})
-
-
-KINDS: dict[str, type[Base]] = {"source": SourceProcess, "fanout": FanoutProcess,
-                                "subscribers": SubscriberProcess}
+        say(
+            {
+                "took": self.took,
+                "deaf": {p: [[k, v] for k, v in d.items()] for p, d in self.deaf.items()},
+                "whole": self.whole,
+                "wants": [[o.number, o.wants] for o in self.all],
+                "scopes": scopes,
+                "records": sum(len(s.records) for o in self.all for s in o.sub.scopes.values()),
+                "held": sum(o.sub.bytes for o in self.all),
+            }
+        )
+
+
+KINDS: dict[str, type[Base]] = {
+    "source": SourceProcess,
+    "fanout": FanoutProcess,
+    "subscribers": SubscriberProcess,
+}
 
 
 async def _commands(loop: asyncio.AbstractEventLoop, process: Base) -> None:
--- a/ospreyline/fleet/kept.py
+++ b/ospreyline/fleet/kept.py
@@ -60,7 +60,7 @@
     head, _, body = text.partition(b"\n")
     if not head.startswith(FORM):
         raise KeptError("it is in no form that this version knows")
-    if head[len(FORM):] != blake2b(body, digest_size=16).hexdigest().encode():
+    if head[len(FORM) :] != blake2b(body, digest_size=16).hexdigest().encode():
         raise KeptError("its checksum is wrong: it was cut short or damaged")
     try:
         kept = msgspec.json.decode(body, type=_Kept)
@@ -127,8 +127,12 @@
             newer = msgspec.json.decode(configured, type=_Rev).rev > kept.rev
         except msgspec.MsgspecError:
             newer = False
-        self._log.info("kept list older than the configured one" if newer else "kept list taken",
-                       rev=kept.rev, age_s=round(kept.age / 1e3, 1), entries=kept.count)
+        self._log.info(
+            "kept list older than the configured one" if newer else "kept list taken",
+            rev=kept.rev,
+            age_s=round(kept.age / 1e3, 1),
+            entries=kept.count,
+        )
         return configured if newer else kept.known
 
     def told(self, changed: bool) -> None:
--- a/ospreyline/fleet/links.py
+++ b/ospreyline/fleet/links.py
@@ -134,10 +134,19 @@
 class Links:
     """All links of one balancer; what comes on them goes to the calls that it was given."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, bank: str, log: Any, me: Callable[[], Entry],
-                 greeted: Callable[[Entry, bool], None], heard: Callable[[str, Message], None],
-                 lost: Callable[[str], None], namesake: Callable[[Entry], None],
-                 most: int = MOST_LINKS, undialled: Callable[[str], None] | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        bank: str,
+        log: Any,
+        me: Callable[[], Entry],
+        greeted: Callable[[Entry, bool], None],
+        heard: Callable[[str, Message], None],
+        lost: Callable[[str], None],
+        namesake: Callable[[Entry], None],
+        most: int = MOST_LINKS,
+        undialled: Callable[[str], None] | None = None,
+    ) -> None:
         """`most` links at once; `undialled` is told of one that did not come up."""
         self.loop = loop
         self.bank = bank
@@ -160,8 +169,7 @@
         self._said: dict[str, float] = {}  # reasons for ends, and when they were last logged
 
     async def listen(self, at: tuple[str, int]) -> tuple[str, int]:
-        self._server = await self.loop.create_server(
-            lambda: Link(self), *at, reuse_address=True, backlog=256)
+        self._server = await self.loop.create_server(lambda: Link(self), *at, reuse_address=True, backlog=256)
         if at[0] not in ("0.0.0.0", "::"):
             self._from = (at[0], 0)
         found: tuple[str, int] = self._server.sockets[0].getsockname()[:2]
--- a/ospreyline/fleet/lists.py
+++ b/ospreyline/fleet/lists.py
@@ -213,8 +213,11 @@
             self.out.append((name, Listen(rev=self.rev)))  # something is missing between: all of it, please
             return None
         try:
-            read = [(e.uid, e.state == "left", body) for body in message.targets
-                    for e in (msgspec.json.decode(body, type=_Listed),)]
+            read = [
+                (e.uid, e.state == "left", body)
+                for body in message.targets
+                for e in (msgspec.json.decode(body, type=_Listed),)
+            ]
         except msgspec.MsgspecError:
             self.ignored += 1
             return None
--- a/ospreyline/fleet/members.py
+++ b/ospreyline/fleet/members.py
@@ -54,8 +54,14 @@
 class Members:
     """The bank as one member sees it. `out` holds what is to be sent: (name, message) in order."""
 
-    def __init__(self, me: Entry, seeds: Iterable[Entry], draw: Callable[[], float], now: float,
-                 watched: Iterable[str] = ()) -> None:
+    def __init__(
+        self,
+        me: Entry,
+        seeds: Iterable[Entry],
+        draw: Callable[[], float],
+        now: float,
+        watched: Iterable[str] = (),
+    ) -> None:
         """`seeds` are entries of configured peers, with start 0: only where they are is known. `watched` are
         addresses at which members may be, under whatever name; a message to one goes to `@` and it."""
         self.me = me
@@ -88,8 +94,11 @@
         """How many are heard of as alive, and how many the bank has; both with ourselves."""
         # guards: one that is cut off doubts itself and accuses nobody, yet it has not heard them
         since = self._looked - UNHEARD
-        unheard = {n for n in self.neighbours if n in self.members
-                   and max(self.members[n].heard, self.members[n].since) < since}
+        unheard = {
+            n
+            for n in self.neighbours
+            if n in self.members and max(self.members[n].heard, self.members[n].since) < since
+        }
         alive = sum(m.entry.state == ALIVE and n not in unheard for n, m in self.members.items())
         bank = sum(m.entry.state != LEFT for m in self.members.values())
         unmet = sum(name not in self.members for name in self._seeds)
@@ -153,8 +162,11 @@
         self._send(name, Ask(number=self._number, news=self._some()))
 
     def _ask_through(self, name: str, member: Member) -> None:
-        others = [n for n in sorted(self.linked) if n != name and n in self.members
-                  and self.members[n].entry.state == ALIVE]
+        others = [
+            n
+            for n in sorted(self.linked)
+            if n != name and n in self.members and self.members[n].entry.state == ALIVE
+        ]
         for _ in range(min(THROUGH, len(others))):
             other = others.pop(int(self._draw() * len(others)))
             self._send(other, AskFor(number=member.number, whom=member.entry))
@@ -188,7 +200,7 @@
         living = [n for n, m in self.members.items() if m.entry.state <= SUSPECT]
         ring = sorted([*living, self.me.name], key=_place)
         at = ring.index(self.me.name)
-        after = ring[at + 1:] + ring[:at]
+        after = ring[at + 1 :] + ring[:at]
         mine = self.me.name.encode()
         far = sorted(after[NEXT:], key=lambda n: _place(n, mine))[:FAR]
         self.neighbours = after[:NEXT] + far
--- a/ospreyline/fleet/publisher.py
+++ b/ospreyline/fleet/publisher.py
@@ -82,8 +82,13 @@
 class Publisher:
     """Tells subscribers of the scopes in `scopes`, which its owner changes. `out`: (subscriber, message)."""
 
-    def __init__(self, scopes: dict[str, Scope], fresh: Callable[[float], float],
-                 complete: Callable[[], Version], doubted: Container[str] = ()) -> None:
+    def __init__(
+        self,
+        scopes: dict[str, Scope],
+        fresh: Callable[[float], float],
+        complete: Callable[[], Version],
+        doubted: Container[str] = (),
+    ) -> None:
         """`fresh` of now: the time as of which `scopes` is the source's state; `complete`: the version up to
         which all is there, NOTHING while that is not known; `doubted`: scopes that are not to be told."""
         self.out: list[tuple[str, Message]] = []
@@ -178,8 +183,17 @@
                 self.out.append((name, Told(session=message.session, edition=0, echo=message.at, full=True)))
                 return
             rate = min(max(message.rate, LEAST_RATE), MOST_RATE)
-            sub = _Subscribed(name, message.session, 0, message.at, now, rate, message.everything,
-                              min(rate * BURST, MOST_BURST), now)
+            sub = _Subscribed(
+                name,
+                message.session,
+                0,
+                message.at,
+                now,
+                rate,
+                message.everything,
+                min(rate * BURST, MOST_BURST),
+                now,
+            )
             self._subscribers[name] = sub
         elif message.session < sub.session or message.edition < sub.edition + (not message.whole):
             return  # guards: what is older than what we know of it
@@ -305,9 +319,22 @@
         known = sub.whole and not again and not sub.odd and fresh > -inf
         epoch, n = self._complete()
         clean = known and not sub.behind and epoch > 0
-        self.out.append((sub.name, Told(
-            session=sub.session, edition=sub.edition, echo=sub.at, age=now - fresh if known else -1.0,
-            own=own, clean=clean, epoch=epoch, n=n, again=again)))
+        self.out.append(
+            (
+                sub.name,
+                Told(
+                    session=sub.session,
+                    edition=sub.edition,
+                    echo=sub.at,
+                    age=now - fresh if known else -1.0,
+                    own=own,
+                    clean=clean,
+                    epoch=epoch,
+                    n=n,
+                    again=again,
+                ),
+            )
+        )
 
     # sending
 
@@ -362,8 +389,18 @@
         for scope, items in by.items():
             epoch, n = self.scopes[scope].version
             for i in range(0, len(items), 256):
-                self._send(now, sub, Change(session=sub.session, scope=scope, epoch=epoch, n=n, drains=True,
-                                            items=items[i:i + 256]))
+                self._send(
+                    now,
+                    sub,
+                    Change(
+                        session=sub.session,
+                        scope=scope,
+                        epoch=epoch,
+                        n=n,
+                        drains=True,
+                        items=items[i : i + 256],
+                    ),
+                )
 
     def _send(self, now: float, sub: _Subscribed, change: Change) -> None:
         change.echo = sub.at
@@ -409,8 +446,19 @@
             cut[-1].append(one)
             room -= size(one)
         sub.parts.extend(
-            Change(session=sub.session, scope=name, epoch=change.epoch, n=change.n, since=change.since,
-                   items=part, digest=change.digest, part=i, parts=len(cut)) for i, part in enumerate(cut))
+            Change(
+                session=sub.session,
+                scope=name,
+                epoch=change.epoch,
+                n=change.n,
+                since=change.since,
+                items=part,
+                digest=change.digest,
+                part=i,
+                parts=len(cut),
+            )
+            for i, part in enumerate(cut)
+        )
 
 
 class Source:
@@ -429,8 +477,9 @@
     def out(self) -> list[tuple[str, Message]]:
         return self.publisher.out
 
-    def put(self, now: float, name: str, changes: Iterable[tuple[str, int, bytes]],
-            told: float = 0.0) -> None:
+    def put(
+        self, now: float, name: str, changes: Iterable[tuple[str, int, bytes]], told: float = 0.0
+    ) -> None:
         """Records become these, as (key, state, body); `told`: ms ago that we heard it."""
         self.n += 1
         scope = self.scopes.setdefault(name, Scope(name))
@@ -483,8 +532,9 @@
     def __init__(self, up: Subscriber) -> None:
         """`up` wants everything of the source."""
         self.up = up
-        self.down = Publisher(up.scopes, lambda now: up.fresh,
-                              lambda: up.complete if not up.refused else NOTHING, up.doubted)
+        self.down = Publisher(
+            up.scopes, lambda now: up.fresh, lambda: up.complete if not up.refused else NOTHING, up.doubted
+        )
         self._swept = 0.0
 
     def take_out(self) -> list[tuple[str, Message]]:
--- a/ospreyline/fleet/subscriber.py
+++ b/ospreyline/fleet/subscriber.py
@@ -93,10 +93,23 @@
 class Subscriber:
     """The scopes of one balancer or fan-out machine. `out` holds (publisher, message) in order."""
 
-    def __init__(self, name: str, start: int, publishers: Iterable[tuple[str, str]],
-                 draw: Callable[[], float], now: float, *, zone: str = "", number: int = 0, count: int = 1,
-                 everything: bool = False, rate: int = BYTES, most_bytes: int = MOST_BYTES,
-                 most_scopes: int = MOST_SCOPES, beat: float = BEAT) -> None:
+    def __init__(
+        self,
+        name: str,
+        start: int,
+        publishers: Iterable[tuple[str, str]],
+        draw: Callable[[], float],
+        now: float,
+        *,
+        zone: str = "",
+        number: int = 0,
+        count: int = 1,
+        everything: bool = False,
+        rate: int = BYTES,
+        most_bytes: int = MOST_BYTES,
+        most_scopes: int = MOST_SCOPES,
+        beat: float = BEAT,
+    ) -> None:
         """`start`: of this process, Unix ms; `publishers`: names and zones; `number` of `count` that
         subscribe; `rate` in bytes a second; `everything`: also scopes that nobody named, with tombstones."""
         self.name = name
@@ -134,7 +147,9 @@
         near = {n for n, z in found if z == zone}
         # the best is of our zone; then those of others come, since a zone is lost as a whole
         self.preferred = sorted(hashed, key=lambda n: n not in near)
-        self.order = self.preferred[:1] + self.preferred[len(near) or 1:] + self.preferred[1:len(near) or 1]
+        self.order = (
+            self.preferred[:1] + self.preferred[len(near) or 1 :] + self.preferred[1 : len(near) or 1]
+        )
         self._at = self._looks = 0
         self._pace = Pace(number, max(1, count), CALLS * max(1, len(self.order)), MUST)
         # guards: as at one list service, each publisher that is gone would cost over two seconds
@@ -245,8 +260,17 @@
                 self.lost(now, session.name)
             elif now >= session.beat_at:
                 session.beat_at = now + self._beat
-                self._say(session.name, Got(session=session.number, edition=self._edition, at=now,
-                                            holds=self._holds, scopes=self._acked(), seen=self.seen))
+                self._say(
+                    session.name,
+                    Got(
+                        session=session.number,
+                        edition=self._edition,
+                        at=now,
+                        holds=self._holds,
+                        scopes=self._acked(),
+                        seen=self.seen,
+                    ),
+                )
         if now >= self._acks_at:
             self._acks_at = inf
             scopes = self._acked()
@@ -254,8 +278,18 @@
             if self._acks:
                 self._acks_at = now
             for session in self._sessions.values():
-                self._say(session.name, Got(session=session.number, edition=self._edition, at=now,
-                                            holds=self._holds, scopes=scopes, answer=False, seen=self.seen))
+                self._say(
+                    session.name,
+                    Got(
+                        session=session.number,
+                        edition=self._edition,
+                        at=now,
+                        holds=self._holds,
+                        scopes=scopes,
+                        answer=False,
+                        seen=self.seen,
+                    ),
+                )
         if not self._current:
             if self.order and now >= self._pace.due:
                 self._pace.called(now)
@@ -283,23 +317,46 @@
             return
         session.named_at = now
         self.named += 1
-        names = sorted(n for n, s in self.scopes.items() if not s.gone) if self.everything \
+        names = (
+            sorted(n for n, s in self.scopes.items() if not s.gone)
+            if self.everything
             else sorted(self._wanted)
-        parts = [names[i:i + NAMES] for i in range(0, len(names), NAMES)] or [[]]
+        )
+        parts = [names[i : i + NAMES] for i in range(0, len(names), NAMES)] or [[]]
         if len(parts) > 1:
             self._edition += len(parts)  # guards: a part of the names that is lost is noticed
         for i, part in enumerate(parts):
-            self._say(session.name, Subscribe(
-                session=session.number, edition=self._edition - len(parts) + 1 + i, at=now, rate=self._rate,
-                scopes=[self._named(n) for n in part], whole=not i, more=i + 1 < len(parts),
-                everything=self.everything, seen=self.seen))
-
-    def _say_wants(self, now: float, scopes: list[Named] | None = None,
-                   drop: list[str] | None = None) -> None:
+            self._say(
+                session.name,
+                Subscribe(
+                    session=session.number,
+                    edition=self._edition - len(parts) + 1 + i,
+                    at=now,
+                    rate=self._rate,
+                    scopes=[self._named(n) for n in part],
+                    whole=not i,
+                    more=i + 1 < len(parts),
+                    everything=self.everything,
+                    seen=self.seen,
+                ),
+            )
+
+    def _say_wants(
+        self, now: float, scopes: list[Named] | None = None, drop: list[str] | None = None
+    ) -> None:
         for session in self._sessions.values():
-            self._say(session.name, Subscribe(session=session.number, edition=self._edition, at=now,
-                                              rate=self._rate, scopes=scopes or [], drop=drop or [],
-                                              seen=self.seen))
+            self._say(
+                session.name,
+                Subscribe(
+                    session=session.number,
+                    edition=self._edition,
+                    at=now,
+                    rate=self._rate,
+                    scopes=scopes or [],
+                    drop=drop or [],
+                    seen=self.seen,
+                ),
+            )
 
     def _say(self, publisher: str, message: Message) -> None:
         self.out.append((publisher, message))
@@ -335,7 +392,7 @@
             self._at = (self._at + 1) % len(self.order)
             trial = self.order[self._at]
         else:
-            better = self.preferred[:self.preferred.index(self._current)] or [self._current]
+            better = self.preferred[: self.preferred.index(self._current)] or [self._current]
             trial = better[self._looks % len(better)]
             self._looks += 1
         if trial == self._current:
@@ -406,10 +463,20 @@
 
     def _change(self, now: float, message: Change) -> None:
         name, version = message.scope, (message.epoch, message.n)
-        if (len(name) > MOST_NAME or not 0 < message.epoch <= MOST_EPOCH or not message.echo <= now
-                or not 0 <= message.part < message.parts <= MOST_PARTS
-                or any(len(i.key) > MOST_NAME or len(i.body) > MOST_BODY or not HERE <= i.state <= GONE
-                       or not i.told >= 0 or i.n > message.n for i in message.items)):
+        if (
+            len(name) > MOST_NAME
+            or not 0 < message.epoch <= MOST_EPOCH
+            or not message.echo <= now
+            or not 0 <= message.part < message.parts <= MOST_PARTS
+            or any(
+                len(i.key) > MOST_NAME
+                or len(i.body) > MOST_BODY
+                or not HERE <= i.state <= GONE
+                or not i.told >= 0
+                or i.n > message.n
+                for i in message.items
+            )
+        ):
             self.ignored += 1
             return
         held = self.scopes.get(name)
@@ -427,8 +494,9 @@
         items = message.items if message.parts == 1 else self._assembled(message, version)
         if items is None:
             return
-        if message.since != NOTHING and (held is None or name in self.doubted or held.gone
-                                         or not self._follows(message, held)):
+        if message.since != NOTHING and (
+            held is None or name in self.doubted or held.gone or not self._follows(message, held)
+        ):
             return  # what we hold is named with the acknowledgement, and the rest comes
         if not message.gone and not self._fits(message, held, items):
             self.refused += 1  # guards: whatever is sent, memory is bounded; what is held stays
@@ -444,7 +512,8 @@
             return True
         # guards: an older version never replaces a newer one, whoever brings it; what is doubted is had anew
         return version > held.version or (
-            version == held.version and since == NOTHING and name in self.doubted)
+            version == held.version and since == NOTHING and name in self.doubted
+        )
 
     def _follows(self, message: Change, held: Scope) -> bool:
         """Whether what changed since a version can be put on what we hold."""
@@ -486,8 +555,9 @@
         if found is not None:
             self._parted -= found.size
 
-    def _take(self, now: float, message: Change, version: Version, held: Scope | None,
-              items: list[Item]) -> None:
+    def _take(
+        self, now: float, message: Change, version: Version, held: Scope | None, items: list[Item]
+    ) -> None:
         name = message.scope
         whole = message.since == NOTHING
         if held is None:
@@ -535,8 +605,15 @@
         self.bytes += held.size - before
         self.news.append(News(name, whole, message.gone, changed))
 
-    def _replace(self, now: float, message: Change, held: Scope, items: list[Item], ahead: dict[str, int],
-                 changed: list[Record]) -> None:
+    def _replace(
+        self,
+        now: float,
+        message: Change,
+        held: Scope,
+        items: list[Item],
+        ahead: dict[str, int],
+        changed: list[Record],
+    ) -> None:
         old = dict(held.records)
         held.clear()
         for one in items:
--- a/ospreyline/fleet/takeover.py
+++ b/ospreyline/fleet/takeover.py
@@ -55,8 +55,22 @@
 class Hand:
     """One visit that others guard for us, or that we ask about."""
 
-    __slots__ = ("ends", "fetch", "free", "id", "kind", "orphan", "registered", "retry_at", "tag", "tries",
-                 "until", "waits", "wide", "work")
+    __slots__ = (
+        "ends",
+        "fetch",
+        "free",
+        "id",
+        "kind",
+        "orphan",
+        "registered",
+        "retry_at",
+        "tag",
+        "tries",
+        "until",
+        "waits",
+        "wide",
+        "work",
+    )
 
     def __init__(self, tag: int, id_: str, kind: Kind, work: Work, ends: float) -> None:
         self.tag, self.id, self.kind, self.work = tag, id_, kind, work
@@ -94,8 +108,17 @@
     - adopt (request, kind, what may have run, ms left): a visit whose owner is dead, and nobody asked for it.
     """
 
-    def __init__(self, name: str, zone: str, start: int, draw: Callable[[], float], wait: float,
-                 keep_for: float, refuses: bool, max_fetches: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        start: int,
+        draw: Callable[[], float],
+        wait: float,
+        keep_for: float,
+        refuses: bool,
+        max_fetches: int,
+    ) -> None:
         """`wait`, `keep_for` in ms; `refuses`: what needs a permit is not taken without cover."""
         self.name, self.zone = name, zone
         self.wait, self.refuses, self.max_fetches = wait, refuses, max_fetches
@@ -145,8 +168,11 @@
     def lost(self, now: float, name: str) -> None:
         """A member is dead, or another process has its place: what it had in hand goes to others, in turn."""
         for id_ in self.guardian.owned(name):
-            guards = [g for g in self.guardian.works[id_].guards
-                      if g == self.name or (g in self.peers and self.peers[g].linked)]
+            guards = [
+                g
+                for g in self.guardian.works[id_].guards
+                if g == self.name or (g in self.peers and self.peers[g].linked)
+            ]
             if self.name in guards:
                 turn = guards.index(self.name)
                 self._orphans.append((now + STEP * (turn + 0.25 * self._draw() * (turn > 0)), id_, name))
@@ -157,8 +183,13 @@
 
     def _able(self, now: float, name: str) -> bool:
         peer = self.peers.get(name)
-        return (peer is not None and peer.linked and peer.session > 0 and now - peer.heard < SILENT
-                and now - peer.asked < max(SILENT, self.wait))
+        return (
+            peer is not None
+            and peer.linked
+            and peer.session > 0
+            and now - peer.heard < SILENT
+            and now - peer.asked < max(SILENT, self.wait)
+        )
 
     # time
 
@@ -216,8 +247,15 @@
             return True
         if id_ in self._by_id:
             return True  # guards: two in hand under one id would speak under one ballot
-        work = Work(id_, self.name, names, {n: self.peers[n].session for n in able}, body, left,
-                    again=kind is not Kind.MUTATING)
+        work = Work(
+            id_,
+            self.name,
+            names,
+            {n: self.peers[n].session for n in able},
+            body,
+            left,
+            again=kind is not Kind.MUTATING,
+        )
         hand = self._hand(tag, id_, kind, work, now + left)
         hand.free = max(0, self.max_fetches - 1) if kind is Kind.READ_LIKE else 0
         return True
@@ -349,12 +387,22 @@
         else:
             self._claim(now, tag, id_, kind, body, left, (0, ""))
 
-    def _claim(self, now: float, tag: int, id_: str, kind: Kind, body: bytes, left: float,
-               above: tuple[int, str], orphan: bool = False) -> None:
+    def _claim(
+        self,
+        now: float,
+        tag: int,
+        id_: str,
+        kind: Kind,
+        body: bytes,
+        left: float,
+        above: tuple[int, str],
+        orphan: bool = False,
+    ) -> None:
         names = guardians(id_, self._guards)
         sessions = {n: p.session for n, p in self.peers.items() if p.session}
-        work = Work(id_, self.name, names, sessions, body, left, again=kind is not Kind.MUTATING,
-                    anew=not orphan)
+        work = Work(
+            id_, self.name, names, sessions, body, left, again=kind is not Kind.MUTATING, anew=not orphan
+        )
         hand = self._hand(tag, id_, kind, work, now + left)
         hand.registered, hand.orphan = True, orphan
         self._wait(now, hand, "claim", CLAIM_WAITS * self.wait)
--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -276,9 +276,7 @@
 
     def _take(self, ask: Ask) -> None:
         now = self.world.now
-        ask.handle = self.policy.take(
-            now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat
-        )
+        ask.handle = self.policy.take(now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat)
         if ask.gone:
             ask.handle.left(now)
         self._tidy(ask)
--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -77,8 +77,10 @@
         self._random = Random(f"{shape} {balancers} {budget} {seed}")
         self._zones = 3 if shape == "uneven" else 1
         self._rate = budget / FACTOR / WINDOW  # of one server, visits a ms
-        self._lines = [Listed(i, i * 7919 + 13 + seed * 104_729, i % self._zones, 0, Readiness.READY, 0.0)
-                       for i in range(SERVERS)]
+        self._lines = [
+            Listed(i, i * 7919 + 13 + seed * 104_729, i % self._zones, 0, Readiness.READY, 0.0)
+            for i in range(SERVERS)
+        ]
         self._homes = [0 if not i or self._random.random() < 0.7 else 1 for i in range(balancers)]
         draw = self._random.lognormvariate
         self.weights = [draw(0.0, 0.8) if shape == "skewed" else 1.0 for _ in range(balancers)]
@@ -98,8 +100,17 @@
 
     def _started(self, i: int, now: float) -> Balancer:
         zone = self._homes[i] if self._zones > 1 else 0
-        terms = Deployment(zone, self._zones, self._count, i, (PREFIX,), cold_from=1.0, warm_within=60_000.0,
-                           overload_factor=FACTOR, tip_after=WINDOW)
+        terms = Deployment(
+            zone,
+            self._zones,
+            self._count,
+            i,
+            (PREFIX,),
+            cold_from=1.0,
+            warm_within=60_000.0,
+            overload_factor=FACTOR,
+            tip_after=WINDOW,
+        )
         balancer = Balancer(_Host(), terms, self._seed * 100_003 + i, now)
         balancer.told_all(now, self._lines)
         if self._without == "half":
@@ -229,10 +240,12 @@
         windows = max(1, sum(draw.windows for draw in self.draws))
         over, most = sum(draw.over for draw in self.draws), max(draw.most for draw in self.draws)
         used = sum(draw.used for draw in self.draws) / len(self.draws)
-        return (f"{self.shape:8} {self.balancers:5} {self.budget:5g} {over / windows:9.4%} "
-                f"{self.broken / windows:9.4%} {sum(draw.broken > 0 for draw in self.draws):4} of "
-                f"{len(self.draws):3} {most / self.budget:6.2f} {used:6.2f}  "
-                + (f"without {self.without}" if self.without else "whole rule"))
+        return (
+            f"{self.shape:8} {self.balancers:5} {self.budget:5g} {over / windows:9.4%} "
+            f"{self.broken / windows:9.4%} {sum(draw.broken > 0 for draw in self.draws):4} of "
+            f"{len(self.draws):3} {most / self.budget:6.2f} {used:6.2f}  "
+            + (f"without {self.without}" if self.without else "whole rule")
+        )
 
 
 HEADER = f"{'shape':8} {'bank':>5} {'N':>5} {'over':>9} {'broken':>9} {'draws':>11} {'most/N':>6} {'used':>6}"
--- a/ospreyline/lab/command.py
+++ b/ospreyline/lab/command.py
@@ -19,8 +19,13 @@
 from ospreyline.lab.words import ScenarioError
 
 FIGURE = click.option(
-    "--figure", "figures", multiple=True, default=("net_gain",), show_default=True,
-    help="Of the summary, by dotted path.")
+    "--figure",
+    "figures",
+    multiple=True,
+    default=("net_gain",),
+    show_default=True,
+    help="Of the summary, by dotted path.",
+)
 FOLDER = click.Path(file_okay=False, path_type=Path)
 ARM = click.option("--arm", "arms", multiple=True, help=f"What is played: {HELP}. Default: ours.")
 SET = click.option(
@@ -345,9 +350,13 @@
         raise ScenarioError(f"--sizes: {sizes!r} are no whole numbers over 3")
     if not 0 <= loss < 1 or not seconds > 0:
         raise ScenarioError("--loss is a share under 1, --seconds is over 0")
-    click.echo(f"{'bank':>6} {'messages/s':>10} {'bytes/s':>8} {'wrong':>6} {'noticed':>8} {'median s':>9} "
-               f"{'99% s':>7}")
+    click.echo(
+        f"{'bank':>6} {'messages/s':>10} {'bytes/s':>8} {'wrong':>6} {'noticed':>8} {'median s':>9} "
+        f"{'99% s':>7}"
+    )
     for word in sizes.split(","):
         m = measured(int(word), seed, loss, seconds)
-        click.echo(f"{m['count']:6} {m['messages_s']:10.1f} {m['bytes_s']:8.0f} {m['wrong']:6} "
-                   f"{m['noticed']:8.1%} {m['median_s']:9.2f} {m['p99_s']:7.2f}")
+        click.echo(
+            f"{m['count']:6} {m['messages_s']:10.1f} {m['bytes_s']:8.0f} {m['wrong']:6} "
+            f"{m['noticed']:8.1%} {m['median_s']:9.2f} {m['p99_s']:7.2f}"
+        )
--- a/ospreyline/lab/mesh.py
+++ b/ospreyline/lab/mesh.py
@@ -67,8 +67,9 @@
 class Mesh:
     """A bank of members and the network between them."""
 
-    def __init__(self, count: int, seed: int = 1, loss: float = 0.0, seeds: int = 3,
-                 start: bool = True) -> None:
+    def __init__(
+        self, count: int, seed: int = 1, loss: float = 0.0, seeds: int = 3, start: bool = True
+    ) -> None:
         self.world = World()
         self.streams = Streams(seed)
         self._draw = self.streams.uniform("network")
@@ -157,7 +158,8 @@
             for name, used in list(node.used.items()):
                 peer = self.nodes.get(name)
                 wanted = name in node.members.neighbours or (
-                    peer is not None and node.name in peer.members.neighbours)
+                    peer is not None and node.name in peer.members.neighbours
+                )
                 if not wanted and self.world.now - used > IDLE:
                     node.used.pop(name, None)
                     node.members.linked.discard(name)
@@ -168,8 +170,12 @@
     def knows(self) -> tuple[int, int]:
         """Of pairs of members that are up, how many know each other as alive, and how many there are."""
         up = [n for n in self.nodes.values() if n.up]
-        known = sum(1 for n in up for o in up if n is not o and o.name in n.members.members
-                    and n.members.members[o.name].entry.state == ALIVE)
+        known = sum(
+            1
+            for n in up
+            for o in up
+            if n is not o and o.name in n.members.members and n.members.members[o.name].entry.state == ALIVE
+        )
         return known, len(up) * (len(up) - 1)
 
     def deaths(self, of: str, since: float) -> list[float]:
@@ -202,9 +208,12 @@
         noticed += len(found)
     times.sort()
     return {
-        "count": count, "known": known / max(1, pairs),
+        "count": count,
+        "known": known / max(1, pairs),
         "messages_s": sum(b[0] - a[0] for a, b in zip(before, after, strict=True)) / count / seconds,
         "bytes_s": sum(b[1] - a[1] for a, b in zip(before, after, strict=True)) / count / seconds,
-        "wrong": wrong, "median_s": times[len(times) // 2] / 1e3 if times else None,
+        "wrong": wrong,
+        "median_s": times[len(times) // 2] / 1e3 if times else None,
         "p99_s": times[int(0.99 * (len(times) - 1))] / 1e3 if times else None,
-        "noticed": noticed / max(1, sum(count - 1 - i for i in range(dead)))}
+        "noticed": noticed / max(1, sum(count - 1 - i for i in range(dead))),
+    }
--- a/ospreyline/lab/placing.py
+++ b/ospreyline/lab/placing.py
@@ -52,12 +52,17 @@
 def lost(placed: Numbers, gone: Numbers) -> dict[str, float]:
     """What services lose when these balancers go: how many are touched, the most of one, and so on."""
     share = gone[placed].mean(axis=1)
-    return {"touched": int((share > 0).sum()), "most_lost": float(share.max()),
-            "half_lost": int((share >= 0.5).sum()), "without": int((share == 1.0).sum())}
+    return {
+        "touched": int((share > 0).sum()),
+        "most_lost": float(share.max()),
+        "half_lost": int((share >= 0.5).sum()),
+        "without": int((share == 1.0).sum()),
+    }
 
 
-def on_demand(services: int, upstreams: int, working_set: int, per_s: float, seed: int,
-              requests: int = 200_000) -> dict[str, float]:
+def on_demand(
+    services: int, upstreams: int, working_set: int, per_s: float, seed: int, requests: int = 200_000
+) -> dict[str, float]:
     """A balancer that is asked for any service (Zipf, exponent 1) and keeps the least recently used out."""
     draw = np.random.default_rng(seed)
     weights = 1.0 / np.arange(1, services + 1)
@@ -76,8 +81,11 @@
             missed += 1
             fetched += int(size[one]) + ROUTES
     seconds = (requests - requests // 2) / per_s
-    return {"missed": missed / (requests - requests // 2), "fetches_a_second": missed / seconds,
-            "bytes_a_second": RECORD * fetched / seconds}
+    return {
+        "missed": missed / (requests - requests // 2),
+        "fetches_a_second": missed / seconds,
+        "bytes_a_second": RECORD * fetched / seconds,
+    }
 
 
 @click.command()
@@ -88,39 +96,56 @@
 @click.option("--upstreams", default=200_000, show_default=True)
 @click.option("--per-s", default=1_200_000.0, show_default=True, help="Requests a second, all together.")
 @click.option("--seed", default=1, show_default=True)
-def command(balancers: int, zones: int, rack: int, services: int, upstreams: int, per_s: float,
-            seed: int) -> None:
+def command(
+    balancers: int, zones: int, rack: int, services: int, upstreams: int, per_s: float, seed: int
+) -> None:
     """Print the options' figures."""
     each = per_s / balancers
     size = np.array(sizes(services, upstreams, seed)) + ROUTES
     click.echo(f"on demand, {each:.0f} requests a second and balancer, Zipf 1:")
     for working_set in (25, 100, 400, 1_600):
         one = on_demand(services, upstreams, working_set, each, seed)
-        click.echo(f"  {working_set:5} scopes held: {100 * one['missed']:5.1f}% of requests wait for one, "
-                   f"{one['fetches_a_second']:6.1f} fetches/s, {one['bytes_a_second'] / 1e3:8.1f} kB/s")
+        click.echo(
+            f"  {working_set:5} scopes held: {100 * one['missed']:5.1f}% of requests wait for one, "
+            f"{one['fetches_a_second']:6.1f} fetches/s, {one['bytes_a_second'] / 1e3:8.1f} kB/s"
+        )
     demand = per_s / np.arange(1, services + 1) / (1.0 / np.arange(1, services + 1)).sum()
     wanted = np.maximum(12, np.ceil(2 * demand / each))
-    click.echo(f"by demand, twice what it needs and 12 at the least: {wanted.sum() / balancers:.1f} scopes a "
-               f"balancer; the largest service has {wanted.max():.0f} balancers")
+    click.echo(
+        f"by demand, twice what it needs and 12 at the least: {wanted.sum() / balancers:.1f} scopes a "
+        f"balancer; the largest service has {wanted.max():.0f} balancers"
+    )
     where = np.arange(balancers) % zones
     racks = np.arange(balancers) // zones // max(1, rack)  # balancers of a zone, one rack after the other
     racks = where * 1_000 + racks
-    for name, per, apart in (("rendezvous, 12", 12, False), ("rendezvous, 12, zones apart", 12, True),
-                             ("rendezvous, 24, zones apart", 24, True)):
+    for name, per, apart in (
+        ("rendezvous, 12", 12, False),
+        ("rendezvous, 12, zones apart", 12, True),
+        ("rendezvous, 24, zones apart", 24, True),
+    ):
         placed = rendezvous(services, where, per, apart)
         held = np.bincount(placed.ravel(), minlength=balancers)
         records = np.bincount(placed.ravel(), weights=np.repeat(size, per), minlength=balancers)
-        click.echo(f"{name}: {held.mean():.1f} scopes a balancer ({held.max()} at the most), "
-                   f"{records.mean():.0f} records ({records.max():.0f}), "
-                   f"{RECORD * records.max() / 1e3:.0f} kB at the most")
+        click.echo(
+            f"{name}: {held.mean():.1f} scopes a balancer ({held.max()} at the most), "
+            f"{records.mean():.0f} records ({records.max():.0f}), "
+            f"{RECORD * records.max() / 1e3:.0f} kB at the most"
+        )
         rng = np.random.default_rng(seed)
-        cases = {"a balancer": np.arange(balancers) == 7, "a rack": racks == racks[7], "a zone": where == 3,
-                 "a region": where % 12 == 3, "a third, drawn": rng.random(balancers) < 1 / 3}
+        cases = {
+            "a balancer": np.arange(balancers) == 7,
+            "a rack": racks == racks[7],
+            "a zone": where == 3,
+            "a region": where % 12 == 3,
+            "a third, drawn": rng.random(balancers) < 1 / 3,
+        }
         for what, gone in cases.items():
             one = lost(placed, gone)
-            click.echo(f"  {what:14} ({int(gone.sum())}): {one['touched']} services touched, at most "
-                       f"{100 * one['most_lost']:.0f}% of one's balancers, {one['half_lost']} lost half, "
-                       f"{one['without']} have none")
+            click.echo(
+                f"  {what:14} ({int(gone.sum())}): {one['touched']} services touched, at most "
+                f"{100 * one['most_lost']:.0f}% of one's balancers, {one['half_lost']} lost half, "
+                f"{one['without']} have none"
+            )
         # who serves a service that sends poison: how many others share at least half of its balancers
         sets = [set(row) for row in placed[:2_000].tolist()]
         worst = max(len(sets[0] & other) for other in sets[1:])
--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -76,9 +76,17 @@
         self.records = Records(self.world, scenario, self.folder, self.servers, visits)
         self.watching = Both(self.referee, self.records)
         chance = scenario.chance
-        self.script = Script(self, scenario.faults + drawn(
-            chance, chance.kinds or sorted(RANGES), scenario.day.seconds, scenario.zones.names,
-            self.streams.generator("chance")))
+        self.script = Script(
+            self,
+            scenario.faults
+            + drawn(
+                chance,
+                chance.kinds or sorted(RANGES),
+                scenario.day.seconds,
+                scenario.zones.names,
+                self.streams.generator("chance"),
+            ),
+        )
         for group in scenario.servers:
             for _ in range(group.count):
                 zone = (
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -118,17 +118,29 @@
     all_s: float  # infinite if one never had the list
 
     def line(self) -> str:
-        return (f"{self.count:6} {'paced' if self.paced else 'today':>6} {self.calls_each:6.2f} "
-                f"{self.calls_while_down:10.2f} {self.refused:8} {self.longest_queue:6} "
-                f"{self.busiest_100_ms:8} {self.half_s:7.2f} {self.all_s:7.2f}")
-
-
-HEADER = (f"{'bank':>6} {'text':>6} {'calls':>6} {'while down':>10} {'refused':>8} {'queue':>6} "
-          f"{'100 ms':>8} {'half s':>7} {'all s':>7}")
-
-
-def opening(count: int, calls_per_s: float, paced: bool, down_s: float = 0.0, boot_s: float = 2.0,
-            queue: int = 50, must_ask_s: float = 10.0, seed: int = 1) -> Opening:
+        return (
+            f"{self.count:6} {'paced' if self.paced else 'today':>6} {self.calls_each:6.2f} "
+            f"{self.calls_while_down:10.2f} {self.refused:8} {self.longest_queue:6} "
+            f"{self.busiest_100_ms:8} {self.half_s:7.2f} {self.all_s:7.2f}"
+        )
+
+
+HEADER = (
+    f"{'bank':>6} {'text':>6} {'calls':>6} {'while down':>10} {'refused':>8} {'queue':>6} "
+    f"{'100 ms':>8} {'half s':>7} {'all s':>7}"
+)
+
+
+def opening(
+    count: int,
+    calls_per_s: float,
+    paced: bool,
+    down_s: float = 0.0,
+    boot_s: float = 2.0,
+    queue: int = 50,
+    must_ask_s: float = 10.0,
+    seed: int = 1,
+) -> Opening:
     """Start `count` balancers at once against a service that does so many calls a second."""
     until = 1e3 * (down_s + 30.0 + 4 * count / calls_per_s)
     bank = _Bank(calls_per_s, queue, 1e3 * down_s, paced, until)
@@ -146,6 +158,14 @@
     listed = sorted(s.listed_at for s in starters)
     times = bank.times
     busiest = max((bisect_left(times, at + 100.0) - i for i, at in enumerate(times)), default=0)
-    return Opening(count, paced, len(times) / count, sum(t < 1e3 * down_s for t in times) / count,
-                   bank.turns.refused, bank.turns.longest, busiest, listed[(count - 1) // 2] / 1e3,
-                   listed[-1] / 1e3)
+    return Opening(
+        count,
+        paced,
+        len(times) / count,
+        sum(t < 1e3 * down_s for t in times) / count,
+        bank.turns.refused,
+        bank.turns.longest,
+        busiest,
+        listed[(count - 1) // 2] / 1e3,
+        listed[-1] / 1e3,
+    )
--- a/ospreyline/lab/words.py
+++ b/ospreyline/lab/words.py
@@ -101,21 +101,35 @@
 }
 
 
-def drawn(chance: Chance, kinds: Sequence[str], seconds: float, zones: Sequence[str],
-          generator: np.random.Generator) -> list[Fault]:
+def drawn(
+    chance: Chance, kinds: Sequence[str], seconds: float, zones: Sequence[str], generator: np.random.Generator
+) -> list[Fault]:
     """Faults of one day of so many s, from the ranges above; the same generator gives the same day."""
     out = []
     for _ in range(chance.count):
         kind = kinds[int(generator.integers(len(kinds)))]
         hardness = [float(generator.random()) * (1 - chance.mildness) for _ in range(4)]
         for_s, part, size, extra = (
-            low + h * (high - low) for h, (low, high) in zip(hardness, RANGES[kind], strict=True))
+            low + h * (high - low) for h, (low, high) in zip(hardness, RANGES[kind], strict=True)
+        )
         for_s = min(for_s, 0.7 * seconds)
         at_s = 0.1 * seconds + float(generator.random()) * max(0.0, 0.8 * seconds - for_s)
         zone = zones[int(generator.integers(len(zones)))]
         silent = bool(generator.random() < 0.5) and kind in ("zone-loss", "crash")
-        out.append(Fault(kind, round(at_s, 2), round(for_s, 2), round(part, 3), zone, "", round(size, 3),
-                         round(extra, 3), "", silent))
+        out.append(
+            Fault(
+                kind,
+                round(at_s, 2),
+                round(for_s, 2),
+                round(part, 3),
+                zone,
+                "",
+                round(size, 3),
+                round(extra, 3),
+                "",
+                silent,
+            )
+        )
     return out
 
 
@@ -125,8 +139,9 @@
     return f", {near[0]!r}?" if near else ""
 
 
-def problems(faults: Sequence[Fault], kinds: Mapping[str, str], zones: Sequence[str],
-             prefixes: Sequence[str]) -> Iterator[tuple[str, str]]:
+def problems(
+    faults: Sequence[Fault], kinds: Mapping[str, str], zones: Sequence[str], prefixes: Sequence[str]
+) -> Iterator[tuple[str, str]]:
     """Key and problem of each fault that cannot be carried out."""
     for i, fault in enumerate(faults):
         at = f"faults[{i}]"
--- a/ospreyline/lease.py
+++ b/ospreyline/lease.py
@@ -114,8 +114,17 @@
     call: int
 
 
-LeaseMessage = (CallBegan | UpdateArriving | NothingArrived | UpdateRead | FormerServiceRead | EndedInForm
-                | UpdateLost | CallSilent | ConnectionRefused)
+LeaseMessage = (
+    CallBegan
+    | UpdateArriving
+    | NothingArrived
+    | UpdateRead
+    | FormerServiceRead
+    | EndedInForm
+    | UpdateLost
+    | CallSilent
+    | ConnectionRefused
+)
 
 
 @dataclass(slots=True)
@@ -144,8 +153,18 @@
 class ListLease:
     """The lease of one balancer on its list."""
 
-    __slots__ = ("_arriving", "_first_call_failed", "_grace", "_latest_call", "_longest", "_losses",
-                 "_never_told_since", "_proven_at", "_pushed", "expires")
+    __slots__ = (
+        "_arriving",
+        "_first_call_failed",
+        "_grace",
+        "_latest_call",
+        "_longest",
+        "_losses",
+        "_never_told_since",
+        "_proven_at",
+        "_pushed",
+        "expires",
+    )
 
     def __init__(self) -> None:
         self.expires = inf  # ms; from then on `withholds` has more to ask
@@ -191,7 +210,8 @@
             return Withheld.NEVER_TOLD
         arriving = self._arriving.values()
         if self._over(now, self._losses.first, self._losses.last) or (
-                arriving and self._over(now, min(arriving), max(arriving))):
+            arriving and self._over(now, min(arriving), max(arriving))
+        ):
             return Withheld.UPDATE_LOST
         told_at = self._proven_at + TOLD_AT_LAST
         if self._over(now, told_at, told_at):
--- a/ospreyline/net/clients.py
+++ b/ospreyline/net/clients.py
@@ -35,8 +35,17 @@
 OWN_FIELDS = HOP_BY_HOP | {b"expect", b"x-expires-in"}
 OWN_PATHS = (b"/health/ready", b"/health/live")
 OWN = -1  # in place of a path prefix: answered by the balancer itself
-ONCE_FIELDS = frozenset((b"x-trace-id", b"x-qos", b"idempotency-key", b"x-expires-in", b"content-length",
-                         b"transfer-encoding", b"host"))
+ONCE_FIELDS = frozenset(
+    (
+        b"x-trace-id",
+        b"x-qos",
+        b"idempotency-key",
+        b"x-expires-in",
+        b"content-length",
+        b"transfer-encoding",
+        b"host",
+    )
+)
 LAST_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv of the system's `struct tcp_info`
 ID = re.compile(rb"[!-~]{1,128}")  # of a request
 
@@ -85,8 +94,13 @@
 def response(status: int, fields: bytes, body: bytes, close: bool, head_only: bool = False) -> bytes:
     framing = b"" if status in (204, 304) else b"Content-Length: %d\r\n" % len(body)
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b" % (
-        status, HTTPStatus(status).phrase.encode(), fields, framing,
-        b"Connection: close\r\n" if close else b"", b"" if head_only else body)
+        status,
+        HTTPStatus(status).phrase.encode(),
+        fields,
+        framing,
+        b"Connection: close\r\n" if close else b"",
+        b"" if head_only else body,
+    )
 
 
 class Client(asyncio.Protocol):
@@ -204,8 +218,11 @@
             raise BadRequest(501)
         if int(named.get(b"content-length", b"0")) > MOST_BODY:
             raise BadRequest(413)
-        if named.get(b"expect", b"").lower() == b"100-continue" and self.transport is not None \
-                and self.out is None:
+        if (
+            named.get(b"expect", b"").lower() == b"100-continue"
+            and self.transport is not None
+            and self.out is None
+        ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
@@ -252,7 +269,8 @@
         # tagged visit is known by its key alone
         trace = own.get(b"x-trace-id", b"")
         if not ID.fullmatch(trace) or (
-                prefix in self.clients.door.tagged and not own.get(b"idempotency-key")):
+            prefix in self.clients.door.tagged and not own.get(b"idempotency-key")
+        ):
             raise BadRequest(400)
         left: float | None = None
         if (text := own.get(b"x-expires-in")) is not None:
@@ -343,8 +361,11 @@
     def holding(self) -> bool:
         """Whether a part of what was written is not with its client's machine."""
         transport = self.transport
-        return transport is not None and not transport.is_closing() and bool(
-            transport.get_write_buffer_size() or unacknowledged(transport))
+        return (
+            transport is not None
+            and not transport.is_closing()
+            and bool(transport.get_write_buffer_size() or unacknowledged(transport))
+        )
 
     def unread(self) -> bool:
         """Whether a request, or a part of one, may lie in its socket."""
@@ -362,7 +383,8 @@
             return 0.0
         try:
             told = self.transport.get_extra_info("socket").getsockopt(
-                socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.size)
+                socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.size
+            )
             return float(LAST_RECEIVED.unpack(told)[0])
         except (OSError, struct.error):
             return 0.0  # guards: a system that does not tell it, or tells less
@@ -402,8 +424,9 @@
 class Clients:
     """The listening socket and the connections accepted."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, door: Door, most_open: int,
-                 events: EventLog | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, door: Door, most_open: int, events: EventLog | None = None
+    ) -> None:
         self.loop = loop
         self.events = events
         self.door = door
@@ -473,8 +496,9 @@
         # guards: the request of one that was accepted just now may wait to be read
         now = self.loop.time()
         spare = [(rank, c) for c in self.open if (rank := c.spare()) >= 0]
-        found = [(-rank, c.since, c) for rank, c in spare
-                 if now - c.since > (silent_for if rank == 1 else SETTLED)]
+        found = [
+            (-rank, c.since, c) for rank, c in spare if now - c.since > (silent_for if rank == 1 else SETTLED)
+        ]
         silent = self._coming + sum(rank == 1 for rank, _ in spare)
         found.sort(key=lambda entry: entry[:2])
         # guards: after a late pass the listener may be read before a request that has come to one of them
@@ -560,5 +584,11 @@
         # guards: the request of one that was accepted just now may wait to be read, or be under way: one that
         # was answered may be closed between requests, but the first on a connection is owed an answer
         now = self.loop.time()
-        return [c for c in self.open if c.idle() and now - c.since > (SETTLED if c.asked else FIRST)
-                and c.transport is not None and not unread(c.transport, select.POLLIN)]
+        return [
+            c
+            for c in self.open
+            if c.idle()
+            and now - c.since > (SETTLED if c.asked else FIRST)
+            and c.transport is not None
+            and not unread(c.transport, select.POLLIN)
+        ]
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/covering.py
@@ -41,10 +41,19 @@
 class Covering:
     """The turn's side of takeover."""
 
-    def __init__(self, turn: Turn, on: On, name: str, zone: str, start: int, seed: int,
-                 max_fetches: int) -> None:
-        self.takeover = Takeover(name, zone, start, Random(seed + 3).random, on.wait_ms, 1e3 * on.keep_s,
-                                 on.uncovered == "refuse", max_fetches)
+    def __init__(
+        self, turn: Turn, on: On, name: str, zone: str, start: int, seed: int, max_fetches: int
+    ) -> None:
+        self.takeover = Takeover(
+            name,
+            zone,
+            start,
+            Random(seed + 3).random,
+            on.wait_ms,
+            1e3 * on.keep_s,
+            on.uncovered == "refuse",
+            max_fetches,
+        )
         self._turn = turn
         # by tag: what is done when the word comes
         self._waiting: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
@@ -56,9 +65,16 @@
         return f"{self._turn.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
 
     def _told(self, request: Request, kind: Kind) -> bytes:
-        return _LETTERS[kind] + _ENCODER.encode(Told(
-            request.method, request.path, request.fields, request.body,
-            self._turn.prefix_name(request.prefix), request.trace))
+        return _LETTERS[kind] + _ENCODER.encode(
+            Told(
+                request.method,
+                request.path,
+                request.fields,
+                request.body,
+                self._turn.prefix_name(request.prefix),
+                request.trace,
+            )
+        )
 
     def joins(self, request: Request, client: Client) -> bool:
         """A client asks again for a visit that we have in hand ourselves: it is joined to it."""
@@ -92,8 +108,9 @@
         if not taken.answered and not taken.errands:
             self.takeover.held(now, taken.tag)
 
-    def may_write(self, now: float, taken: Taken, number: int, upstream: int, times: int,
-                  until: float) -> bool:
+    def may_write(
+        self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
+    ) -> bool:
         """Whether a fetch may be written now; else it is when its permit comes."""
         zone, cell = self._turn.place(upstream)
         if self.takeover.send(now, taken.tag, number, zone, cell, now <= self._turn.stood_to):
@@ -123,8 +140,9 @@
     def may_tell(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
         """A visit is delivered: its answer is kept for who asks again; whether its client is told now."""
         _, status, head, body = reply
-        at_once = self.takeover.answered(now, taken.tag, _ENCODER.encode((status, head, body)),
-                                         now <= self._turn.stood_to)
+        at_once = self.takeover.answered(
+            now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._turn.stood_to
+        )
         if not at_once:
             self._waiting[taken.tag] = (self._turn.reply, reply)
         self._speak()
--- a/ospreyline/net/discovery.py
+++ b/ospreyline/net/discovery.py
@@ -51,9 +51,16 @@
 class Discovery:
     """Calls to discovery: at most one watch, and calls for the whole list."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, at: tuple[str, int], rev: int, log: Log,
-                 tell: Callable[[News], None], tell_failed: Callable[[CallFailure], None],
-                 tell_lease: Callable[[LeaseMessage], None] = lambda message: None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        at: tuple[str, int],
+        rev: int,
+        log: Log,
+        tell: Callable[[News], None],
+        tell_failed: Callable[[CallFailure], None],
+        tell_lease: Callable[[LeaseMessage], None] = lambda message: None,
+    ) -> None:
         self.loop = loop
         self.at = at
         self.rev = rev
@@ -137,8 +144,13 @@
         call = ListCall(self, self.begun, self.at, self.rev, watching)
         self._tell_lease(CallBegan(call.number))
         self._calls[call] = self.loop.create_task(self._open(call))
-        self.log.info("list call begins", call=call.number, watch=watching, after=call.after,
-                      beside=len(self._calls) - 1)
+        self.log.info(
+            "list call begins",
+            call=call.number,
+            watch=watching,
+            after=call.after,
+            beside=len(self._calls) - 1,
+        )
         return call
 
     async def _open(self, call: ListCall) -> None:
@@ -180,17 +192,27 @@
 
     def _covered(self) -> bool:
         """Whether a watch stands that has spoken."""
-        return any(call is not None and call in self._calls and call.spoken
-                   for call in (self._watch, self._replaced, self._former))
+        return any(
+            call is not None and call in self._calls and call.spoken
+            for call in (self._watch, self._replaced, self._former)
+        )
 
     def _drop(self, call: ListCall) -> None:
         """A call is over, or we end it: then nothing more is asked on it, and it is read on."""
         task = self._calls.pop(call, None)
         if task is None:
             return
-        self.log.info("list call ended", call=call.number, watch=call.watching, why=call.why,
-                      connected=call.transport is not None, bytes=call.bytes, objects=call.objects,
-                      unfinished=call.unfinished(), ms=round(1e3 * (self.loop.time() - call.since)))
+        self.log.info(
+            "list call ended",
+            call=call.number,
+            watch=call.watching,
+            why=call.why,
+            connected=call.transport is not None,
+            bytes=call.bytes,
+            objects=call.objects,
+            unfinished=call.unfinished(),
+            ms=round(1e3 * (self.loop.time() - call.since)),
+        )
         if call.over or call.transport is None:
             task.cancel()
             call.abort()
@@ -218,8 +240,14 @@
         """A call that we had ended, and read on, is over."""
         self._left.remove(call)
         call.abort()
-        self.log.info("list call read to its end", call=call.number, why=call.why, bytes=call.bytes,
-                      objects=call.objects, unfinished=call.unfinished())
+        self.log.info(
+            "list call read to its end",
+            call=call.number,
+            why=call.why,
+            bytes=call.bytes,
+            objects=call.objects,
+            unfinished=call.unfinished(),
+        )
         if self._lost(call):
             self._tell_failed(CallFailure(lost=True, seen=True))
         elif call.end.in_form:
--- a/ospreyline/net/list_call.py
+++ b/ospreyline/net/list_call.py
@@ -110,8 +110,10 @@
             return
         query = f"?watch=1&after={self.after}" if self.watching else ""
         host, port = self.at
-        self.transport.write(f"GET /registry/instances{query} HTTP/1.1\r\nHost: {host}:{port}\r\n"
-                             "Accept: application/json\r\n\r\n".encode())
+        self.transport.write(
+            f"GET /registry/instances{query} HTTP/1.1\r\nHost: {host}:{port}\r\n"
+            "Accept: application/json\r\n\r\n".encode()
+        )
 
     def silent(self, now: float) -> bool:
         """Whether it has told nothing for too long. Of a watch bytes are nothing: half a line may stay so."""
@@ -122,8 +124,11 @@
 
     def unread(self) -> bool:
         """Whether something lies in its socket that the loop has not read yet."""
-        return (self.transport is not None and not self.transport.is_closing()
-                and unread(self.transport, select.POLLIN))
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and unread(self.transport, select.POLLIN)
+        )
 
     def leave(self) -> bool:
         """Ask for nothing more, and read on; False if there is no connection to read.
@@ -291,8 +296,9 @@
             self._object, self._brackets, self._size, self.was_arriving = [], 0, 0, False
             self.heard = self.owner.loop.time()
             self.objects += 1
-            self.owner.log.info("list received", call=self.number, rev=news.rev, whole=news.whole,
-                                entries=len(news.targets))
+            self.owner.log.info(
+                "list received", call=self.number, rev=news.rev, whole=news.whole, entries=len(news.targets)
+            )
             self.owner.told(self, news)
         else:
             # guards: a lost change would be news never told; asking again brings it
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -57,8 +57,9 @@
         self._tidy()
         if self.turn.bank is not None:
             self._fleet = self._loop.create_task(self.turn.bank.start())
-        self._log.info("serving", name=self._post.name, listen=f"{self.at[0]}:{self.at[1]}",
-                       sockets=self._post.sockets)
+        self._log.info(
+            "serving", name=self._post.name, listen=f"{self.at[0]}:{self.at[1]}", sockets=self._post.sockets
+        )
 
     def reload(self, reread: Callable[[], tuple[Post, Operator | None]]) -> None:
         """The files may be new: settings, discovery and what SIGHUP applies hold from now on."""
@@ -78,8 +79,13 @@
             self._log.warning("changes that need a restart", keys=restart)
         moved = new.discovery != self.turn.discovery.at
         # what needs a restart stays as it is
-        new = replace(new, name=self._post.name, listen=self._post.listen, sockets=self._post.sockets,
-                      memory=self._post.memory)
+        new = replace(
+            new,
+            name=self._post.name,
+            listen=self._post.listen,
+            sockets=self._post.sockets,
+            memory=self._post.memory,
+        )
         settings = any(getattr(self._post, key) != getattr(new, key) for key in SETTINGS)
         if settings:
             self.turn.adopt(new)
@@ -143,10 +149,16 @@
             cuts = statistics.quantiles(times, n=100, method="inclusive")
             figures = {f"p{n}_ms": round(cuts[n - 1], 1) for n in (50, 90, 99)}
         self._log.info(
-            "counts", open_visits=len(turn.visits), clients=len(self.clients.open),
-            connections=len(turn.upstreams.open), lag_ms=round(turn.lag, 1), **figures,
-            **dict(sorted(turn.counts.items())), **(turn.bank.counts() if turn.bank is not None else {}),
-            **(turn.covering.counts() if turn.covering is not None else {}))
+            "counts",
+            open_visits=len(turn.visits),
+            clients=len(self.clients.open),
+            connections=len(turn.upstreams.open),
+            lag_ms=round(turn.lag, 1),
+            **figures,
+            **dict(sorted(turn.counts.items())),
+            **(turn.bank.counts() if turn.bank is not None else {}),
+            **(turn.covering.counts() if turn.covering is not None else {}),
+        )
         turn.counts.clear()
         turn.latencies.clear()
         turn.lag = 0.0
@@ -182,8 +194,9 @@
     )
 
 
-async def serve(post: Post, reread: Callable[[], tuple[Post, Operator | None]],
-                operator: Operator | None = None) -> None:
+async def serve(
+    post: Post, reread: Callable[[], tuple[Post, Operator | None]], operator: Operator | None = None
+) -> None:
     """Run a balancer until SIGTERM or SIGINT; SIGHUP reads its files again."""
     loop = asyncio.get_running_loop()
     told_to_stop = asyncio.Event()
--- a/ospreyline/net/sockets.py
+++ b/ospreyline/net/sockets.py
@@ -31,7 +31,8 @@
     look = select.poll()
     look.register(lent.fileno(), 0)
     return any(events & select.POLLERR for _, events in look.poll(0)) or bool(
-        lent.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+        lent.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    )
 
 
 def shut(transport: asyncio.BaseTransport, how: int = socket.SHUT_WR) -> None:
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -58,8 +58,20 @@
 class Taken:
     """A visit as the front knows it: who waits for it, its handle, and the errands out for it."""
 
-    __slots__ = ("answered", "came", "client", "ends", "errands", "handle", "late", "left", "request", "tag",
-                 "terms", "timed_out")
+    __slots__ = (
+        "answered",
+        "came",
+        "client",
+        "ends",
+        "errands",
+        "handle",
+        "late",
+        "left",
+        "request",
+        "tag",
+        "terms",
+        "timed_out",
+    )
 
     def __init__(self, tag: int, request: Request, terms: PathPrefix, client: Client | None) -> None:
         self.tag = tag
@@ -122,16 +134,22 @@
         part = (post.sockets - 32 - (FLEET if operator is not None and operator.fleet.bank else 0)) // 2
         self.most_clients = part
         self._again, self._draw = AGAIN, Random(post.seed + 2).random
-        self.upstreams = Upstreams(loop, clock, part, post.connect_time_out, post.keep_idle,
-                                   post.memory // 8, self.events)
+        self.upstreams = Upstreams(
+            loop, clock, part, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
+        )
         if operator is not None:
             self._switch_on(operator)
         kept = self._keeping.known(post.known) if self._keeping is not None else post.known
         known = read(kept, self.logger)
-        self.discovery = Discovery(loop, post.discovery, known.rev if known else 0, self.logger,
-                                   tell=self._note_news,
-                                   tell_failed=lambda failure: self.note(self._told_nothing, failure),
-                                   tell_lease=lambda message: self.note(self._renew_lease, message))
+        self.discovery = Discovery(
+            loop,
+            post.discovery,
+            known.rev if known else 0,
+            self.logger,
+            tell=self._note_news,
+            tell_failed=lambda failure: self.note(self._told_nothing, failure),
+            tell_lease=lambda message: self.note(self._renew_lease, message),
+        )
         self._fit()
         now = clock()
         self.balancer = Balancer(self, post.terms, post.seed, now)
@@ -172,22 +190,35 @@
             from ospreyline.fleet.bank import Bank
 
             zone = self._post.zone_names[terms.zone]
-            self.bank = Bank(self._loop, self.logger, self._post.name, zone, operator.fleet, self._post.seed,
-                             listed=lambda news: self.note(self._told_by_others, news),
-                             hinted=lambda body: self.note(self._hinted, body),
-                             hasten=lambda: self.note(self._hasten))
+            self.bank = Bank(
+                self._loop,
+                self.logger,
+                self._post.name,
+                zone,
+                operator.fleet,
+                self._post.seed,
+                listed=lambda news: self.note(self._told_by_others, news),
+                hinted=lambda body: self.note(self._hinted, body),
+                hasten=lambda: self.note(self._hasten),
+            )
             if operator.takeover.on:
                 from ospreyline.net.covering import Covering
 
-                self.covering = Covering(self, operator.takeover, self._post.name, zone,
-                                         self.bank.members.me.start, self._post.seed, terms.max_fetches)
+                self.covering = Covering(
+                    self,
+                    operator.takeover,
+                    self._post.name,
+                    zone,
+                    self.bank.members.me.start,
+                    self._post.seed,
+                    terms.max_fetches,
+                )
                 self.bank.guard(self.covering.takeover, lambda: self.note(self.covering_news))
 
     def _set(self, post: Post) -> None:
         self._post = post
         self.prefixes = {name.encode(): i for i, name in enumerate(post.prefix_names)}
-        self.tagged = frozenset(
-            i for i, terms in enumerate(post.terms.prefixes) if terms.kind is Kind.TAGGED)
+        self.tagged = frozenset(i for i, terms in enumerate(post.terms.prefixes) if terms.kind is Kind.TAGGED)
         self._zones = {name: i for i, name in enumerate(post.zone_names)}
         self._reports = post.terms.report_fields
 
@@ -370,8 +401,11 @@
 
     def ready(self) -> bool:
         """Whether a visit could be decided."""
-        return (not self.closing and Readiness.READY in self._states.values()
-                and self.balancer.lease.ready(clock()))
+        return (
+            not self.closing
+            and Readiness.READY in self._states.values()
+            and self.balancer.lease.ready(clock())
+        )
 
     def _take(self, now: float, taken: Taken) -> None:
         if taken.client is None:
@@ -409,8 +443,9 @@
             self.covering.decided(now, taken)
         self._settle(taken)
 
-    def adopt_visit(self, now: float, tag: int, request: Request, left: float,
-                    ran: Sequence[tuple[str, int, float]]) -> None:
+    def adopt_visit(
+        self, now: float, tag: int, request: Request, left: float, ran: Sequence[tuple[str, int, float]]
+    ) -> None:
         """A visit of a balancer that is lost, for which nobody waits here."""
         taken = self.visits[tag] = Taken(tag, request, self._post.terms.prefixes[request.prefix], None)
         taken.came = now
@@ -526,8 +561,7 @@
 
     # -- upstreams ----------------------------------------------------------------------------------------
 
-    def _start(self, now: float, taken: Taken, number: int, upstream: int, times: int,
-               until: float) -> None:
+    def _start(self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float) -> None:
         if self.covering is None or self.covering.may_write(now, taken, number, upstream, times, until):
             self.write(now, taken, number, upstream, times, until)
 
@@ -537,8 +571,14 @@
         if time_out <= 0 or times != self.upstreams.peers[upstream].times:
             return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
         errand = taken.errands[number] = Errand(
-            request.head(), request.body, now, time_out, request.method == b"HEAD",
-            lambda outcome: self.note(self.ended, taken, number, outcome), taken.wanted)
+            request.head(),
+            request.body,
+            now,
+            time_out,
+            request.method == b"HEAD",
+            lambda outcome: self.note(self.ended, taken, number, outcome),
+            taken.wanted,
+        )
         if taken.handle is not None:
             errand.begin_by = taken.handle.begin_by
         self.upstreams.peers[upstream].run(errand)
@@ -554,8 +594,14 @@
         peer = self.upstreams.peers[upstream]
         path = b"/stats" if self._reports else b"/health/live"
         head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, peer.at[0].encode(), peer.at[1])
-        errand = Errand(head, b"", now, PROBE_TIME_OUTS * self._post.connect_time_out, False,
-                        lambda outcome: self.note(self._probed, upstream, now, outcome))
+        errand = Errand(
+            head,
+            b"",
+            now,
+            PROBE_TIME_OUTS * self._post.connect_time_out,
+            False,
+            lambda outcome: self.note(self._probed, upstream, now, outcome),
+        )
         peer.run(errand)
 
     def _probed(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
@@ -591,8 +637,12 @@
         lease.take(now, message)
         match message:
             case UpdateLost(call, version):
-                self.logger.warning("list update may be lost", call=call, rev=version or None,
-                                    expires_in_ms=round(lease.expires - now))
+                self.logger.warning(
+                    "list update may be lost",
+                    call=call,
+                    rev=version or None,
+                    expires_in_ms=round(lease.expires - now),
+                )
             case CallSilent(call, age):
                 self.logger.info("list call was silent", call=call, s=round(age, 1))
             case UpdateRead() if lease.lost:
@@ -646,7 +696,10 @@
         if others.rev <= self.discovery.rev:
             return
         text = b'{"rev":%d,"all":%b,"targets":[%b]}' % (
-            others.rev, b"true" if others.whole else b"false", b",".join(others.targets))
+            others.rev,
+            b"true" if others.whole else b"false",
+            b",".join(others.targets),
+        )
         news = read(text, self.logger)
         if news is None:
             return
@@ -670,8 +723,11 @@
         if self._keeping is not None:
             self._keeping.told(changed=news.whole or bool(news.targets))
         if self.bank is not None:
-            self.bank.told(news.rev, news.whole, [
-                (target.uid, target.state == "left", json.encode(target)) for target, _ in news.targets])
+            self.bank.told(
+                news.rev,
+                news.whole,
+                [(target.uid, target.state == "left", json.encode(target)) for target, _ in news.targets],
+            )
         lines = self._lines(news)
         if news.whole:
             self.balancer.told_all(now, lines, own)
@@ -690,8 +746,12 @@
                 self._uids[upstream] = target.uid
             lines.append(self._line(target, upstream))
             self._note_state(target.uid, lines[-1].readiness, target)
-            self.upstreams.listed(upstream, at or self.upstreams.peers[upstream].at, target.boot_ms,
-                                  lines[-1].readiness is Readiness.READY)
+            self.upstreams.listed(
+                upstream,
+                at or self.upstreams.peers[upstream].at,
+                target.boot_ms,
+                lines[-1].readiness is Readiness.READY,
+            )
         if news.whole:
             named = {target.uid for target, _ in news.targets}
             for uid, upstream in self._indices.items():
@@ -727,16 +787,19 @@
             self._gone.pop(uid, None)
             if state is Readiness.GONE:
                 self._gone[uid] = clock()
-            self.logger.info("upstream", uid=uid, state=state.name.lower(),
-                             boot_ms=target.boot_ms if target else None)
+            self.logger.info(
+                "upstream", uid=uid, state=state.name.lower(), boot_ms=target.boot_ms if target else None
+            )
 
     def tidy(self, now: float) -> None:
         """Forget upstreams that are long gone. Guards: a fleet is replaced again and again, under new ids."""
         if self._keeping is not None and not self._news_noted:
             # guards: a version whose news is not in the list would never be asked for after a restart
             whole = self.discovery.complete and not self.balancer.lease.lost
-            self._keeping.tidy(self.discovery.rev if whole else 0, lambda: [
-                json.encode(target) for target in self._targets.values() if target.state != "left"])
+            self._keeping.tidy(
+                self.discovery.rev if whole else 0,
+                lambda: [json.encode(target) for target in self._targets.values() if target.state != "left"],
+            )
         for uid, since in list(self._gone.items()):
             upstream = self._indices[uid]
             # one stays: what comes to a balancer that knows none is taken for its first list
@@ -751,8 +814,14 @@
     def send(self, tag: int, upstream: int, time_out: float) -> None:
         taken = self.visits[tag]
         if taken.ends:
-            self.events.line("retry", taken.ends[-1], id=taken.request.trace.decode("latin-1"),
-                             after=taken.ends, attempt=len(taken.errands) + 1, upstream=self._uids[upstream])
+            self.events.line(
+                "retry",
+                taken.ends[-1],
+                id=taken.request.trace.decode("latin-1"),
+                after=taken.ends,
+                attempt=len(taken.errands) + 1,
+                upstream=self._uids[upstream],
+            )
         taken.errands.append(None)
         times = self.upstreams.peers[upstream].times
         # guards: counted from when it was decided, whenever it is carried out
@@ -785,8 +854,9 @@
         why = "its attempts failed" if taken.ends else "no upstream has room for it in time"
         if (withheld := self.balancer.lease.why(self._turned)) is not None:
             why = withheld.value
-        self.events.line(event, why, id=taken.request.trace.decode("latin-1"), prefix=taken.terms.name,
-                         attempts=taken.ends)
+        self.events.line(
+            event, why, id=taken.request.trace.decode("latin-1"), prefix=taken.terms.name, attempts=taken.ends
+        )
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
         self._wake_number += 1
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -30,9 +30,20 @@
 LEAST = 1.0  # ms of an errand's time with which it is still begun; what is left is told in whole ones
 KEEP_SHARE = 0.8  # of the time that an upstream keeps an idle connection: ours are closed earlier
 MOST_UTIL, MOST_FIGURE = 4.0, 1e5  # of a load report
-HOP_BY_HOP = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade", b"content-length"))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    )
+)
 
 
 class Stage(IntEnum):
@@ -130,11 +141,32 @@
 class Errand:
     """One request to an upstream, until it has ended."""
 
-    __slots__ = ("begin_by", "body", "conn", "done", "expires", "head", "head_only", "opening", "peer",
-                 "sent", "stage", "timer", "wanted")
-
-    def __init__(self, head: bytes, body: bytes, sent: float, time_out: float, head_only: bool,
-                 done: Callable[[Answer | Cut], None], wanted: Callable[[], bool] = _anybody) -> None:
+    __slots__ = (
+        "begin_by",
+        "body",
+        "conn",
+        "done",
+        "expires",
+        "head",
+        "head_only",
+        "opening",
+        "peer",
+        "sent",
+        "stage",
+        "timer",
+        "wanted",
+    )
+
+    def __init__(
+        self,
+        head: bytes,
+        body: bytes,
+        sent: float,
+        time_out: float,
+        head_only: bool,
+        done: Callable[[Answer | Cut], None],
+        wanted: Callable[[], bool] = _anybody,
+    ) -> None:
         self.head = head  # without the blank line at its end
         self.body = body
         self.sent = sent
@@ -170,11 +202,11 @@
             self.stage = Stage.WRITTEN
         self.end(Cut(self.stage, why))
 
-
     def withdraw(self) -> None:
         """Nobody waits for it: what has not left us whole never does. That is no cancel at the upstream."""
         if self.stage is Stage.CONNECTING or (
-                self.stage is Stage.WRITING and self.conn is not None and not self.conn.written()):
+            self.stage is Stage.WRITING and self.conn is not None and not self.conn.written()
+        ):
             self.end(Cut(self.stage, Why.WITHDRAWN))
 
 
@@ -272,8 +304,12 @@
 
     def eof_received(self) -> bool:
         # guards: the loop library takes a reset that comes right behind bytes for an end, and it is none
-        if self.errand is not None and self._ends_with_it and self.transport is not None \
-                and not failed(self.transport):
+        if (
+            self.errand is not None
+            and self._ends_with_it
+            and self.transport is not None
+            and not failed(self.transport)
+        ):
             self.on_message_complete()  # an answer without a length lasts until the end
             self._finish(self.errand, keep=False)
         return False
@@ -299,8 +335,11 @@
         known = name.lower()
         if known in (b"content-length", b"transfer-encoding"):
             self._framed = True
-            if known == b"content-length" and not (value.isdigit() and int(value) <= MOST_ANSWER) \
-                    and not (self.errand and self.errand.head_only):
+            if (
+                known == b"content-length"
+                and not (value.isdigit() and int(value) <= MOST_ANSWER)
+                and not (self.errand and self.errand.head_only)
+            ):
                 raise ValueError("no length that could be kept")  # guards: 3 GB would be read up to the limit
         elif known == b"endpoint-load-metrics":
             self._report = value
@@ -337,8 +376,9 @@
             self._begin()  # an interim answer
             return
         self._keep = self._parser.should_keep_alive()  # known only until this returns
-        self._answer = Answer(status, b"".join(self._fields), b"".join(self._body), self._report,
-                              self._never_ran)
+        self._answer = Answer(
+            status, b"".join(self._fields), b"".join(self._body), self._report, self._never_ran
+        )
 
 
 class Peer:
@@ -357,8 +397,7 @@
         errand.peer = self
         self.errands[errand] = None
         now = self.pool.clock()  # guards: a turn may be long, and what it began with is no more what is left
-        errand.timer = self.pool.loop.call_later(
-            max(0.0, errand.expires - now) / 1e3, self._expire, errand)
+        errand.timer = self.pool.loop.call_later(max(0.0, errand.expires - now) / 1e3, self._expire, errand)
         if self.withdrawn or errand.expires - now < LEAST:
             errand.cut(Why.WITHDRAWN)
             return
@@ -366,8 +405,11 @@
             if now - conn.used < SETTLE:
                 continue  # guards: a second answer behind the last one would be taken for this one's
             # guards: an end, or a second answer, that has come and was not read yet would be this one's
-            if conn.transport is None or now - conn.used >= self.pool.keep_idle \
-                    or unread(conn.transport, select.POLLIN):
+            if (
+                conn.transport is None
+                or now - conn.used >= self.pool.keep_idle
+                or unread(conn.transport, select.POLLIN)
+            ):
                 conn.close("idle too long, or something unread")
                 continue
             if self._may_begin(errand):
@@ -382,7 +424,8 @@
         self.pool.open[conn] = None
         errand.opening = self.pool.loop.create_task(self._open(errand, conn))
         errand.opening.add_done_callback(
-            lambda task: conn.close("its request has ended") if task.cancelled() else None)
+            lambda task: conn.close("its request has ended") if task.cancelled() else None
+        )
 
     def _may_begin(self, errand: Errand) -> bool:
         """The last look before an upstream sees something of an errand, its connection or its first byte."""
@@ -390,8 +433,12 @@
         # process; the client can have left meanwhile, its time can be over, and so can the one in which its
         # repeat is known for one. No upstream is to blame for that
         now = self.pool.clock()
-        if (now < errand.begin_by and errand.expires - now >= LEAST and errand.wanted()
-                and not self.pool.withheld()):
+        if (
+            now < errand.begin_by
+            and errand.expires - now >= LEAST
+            and errand.wanted()
+            and not self.pool.withheld()
+        ):
             return True
         errand.cut(Why.WITHDRAWN)
         return False
@@ -476,9 +523,16 @@
 class Upstreams:
     """All upstreams, by the small index that the front gave them, and the descriptors they may use."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float], most_open: int,
-                 connect_time_out: float, keep_idle: float, most_held: int,
-                 events: EventLog | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], float],
+        most_open: int,
+        connect_time_out: float,
+        keep_idle: float,
+        most_held: int,
+        events: EventLog | None = None,
+    ) -> None:
         self.loop = loop
         self.clock = clock
         self.most_open = most_open
--- a/ospreyline/operator.py
+++ b/ospreyline/operator.py
@@ -30,32 +30,82 @@
 class Lists(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[list]`: how the list of upstreams is had."""
 
-    calls_per_s: Annotated[float, Meta(ge=0, le=1e6, extra=RELOADED, description=(
-        "what the list service can do, all together; the bank's calls are then spread evenly over the time "
-        "that it needs for all, and tried again no faster. 0: each balancer guesses alone"))] = 0.0
-    keep: Annotated[str, Meta(extra=AT_START, description=(
-        "file in which the last accepted list is kept, for the next start; empty: none is kept. Every "
-        "balancer needs one of its own"))] = ""
-    keep_for_s: Annotated[float, Meta(ge=1, le=1e9, extra=AT_START, description=(
-        "how old a kept list may be at a start"))] = 86_400.0
+    calls_per_s: Annotated[
+        float,
+        Meta(
+            ge=0,
+            le=1e6,
+            extra=RELOADED,
+            description=(
+                "what the list service can do, all together; the bank's calls are then spread evenly over "
+                "the time "
+                "that it needs for all, and tried again no faster. 0: each balancer guesses alone"
+            ),
+        ),
+    ] = 0.0
+    keep: Annotated[
+        str,
+        Meta(
+            extra=AT_START,
+            description=(
+                "file in which the last accepted list is kept, for the next start; empty: none is kept. "
+                "Every "
+                "balancer needs one of its own"
+            ),
+        ),
+    ] = ""
+    keep_for_s: Annotated[
+        float, Meta(ge=1, le=1e9, extra=AT_START, description=("how old a kept list may be at a start"))
+    ] = 86_400.0
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[fleet]`: links to the other balancers of the bank; off without a bank's name."""
 
-    bank: Annotated[str, Meta(extra=AT_START, description=(
-        "name of the bank; only balancers that say the same speak to one another. Empty: no links"))] = ""
+    bank: Annotated[
+        str,
+        Meta(
+            extra=AT_START,
+            description=(
+                "name of the bank; only balancers that say the same speak to one another. Empty: no links"
+            ),
+        ),
+    ] = ""
     listen: Annotated[str, Meta(extra=AT_START, description="host:port for links of other balancers")] = ""
-    address: Annotated[str, Meta(extra=AT_START, description=(
-        "host:port under which others reach us; empty: as `listen`"))] = ""
-    peers: Annotated[tuple[str, ...], Meta(extra=AT_START, description=(
-        "others as `name=host:port`; some are enough, the rest is heard from them. Or addresses that are "
-        "watched for them, as `10.1.0.0/27:7071`: who comes up there is found, under whatever name"))] = ()
-    lists: Annotated[bool, Meta(extra=AT_START, description=(
-        "a few of each zone call the list service first and pass the list on. Only where all are told the "
-        "same addresses of the upstreams; needs list.calls_per_s"))] = False
-    status: Annotated[str, Meta(extra=AT_START, description=(
-        "file in which the state is written every two seconds, for `fleet status`; empty: none"))] = ""
+    address: Annotated[
+        str, Meta(extra=AT_START, description=("host:port under which others reach us; empty: as `listen`"))
+    ] = ""
+    peers: Annotated[
+        tuple[str, ...],
+        Meta(
+            extra=AT_START,
+            description=(
+                "others as `name=host:port`; some are enough, the rest is heard from them. Or addresses "
+                "that are "
+                "watched for them, as `10.1.0.0/27:7071`: who comes up there is found, under whatever name"
+            ),
+        ),
+    ] = ()
+    lists: Annotated[
+        bool,
+        Meta(
+            extra=AT_START,
+            description=(
+                "a few of each zone call the list service first and pass the list on. Only where all are "
+                "told the "
+                "same addresses of the upstreams; needs list.calls_per_s"
+            ),
+        ),
+    ] = False
+    status: Annotated[
+        str,
+        Meta(
+            extra=AT_START,
+            description=(
+                "file in which the state is written every two seconds, for `fleet status`; empty: none"
+            ),
+        ),
+    ] = ""
 
     def named(self) -> Iterator[tuple[str, str]]:
         """The peers that have a name, as (name, host:port)."""
@@ -77,16 +127,46 @@
 class Takeover(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[takeover]`: work in hand survives its balancer; needs `[fleet]`."""
 
-    on: Annotated[bool, Meta(extra=AT_START, description=(
-        "other balancers guard the visits in hand, and finish those of one that is lost"))] = False
-    wait_ms: Annotated[float, Meta(ge=1, le=10_000, extra=AT_START, description=(
-        "the longest that a fetch or a refusal waits for its guardians"))] = 150.0
-    keep_s: Annotated[float, Meta(ge=1, le=3_600, extra=AT_START, description=(
-        "how long a guardian keeps a visit and its answer, in bounded memory; over the longest client "
-        "timeout"))] = 30.0
-    uncovered: Annotated[Literal["serve", "refuse"], Meta(extra=AT_START, description=(
-        "where too few guardians are there: serve without cover, or refuse (they never ran) the visits that "
-        "must not run twice"))] = "serve"
+    on: Annotated[
+        bool,
+        Meta(
+            extra=AT_START,
+            description=("other balancers guard the visits in hand, and finish those of one that is lost"),
+        ),
+    ] = False
+    wait_ms: Annotated[
+        float,
+        Meta(
+            ge=1,
+            le=10_000,
+            extra=AT_START,
+            description=("the longest that a fetch or a refusal waits for its guardians"),
+        ),
+    ] = 150.0
+    keep_s: Annotated[
+        float,
+        Meta(
+            ge=1,
+            le=3_600,
+            extra=AT_START,
+            description=(
+                "how long a guardian keeps a visit and its answer, in bounded memory; over the longest "
+                "client "
+                "timeout"
+            ),
+        ),
+    ] = 30.0
+    uncovered: Annotated[
+        Literal["serve", "refuse"],
+        Meta(
+            extra=AT_START,
+            description=(
+                "where too few guardians are there: serve without cover, or refuse (they never ran) the "
+                "visits that "
+                "must not run twice"
+            ),
+        ),
+    ] = "serve"
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -204,8 +284,13 @@
         for name in kind.__struct_fields__:
             meta: Meta = hints[name].__metadata__[0]
             origin = str(path) if name in given.get(table, {}) else "default"
-            yield Key(f"{table}.{name}", getattr(getattr(operator, table), name), origin,
-                      bool((meta.extra or {})["sighup"]), meta.description or "")
+            yield Key(
+                f"{table}.{name}",
+                getattr(getattr(operator, table), name),
+                origin,
+                bool((meta.extra or {})["sighup"]),
+                meta.description or "",
+            )
 
 
 def needs_restart(old: Operator, new: Operator) -> list[str]:
--- a/ospreyline/pairs.py
+++ b/ospreyline/pairs.py
@@ -75,8 +75,15 @@
     """One line a figure, plain text."""
     rows = [("figure", f"old {old}", f"new {new}", "new less old, 95%", "")]
     for c in of:
-        rows.append((c.name, " ".join(f"{v:.3f}" for v in c.old), " ".join(f"{v:.3f}" for v in c.new),
-                     f"{c.difference:+.3f} +- {c.half_width:.3f}", c.verdict))
+        rows.append(
+            (
+                c.name,
+                " ".join(f"{v:.3f}" for v in c.old),
+                " ".join(f"{v:.3f}" for v in c.new),
+                f"{c.difference:+.3f} +- {c.half_width:.3f}",
+                c.verdict,
+            )
+        )
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     return "\n".join("  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in rows)
 
@@ -101,8 +108,11 @@
 
 
 def _played(folder: Path, why: str) -> list[Entry]:
-    return [e for e in entries(folder / "journal")
-            if e.cmd == "real-score" and e.why == why and e.figure is not None and not e.edited_meanwhile]
+    return [
+        e
+        for e in entries(folder / "journal")
+        if e.cmd == "real-score" and e.why == why and e.figure is not None and not e.edited_meanwhile
+    ]
 
 
 def play(bench: Path, site: Path, folder: Path, why: str, log: Path) -> None:
@@ -127,12 +137,24 @@
 @click.command()
 @click.argument("old")
 @click.argument("new")
-@click.option("--bench", type=click.Path(exists=True, dir_okay=False, resolve_path=True, path_type=Path),
-              required=True, help="The bench's program for sockets.")
-@click.option("--site", type=click.Path(exists=True, dir_okay=False, resolve_path=True, path_type=Path),
-              required=True, help="The site file that is played.")
-@click.option("--work", type=click.Path(file_okay=False, resolve_path=True, path_type=Path), required=True,
-              help="Folder for the clones and logs; the same call goes on where it was.")
+@click.option(
+    "--bench",
+    type=click.Path(exists=True, dir_okay=False, resolve_path=True, path_type=Path),
+    required=True,
+    help="The bench's program for sockets.",
+)
+@click.option(
+    "--site",
+    type=click.Path(exists=True, dir_okay=False, resolve_path=True, path_type=Path),
+    required=True,
+    help="The site file that is played.",
+)
+@click.option(
+    "--work",
+    type=click.Path(file_okay=False, resolve_path=True, path_type=Path),
+    required=True,
+    help="Folder for the clones and logs; the same call goes on where it was.",
+)
 @click.option("--rounds", type=click.IntRange(1, 50), default=4, show_default=True)
 @click.option("--why", default="Two texts in turns, to tell noise from change", show_default=True)
 def command(old: str, new: str, bench: Path, site: Path, work: Path, rounds: int, why: str) -> None:
--- a/ospreyline/regression.py
+++ b/ospreyline/regression.py
@@ -101,8 +101,12 @@
     @property
     def trouble(self) -> str:
         """Why this has to be seen to first; empty if it has not."""
-        broken = [f"{day.name}: {rule}" for day in self.last.days
-                  for rule, times in sorted((day.rules or {}).items()) if times]
+        broken = [
+            f"{day.name}: {rule}"
+            for day in self.last.days
+            for rule, times in sorted((day.rules or {}).items())
+            if times
+        ]
         if broken:
             return "rule broken, " + ", ".join(broken)
         if self.last.gate.startswith("failed"):
@@ -148,10 +152,22 @@
     out = []
     for call in sorted(calls):
         *earlier, last = calls[call]
-        before = next((e for e in reversed(earlier) if e.figure is not None
-                       and (not call.startswith("brink") or e.panel == last.panel)), None)
-        out.append(Standing(call, last, before, all(
-            today.get(text.path) == text.sha256 for text in (*last.policy, *last.node))))
+        before = next(
+            (
+                e
+                for e in reversed(earlier)
+                if e.figure is not None and (not call.startswith("brink") or e.panel == last.panel)
+            ),
+            None,
+        )
+        out.append(
+            Standing(
+                call,
+                last,
+                before,
+                all(today.get(text.path) == text.sha256 for text in (*last.policy, *last.node)),
+            )
+        )
     return out
 
 
@@ -161,16 +177,29 @@
     for s in state:
         figure = "-" if s.last.figure is None else f"{s.last.figure:.3f}"
         change = "-" if s.change is None else f"{s.change:+.3f}"
-        rows.append((s.call, figure, change, s.last.gate.partition(" ")[0] or "-",
-                     "same" if s.same_text else "older", s.last.at[0].replace("T", " ").rstrip("Z"),
-                     s.trouble))
+        rows.append(
+            (
+                s.call,
+                figure,
+                change,
+                s.last.gate.partition(" ")[0] or "-",
+                "same" if s.same_text else "older",
+                s.last.at[0].replace("T", " ").rstrip("Z"),
+                s.trouble,
+            )
+        )
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     return "\n".join("  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in rows)
 
 
 @click.command()
-@click.option("--journal", type=click.Path(file_okay=False, path_type=Path), default=Path("journal"),
-              show_default=True, help="The folder that the bench writes.")
+@click.option(
+    "--journal",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("journal"),
+    show_default=True,
+    help="The folder that the bench writes.",
+)
 def command(journal: Path) -> None:
     """Print the latest figure of each call; status 1 if one on the text of today has to be seen to first."""
     try:
--- a/ospreyline/rig/clients.py
+++ b/ospreyline/rig/clients.py
@@ -199,7 +199,8 @@
     def _deal(self, zone: int) -> int | None:
         if zone not in self._pickers:
             numbers = [n for n, z in enumerate(self.zones) if z == zone and self._open[n]] or [
-                n for n in range(len(self.zones)) if self._open[n]]
+                n for n in range(len(self.zones)) if self._open[n]
+            ]
             self._pickers[zone] = (numbers, Picker([self.weights[n] for n in numbers])) if numbers else None
         found = self._pickers[zone]
         return found[0][found[1].at(self.draw())] if found else None
@@ -220,8 +221,14 @@
         prefix = self._prefixes.at(draw())
         work = self._works[prefix](draw)
         self._wants += 1
-        want = Want((self.number << 32) + self._wants, prefix, self._zones.at(draw()), work, now,
-                    now + self.scenario.prefixes[prefix].timeout_ms)
+        want = Want(
+            (self.number << 32) + self._wants,
+            prefix,
+            self._zones.at(draw()),
+            work,
+            now,
+            now + self.scenario.prefixes[prefix].timeout_ms,
+        )
         self.unfinished += 1
         self._try(want)
 
@@ -270,9 +277,11 @@
         if not attempt.again:
             attempt.sent = now
         kind = terms.kind
-        head = (f"{'GET' if kind == 'read-like' else 'POST'} /{terms.name}/x HTTP/1.1\r\nHost: bank.test\r\n"
-                f"X-Trace-Id: {attempt.id}\r\nX-Qos: {terms.name}\r\nX-Work: {want.work:.3f}\r\n"
-                f"X-Expires-In: {max(0.001, left / 1e3):.3f}\r\n")
+        head = (
+            f"{'GET' if kind == 'read-like' else 'POST'} /{terms.name}/x HTTP/1.1\r\nHost: bank.test\r\n"
+            f"X-Trace-Id: {attempt.id}\r\nX-Qos: {terms.name}\r\nX-Work: {want.work:.3f}\r\n"
+            f"X-Expires-In: {max(0.001, left / 1e3):.3f}\r\n"
+        )
         if kind == "tagged":
             head += f"Idempotency-Key: {want.key}\r\n"
         if want.asks:
@@ -328,10 +337,22 @@
         self._counts[attempt.want.zone]["bounced"] += status in (429, 503)
         want, now = attempt.want, self.worker.clock.now
         terms = self.scenario.prefixes[want.prefix]
-        self.worker.row("try", id=attempt.id, want=want.number, prefix=terms.name, zone=want.zone,
-                        b=attempt.balancer, sent=round(attempt.sent, 3), ttl=round(attempt.ttl, 3), how=how,
-                        status=status, own=own, again=attempt.again, asks=bool(want.asks),
-                        outcome=attempt.outcome)
+        self.worker.row(
+            "try",
+            id=attempt.id,
+            want=want.number,
+            prefix=terms.name,
+            zone=want.zone,
+            b=attempt.balancer,
+            sent=round(attempt.sent, 3),
+            ttl=round(attempt.ttl, 3),
+            how=how,
+            status=status,
+            own=own,
+            again=attempt.again,
+            asks=bool(want.asks),
+            outcome=attempt.outcome,
+        )
         if how == "answer" and status == 200:
             self._end(want, "late" if now > want.since + terms.target_ms else "in time")
             return
@@ -348,8 +369,11 @@
                 return
             want.tries -= bool(want.asks)
             want.asks = ""
-        harmless = status in (429, 503) or how in ("nobody", "unreached") or (
-            terms.kind != "mutating" and (figures.after_errors or how != "answer"))
+        harmless = (
+            status in (429, 503)
+            or how in ("nobody", "unreached")
+            or (terms.kind != "mutating" and (figures.after_errors or how != "answer"))
+        )
         if want.tries > figures.retries or not harmless:
             self._end(want, "failed")
             return
@@ -367,8 +391,14 @@
     def _end(self, want: Want, outcome: str) -> None:
         self.unfinished -= 1
         self._counts[want.zone][outcome] += 1
-        self.worker.row("want", since=round(want.since, 3), prefix=self.scenario.prefixes[want.prefix].name,
-                        zone=want.zone, outcome=outcome, tries=want.tries)
+        self.worker.row(
+            "want",
+            since=round(want.since, 3),
+            prefix=self.scenario.prefixes[want.prefix].name,
+            zone=want.zone,
+            outcome=outcome,
+            tries=want.tries,
+        )
         if self._until and self.worker.clock.now >= self._until and not self.unfinished:
             self.worker.say("finished")
 
--- a/ospreyline/rig/command.py
+++ b/ospreyline/rig/command.py
@@ -43,8 +43,13 @@
     return wrapped
 
 
-def played(found: Scenario, seed: int, out: Path, say: Callable[[str], None],
-           live: Callable[[float, list[dict[str, int]]], None] | None = None) -> dict[str, Any]:
+def played(
+    found: Scenario,
+    seed: int,
+    out: Path,
+    say: Callable[[str], None],
+    live: Callable[[float, list[dict[str, int]]], None] | None = None,
+) -> dict[str, Any]:
     """Play a scenario, judge it and write its records; its figures."""
     from ospreyline.rig import results
     from ospreyline.rig.referee import Referee
@@ -60,8 +65,10 @@
     for problem in day.problems:
         say(problem)
     for breach in breaches[:10]:
-        say(f"{breach.at / 1e3:.3f} s {breach.rule}: {breach.what} ({breach.balancer or '-'}, "
-            f"upstream {breach.upstream}, visit {breach.visit or '-'})")
+        say(
+            f"{breach.at / 1e3:.3f} s {breach.rule}: {breach.what} ({breach.balancer or '-'}, "
+            f"upstream {breach.upstream}, visit {breach.visit or '-'})"
+        )
     if len(breaches) > 10:
         say(f"{len(breaches) - 10} further breaches in {out / 'breaches.jsonl'}")
     return figures
@@ -78,8 +85,10 @@
     """Name the scenarios that come with it, and the words for faults."""
     for name in scenarios.shipped():
         found = scenarios.load(name)
-        click.echo(f"{name:20} {found.bank.count:4} balancers {found.upstreams():3} upstreams "
-                   f"{found.day.seconds:4.0f} s  {found.about}")
+        click.echo(
+            f"{name:20} {found.bank.count:4} balancers {found.upstreams():3} upstreams "
+            f"{found.day.seconds:4.0f} s  {found.about}"
+        )
     click.echo()
     for kind, what in sorted(scenarios.FAULTS.items()):
         click.echo(f"  {kind:16} {what}")
@@ -123,8 +132,10 @@
         day = soaks.outcome(seed, found, played(found, seed, folder, said.append))
         red, void = red + day.red, void + day.void
         how = "void" if day.void else "RED" if day.red else "kept"
-        click.echo(f"seed {seed:4} {how:4} {found.bank.count} balancers, {len(day.plan)} faults, "
-                   f"rig late {day.lag:.0f} ms {day.breaches or ''}")
+        click.echo(
+            f"seed {seed:4} {how:4} {found.bank.count} balancers, {len(day.plan)} faults, "
+            f"rig late {day.lag:.0f} ms {day.breaches or ''}"
+        )
         if day.red:
             click.echo("\n".join(["  " + line for line in (*day.plan, *said)]))
             command = f"ospreyline rig soak{' --ends' if ends else ''} --seeds {seed}:{seed}"
@@ -135,8 +146,14 @@
 
 @rig.command()
 @click.option("--count", default=3, show_default=True, help="Processes that start at once.")
-@click.option("--list", "state", default="up", show_default=True, help="State of the list service.",
-              type=click.Choice(("up", "slow", "hang", "down", "back", "each")))
+@click.option(
+    "--list",
+    "state",
+    default="up",
+    show_default=True,
+    help="State of the list service.",
+    type=click.Choice(("up", "slow", "hang", "down", "back", "each")),
+)
 @click.option("--known/--no-known", default=True, show_default=True, help="Start with a list, or without.")
 @click.option("--pushed", is_flag=True, help="The settings say that the list is pushed.")
 @click.option("--must-ask-s", default=10.0, show_default=True)
@@ -144,14 +161,24 @@
 @click.option("--seconds", default=30.0, show_default=True, help="The most that is waited.")
 @click.option("--seed", default=1, show_default=True)
 @_told
-def ready(count: int, state: str, known: bool, pushed: bool, must_ask_s: float, within: float,
-          seconds: float, seed: int) -> None:
+def ready(
+    count: int,
+    state: str,
+    known: bool,
+    pushed: bool,
+    must_ask_s: float,
+    within: float,
+    seconds: float,
+    seed: int,
+) -> None:
     """Time from exec to ready of processes that start at once; status 1 if over one in ten are late."""
     from ospreyline.rig import ready as starts
 
     late = False
-    click.echo(f"{count} at once, {'with' if known else 'without'} a list, "
-               f"{'pushed' if pushed else 'asked for'}; {starts.HEADER}")
+    click.echo(
+        f"{count} at once, {'with' if known else 'without'} a list, "
+        f"{'pushed' if pushed else 'asked for'}; {starts.HEADER}"
+    )
     for one in starts.STATES if state == "each" else (state,):
         out = Path(tempfile.mkdtemp(prefix="ospreyline-ready-"))
         found = starts.measure(count, one, out, known, pushed, must_ask_s, seconds, seed)
@@ -240,26 +267,56 @@
 
 @scale.command()
 @click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this; several times.")
-@click.option("--upstreams", multiple=True, type=click.IntRange(1, 400_000),
-              default=(100, 5_000, 50_000, 200_000), show_default=True)
-@click.option("--routes", multiple=True, type=click.IntRange(1, 400_000),
-              default=(100, 1_000, 10_000, 60_000), show_default=True)
-@click.option("--members", multiple=True, type=click.IntRange(30, 50_000),
-              default=(70, 700, 4_096, 7_000), show_default=True)
-@click.option("--balancers", multiple=True, type=click.IntRange(2, 50_000),
-              default=(70, 700, 7_000), show_default=True)
-@click.option("--listeners", multiple=True, type=click.IntRange(1, 512),
-              default=(10, 100, 350, 512), show_default=True)
+@click.option(
+    "--upstreams",
+    multiple=True,
+    type=click.IntRange(1, 400_000),
+    default=(100, 5_000, 50_000, 200_000),
+    show_default=True,
+)
+@click.option(
+    "--routes",
+    multiple=True,
+    type=click.IntRange(1, 400_000),
+    default=(100, 1_000, 10_000, 60_000),
+    show_default=True,
+)
+@click.option(
+    "--members",
+    multiple=True,
+    type=click.IntRange(30, 50_000),
+    default=(70, 700, 4_096, 7_000),
+    show_default=True,
+)
+@click.option(
+    "--balancers", multiple=True, type=click.IntRange(2, 50_000), default=(70, 700, 7_000), show_default=True
+)
+@click.option(
+    "--listeners", multiple=True, type=click.IntRange(1, 512), default=(10, 100, 350, 512), show_default=True
+)
 @click.option("--seconds", default=8.0, show_default=True, help="Of each look at a process at rest.")
 @click.option("--rate", default=171.0, show_default=True, help="Requests a second; 0: none.")
 @click.option("--calls-per-s", default=200.0, show_default=True, help="What the list service can do.")
-@click.option("--data", type=click.Path(dir_okay=False, path_type=Path),
-              help="Data file that the slopes are written into; what is not measured stays in it.")
+@click.option(
+    "--data",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Data file that the slopes are written into; what is not measured stays in it.",
+)
 @click.option("--plot", "drawn", type=click.Path(dir_okay=False, path_type=Path), help="Picture to draw.")
 @_told
-def slopes(parts: tuple[str, ...], upstreams: tuple[int, ...], routes: tuple[int, ...],
-           members: tuple[int, ...], balancers: tuple[int, ...], listeners: tuple[int, ...], seconds: float,
-           rate: float, calls_per_s: float, data: Path | None, drawn: Path | None) -> None:
+def slopes(
+    parts: tuple[str, ...],
+    upstreams: tuple[int, ...],
+    routes: tuple[int, ...],
+    members: tuple[int, ...],
+    balancers: tuple[int, ...],
+    listeners: tuple[int, ...],
+    seconds: float,
+    rate: float,
+    calls_per_s: float,
+    data: Path | None,
+    drawn: Path | None,
+) -> None:
     """Measure what one balancer spends, by the size of what it is told; docs/CAPACITY.md reads the file."""
     import tomllib
     from datetime import date
@@ -271,27 +328,42 @@
     from ospreyline.rig import slopefile
 
     before = tomllib.loads(data.read_text("utf-8")) if data is not None and data.exists() else {}
-    sizes = {"upstreams": upstreams, "routes": routes, "members": members, "balancers": balancers,
-             "listeners": listeners}
+    sizes = {
+        "upstreams": upstreams,
+        "routes": routes,
+        "members": members,
+        "balancers": balancers,
+        "listeners": listeners,
+    }
     chosen = tuple(part for part in scaling.PARTS if part in (parts or scaling.PARTS))
     console = Console(stderr=True)
-    with Progress(TextColumn("{task.description:24}"), BarColumn(), TimeElapsedColumn(),
-                  console=console) as progress:
+    with Progress(
+        TextColumn("{task.description:24}"), BarColumn(), TimeElapsedColumn(), console=console
+    ) as progress:
         task = progress.add_task("", total=len(list(scaling.steps(sizes, chosen))) + 1)
 
         def step(what: str) -> None:
             progress.update(task, description=what, advance=1)
 
         try:
-            measured = asyncio.run(scaling.measured(
-                sizes, chosen, seconds, rate, calls_per_s,
-                lambda text: progress.console.print(text, highlight=False), step))
+            measured = asyncio.run(
+                scaling.measured(
+                    sizes,
+                    chosen,
+                    seconds,
+                    rate,
+                    calls_per_s,
+                    lambda text: progress.console.print(text, highlight=False),
+                    step,
+                )
+            )
         except scaling.ScaleError as error:
             click.echo(f"ospreyline: {error}", err=True)
             sys.exit(3)
     command = "ospreyline rig scale slopes" + "".join(f" --part {part}" for part in parts)
-    found = slopefile.merged(before, measured.points, measured.reference, date.today().isoformat(), command,
-                             slopefile.machine())
+    found = slopefile.merged(
+        before, measured.points, measured.reference, date.today().isoformat(), command, slopefile.machine()
+    )
     text = slopefile.toml(found)
     if data is None:
         click.echo(text, nl=False)
@@ -316,8 +388,7 @@
 
 @scale.command(name="scoped")
 @click.argument("data", type=click.Path(dir_okay=False, exists=True, path_type=Path))
-@click.argument("runs", nargs=-1, required=True,
-                type=click.Path(dir_okay=False, exists=True, path_type=Path))
+@click.argument("runs", nargs=-1, required=True, type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @click.option("--command", "made_by", required=True, help="What made the runs, for the file.")
 @click.option("--machine", "made_on", help="Class of machine of the runs; else this one.")
 @_told
@@ -333,8 +404,14 @@
         points = slopefile.scoped([json.loads(run.read_text("utf-8")) for run in runs])
     except (KeyError, TypeError, ValueError) as error:
         raise ScenarioError(f"no figures of a hollow run: {error!r}") from error
-    found = slopefile.merged(tomllib.loads(data.read_text("utf-8")), points, [], date.today().isoformat(),
-                             made_by, made_on or slopefile.machine())
+    found = slopefile.merged(
+        tomllib.loads(data.read_text("utf-8")),
+        points,
+        [],
+        date.today().isoformat(),
+        made_by,
+        made_on or slopefile.machine(),
+    )
     data.write_text(slopefile.toml(found), "utf-8")
 
 
--- a/ospreyline/rig/fleetlog.py
+++ b/ospreyline/rig/fleetlog.py
@@ -35,8 +35,9 @@
     return out
 
 
-def said(folder: Path, balancer: str, wall: float,
-         events: tuple[str, ...] = ("member", "fleet")) -> Iterator[tuple[float, dict[str, Any]]]:
+def said(
+    folder: Path, balancer: str, wall: float, events: tuple[str, ...] = ("member", "fleet")
+) -> Iterator[tuple[float, dict[str, Any]]]:
     """Its lines of some kinds until it stops; times in ms of the run's clock (`wall`: its zero, Unix ms)."""
     for line in (folder / "logs" / f"{balancer}.log").read_bytes().splitlines():
         if not line.startswith(b"{"):
@@ -69,11 +70,15 @@
                     wrong += 1
         hearing += last == "hears all"
     times.sort()
-    return {"balancers": len(names), "noticed": len(times),
-            "median_s": round(times[len(times) // 2], 2) if times else None,
-            "p99_s": round(times[int(0.99 * (len(times) - 1))], 2) if times else None,
-            "most_s": round(times[-1], 2) if times else None, "wrong_deaths": wrong,
-            "hear_all_at_the_end": hearing}
+    return {
+        "balancers": len(names),
+        "noticed": len(times),
+        "median_s": round(times[len(times) // 2], 2) if times else None,
+        "p99_s": round(times[int(0.99 * (len(times) - 1))], 2) if times else None,
+        "most_s": round(times[-1], 2) if times else None,
+        "wrong_deaths": wrong,
+        "hear_all_at_the_end": hearing,
+    }
 
 
 SOON = 6_000.0  # ms in which news has to be in force at a balancer that is there
@@ -84,8 +89,11 @@
     """Times (ms) from each change of the list until it was in force at each balancer that was there."""
     gone = absences(folder, ("kill", "stop", "term"))
     wall = msgspec.json.decode((folder / "origin.json").read_bytes())["unix_ms"]
-    changes = [(row["t"], row["entry"]["uid"], STATES[row["entry"].get("state", "active")])
-               for row in _rows(folder, "script") if row["k"] == "listed"]
+    changes = [
+        (row["t"], row["entry"]["uid"], STATES[row["entry"].get("state", "active")])
+        for row in _rows(folder, "script")
+        if row["k"] == "listed"
+    ]
     times: list[float] = []
     never = 0
     for path in sorted((folder / "logs").glob("b*.log")):
@@ -101,7 +109,13 @@
             elif not any(t >= at for (u, _), ts in heard.items() if u == uid for t in ts):
                 never += 1
     times.sort()
-    figures = {f"p{q}_ms": round(times[int(q / 100 * (len(times) - 1))], 1) if times else None
-               for q in (50, 90, 99)}
-    return {"changes": len(changes), "heard": len(times), **figures,
-            "most_ms": round(times[-1], 1) if times else None, "never": never}
+    figures = {
+        f"p{q}_ms": round(times[int(q / 100 * (len(times) - 1))], 1) if times else None for q in (50, 90, 99)
+    }
+    return {
+        "changes": len(changes),
+        "heard": len(times),
+        **figures,
+        "most_ms": round(times[-1], 1) if times else None,
+        "never": never,
+    }
