--- a/ospreyline/rig/hollow.py
+++ b/ospreyline/rig/hollow.py
@@ -68,8 +68,15 @@
 
     async def start(self, what: dict[str, Any]) -> None:
         self._proc = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ospreyline.fleet.hollow", stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, limit=1 << 28, cwd=ROOT, start_new_session=True)
+            sys.executable,
+            "-m",
+            "ospreyline.fleet.hollow",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=1 << 28,
+            cwd=ROOT,
+            start_new_session=True,
+        )
         self.order({"name": self.name, "role": self.role, **what})
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
@@ -136,8 +143,16 @@
 
     async def _begin(self, process: Process, what: dict[str, Any]) -> None:
         plan = asdict(self.plan)
-        keys = ("services", "upstreams", "subscribers", "per", "seed", "config_per_s", "replaced_per_s",
-                "gone_after_s")
+        keys = (
+            "services",
+            "upstreams",
+            "subscribers",
+            "per",
+            "seed",
+            "config_per_s",
+            "replaced_per_s",
+            "gone_after_s",
+        )
         await process.start({**{key: plan[key] for key in keys}, **what})
 
     async def _load(self) -> None:
@@ -148,17 +163,28 @@
         for i, fan in enumerate(self.fans):
             await self._begin(fan, {"at": at, "number": i, "count": len(self.fans)})
         await self._up(self.fans)
-        await self._until("fan-out machines", lambda: sum(
-            bool(f.rows and f.rows[-1]["ready"]) for f in self.fans), len(self.fans), begun)
+        await self._until(
+            "fan-out machines",
+            lambda: sum(bool(f.rows and f.rows[-1]["ready"]) for f in self.fans),
+            len(self.fans),
+            begun,
+        )
         self.loaded["fanouts_s"] = monotonic() - begun
         many = self.plan.of_a_process
         publishers = [[f.name, self.regions[i % len(self.regions)]] for i, f in enumerate(self.fans)]
         for first in range(0, self.plan.subscribers, many):
             process = Process(f"p{first // many}", "subscribers")
             self.subs.append(process)
-            await self._begin(process, {
-                "at": [[f.name, *f.at] for f in self.fans], "publishers": publishers, "zones": self.regions,
-                "first": first, "many": min(many, self.plan.subscribers - first)})
+            await self._begin(
+                process,
+                {
+                    "at": [[f.name, *f.at] for f in self.fans],
+                    "publishers": publishers,
+                    "zones": self.regions,
+                    "first": first,
+                    "many": min(many, self.plan.subscribers - first),
+                },
+            )
         await self._up(self.subs)
         await self._until("balancers", self._whole, self.plan.subscribers, begun)
         self.loaded["all_s"] = monotonic() - begun
@@ -198,6 +224,7 @@
 
     async def _without(self, name: str, lost: list[Process], number: int) -> None:
         """Some are stopped or killed as the phase begins; what was stopped goes on after it, and is heard."""
+
         def lose() -> None:
             for process in lost:
                 process.signal(number)
@@ -212,7 +239,7 @@
 
     async def _zone(self) -> None:
         """All fan-out machines of a region, without a word."""
-        await self._without("zone stopped", self.fans[1::len(self.regions)], signal.SIGSTOP)
+        await self._without("zone stopped", self.fans[1 :: len(self.regions)], signal.SIGSTOP)
 
     async def _killed(self) -> None:
         count = max(1, len(self.fans) // 5)
@@ -228,7 +255,8 @@
     async def _region(self) -> None:
         """One region is cut off from all others and the source, then healed."""
         cut = self.regions[2 % len(self.regions)]
-        inside = self.fans[2 % len(self.regions)::len(self.regions)]
+        inside = self.fans[2 % len(self.regions) :: len(self.regions)]
+
         def become(cut: str) -> None:
             for process in [*inside, *self.subs]:
                 process.order({"cut": cut})
@@ -241,7 +269,8 @@
         rows = [p.rows[-1] for p in [self.source, *self.fans] if not p.gone]
         since = self.spans[-1][1] + 1e3
         return not self.source.rows[-1]["planned"] and all(
-            row["t"] > since and row["phase"] == "end" and not row["backlog"] for row in rows)
+            row["t"] > since and row["phase"] == "end" and not row["backlog"] for row in rows
+        )
 
     async def _gather(self) -> dict[str, Any]:
         self.source.order({"quiet": True})
@@ -269,8 +298,12 @@
 
 def spread(found: list[float]) -> dict[str, float]:
     found = sorted(found)
-    return {"count": len(found), "p50": round(share(found, 0.5), 1), "p99": round(share(found, 0.99), 1),
-            "most": round(found[-1], 1) if found else 0.0}
+    return {
+        "count": len(found),
+        "p50": round(share(found, 0.5), 1),
+        "p99": round(share(found, 0.99), 1),
+        "most": round(found[-1], 1) if found else 0.0,
+    }
 
 
 def judge(run: Run) -> dict[str, Any]:
@@ -306,7 +339,7 @@
         for n, scope, at, kind in changes:
             for number in wanting.get(scope, ()):
                 rows = took.get((number, scope), [])
-                later = [t for _, t in rows[bisect_left(rows, (n, 0.0)):]]
+                later = [t for _, t in rows[bisect_left(rows, (n, 0.0)) :]]
                 if (one := exact.get((number, scope, n))) is not None:
                     later.append(one)
                 if later:
@@ -315,18 +348,28 @@
                     never += 1
         every = [w for found in waits.values() for w in found]
         phases[name] = {
-            "seconds": round((ended - begun) / 1e3, 1), "changes": len(changes), "never": never,
-            "in_force_ms": spread(every), "over_4_s": sum(w > ALLOWED for w in every),
+            "seconds": round((ended - begun) / 1e3, 1),
+            "changes": len(changes),
+            "never": never,
+            "in_force_ms": spread(every),
+            "over_4_s": sum(w > ALLOWED for w in every),
             "by_kind_ms": {kind: spread(found) for kind, found in sorted(waits.items())},
-            "deaf_ms": spread(deaf.get(name, [])), "until_whole_ms": spread(whole.get(name, [])),
-            "source": used([run.source], name), "fanout": used(run.fans, name),
-            "subscriber": used(run.subs, name)}
+            "deaf_ms": spread(deaf.get(name, [])),
+            "until_whole_ms": spread(whole.get(name, [])),
+            "source": used([run.source], name),
+            "fanout": used(run.fans, name),
+            "subscriber": used(run.subs, name),
+        }
     plan = asdict(run.plan)
     subscribers = max(1, run.plan.subscribers)
-    return {"slopes": slopes(run.plan, phases, held / subscribers),
-            "plan": plan, "loaded_s": {k: round(v, 1) for k, v in run.loaded.items()},
-            "records_a_subscriber": round(records / subscribers, 1),
-            "held_bytes_a_subscriber": round(held / subscribers), "phases": phases}
+    return {
+        "slopes": slopes(run.plan, phases, held / subscribers),
+        "plan": plan,
+        "loaded_s": {k: round(v, 1) for k, v in run.loaded.items()},
+        "records_a_subscriber": round(records / subscribers, 1),
+        "held_bytes_a_subscriber": round(held / subscribers),
+        "phases": phases,
+    }
 
 
 def slopes(plan: Plan, phases: dict[str, Any], held: float) -> dict[str, list[float]]:
@@ -340,25 +383,37 @@
             "scoped_bytes_s": [services, one["bytes_a_second"]],
             "scoped_messages_s": [services, one["words_a_second"]],
             "scoped_in_force_s": [plan.subscribers, steady["in_force_ms"]["p99"] / 1e3],
-            "fan_cpu_pct": [each, fan["cpu_percent"]], "fan_bytes_s": [each, fan["bytes_a_second"]],
+            "fan_cpu_pct": [each, fan["cpu_percent"]],
+            "fan_bytes_s": [each, fan["bytes_a_second"]],
             "fan_messages_s": [each, fan["words_a_second"]],
-            "fan_memory_mb": [plan.upstreams, fan["most_mb"]]}
+            "fan_memory_mb": [plan.upstreams, fan["most_mb"]],
+        }
     if (restarted := phases.get("all restarted")) is not None:
         found["scoped_return_bytes"] = [
-            services, restarted["subscriber"]["bytes_a_second"] * restarted["seconds"]]
+            services,
+            restarted["subscriber"]["bytes_a_second"] * restarted["seconds"],
+        ]
     deaf = [p["deaf_ms"]["most"] for name, p in phases.items() if name.endswith(("killed", "stopped"))]
     if deaf:
         found["scoped_deaf_s"] = [plan.subscribers, max(deaf) / 1e3]
     found["source_calls_most_s"] = [
-        plan.fanouts, max((p["source"]["most_calls_a_second"] for p in phases.values()), default=0.0)]
+        plan.fanouts,
+        max((p["source"]["most_calls_a_second"] for p in phases.values()), default=0.0),
+    ]
     return found
 
 
 def used(processes: list[Process], phase: str) -> dict[str, float]:
     """What one of a role used in a phase: means over all, and the most of one second of one process."""
     cpu = seconds = went = calls = words = moves = 0.0
-    most = {"mb": 0.0, "lag_ms": 0.0, "backlog": 0.0, "calls_a_second": 0.0, "words_a_second": 0.0,
-            "cpu_percent": 0.0}
+    most = {
+        "mb": 0.0,
+        "lag_ms": 0.0,
+        "backlog": 0.0,
+        "calls_a_second": 0.0,
+        "words_a_second": 0.0,
+        "cpu_percent": 0.0,
+    }
     ones = 0.0
     for process in processes:
         rows = [row for row in process.rows if row["phase"] == phase]
@@ -383,35 +438,46 @@
         words += rows[-1]["words"] - rows[0]["words"] + rows[-1]["said"] - rows[0]["said"]
         moves += rows[-1].get("moves", 0) - rows[0].get("moves", 0)
     seconds = max(seconds, 1e-3)
-    return {"cpu_percent": round(100 * cpu / seconds, 4), "bytes_a_second": round(went / seconds, 1),
-            "words_a_second": round(words / seconds, 2), "calls_a_second": round(calls / seconds, 3),
-            "moves": moves, "processes": len(processes),
-            **{f"most_{k}": round(v, 1) for k, v in most.items()}}
+    return {
+        "cpu_percent": round(100 * cpu / seconds, 4),
+        "bytes_a_second": round(went / seconds, 1),
+        "words_a_second": round(words / seconds, 2),
+        "calls_a_second": round(calls / seconds, 3),
+        "moves": moves,
+        "processes": len(processes),
+        **{f"most_{k}": round(v, 1) for k, v in most.items()},
+    }
 
 
 def table(found: dict[str, Any]) -> str:
     """The figures of a run in lines."""
     plan = found["plan"]
-    lines = [f"{plan['subscribers']} balancers, {plan['fanouts']} fan-out machines, "
-             f"{plan['services']} services, {plan['upstreams']} upstreams; "
-             f"{found['records_a_subscriber']:.0f} records a balancer; all had all after "
-             f"{found['loaded_s']['all_s']:.0f} s"]
+    lines = [
+        f"{plan['subscribers']} balancers, {plan['fanouts']} fan-out machines, "
+        f"{plan['services']} services, {plan['upstreams']} upstreams; "
+        f"{found['records_a_subscriber']:.0f} records a balancer; all had all after "
+        f"{found['loaded_s']['all_s']:.0f} s"
+    ]
     for name, phase in found["phases"].items():
         force, deaf = phase["in_force_ms"], phase["deaf_ms"]
         lines.append(
             f"{name:14} {phase['changes']:4} changes, in force p50 {force['p50']:.0f} p99 {force['p99']:.0f} "
             f"most {force['most']:.0f} ms (never {phase['never']}, over 4 s {phase['over_4_s']}); deaf p50 "
-            f"{deaf['p50']:.0f} p99 {deaf['p99']:.0f} most {deaf['most']:.0f} ms")
+            f"{deaf['p50']:.0f} p99 {deaf['p99']:.0f} most {deaf['most']:.0f} ms"
+        )
         for role in ("subscriber", "fanout", "source"):
             one = phase[role]
             lines.append(
                 f"  {role:12} {one['cpu_percent']:8.3f}% of a core, {one['bytes_a_second']:9.0f} bytes/s, "
                 f"most: {one['most_calls_a_second']:.0f} calls/s, backlog {one['most_backlog']:.0f}, "
-                f"{one['most_mb']:.0f} MB, lag {one['most_lag_ms']:.0f} ms; moves {one['moves']:.0f}")
+                f"{one['most_mb']:.0f} MB, lag {one['most_lag_ms']:.0f} ms; moves {one['moves']:.0f}"
+            )
         if phase["until_whole_ms"]["count"]:
             one = phase["until_whole_ms"]
-            lines.append(f"  from a restart to all held: p50 {one['p50']:.0f} p99 {one['p99']:.0f} most "
-                         f"{one['most']:.0f} ms ({one['count']})")
+            lines.append(
+                f"  from a restart to all held: p50 {one['p50']:.0f} p99 {one['p99']:.0f} most "
+                f"{one['most']:.0f} ms ({one['count']})"
+            )
     return "\n".join(lines)
 
 
@@ -453,21 +519,42 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "to", type=click.Path(dir_okay=False, path_type=Path), help="Figures, as JSON.")
 @click.option("--plot", "picture", type=click.Path(dir_okay=False, path_type=Path), help="A picture (PNG).")
-def scopes(subscribers: int, fanouts: int, services: int, upstreams: int, per: int, steps: str,
-           steady_s: float, seed: int, to: Path | None, picture: Path | None) -> None:
+def scopes(
+    subscribers: int,
+    fanouts: int,
+    services: int,
+    upstreams: int,
+    per: int,
+    steps: str,
+    steady_s: float,
+    seed: int,
+    to: Path | None,
+    picture: Path | None,
+) -> None:
     """Scoped subscriptions at size: hollow balancers behind fan-out machines, changes and faults.
 
     Status 1 if a change was never in force somewhere, 2 at a wrong option, 3 if the run could not be had.
     """
     from rich.console import Console
 
-    plan = Plan(subscribers=subscribers, fanouts=fanouts, services=services, upstreams=upstreams, per=per,
-                steady_s=steady_s, seed=seed)
+    plan = Plan(
+        subscribers=subscribers,
+        fanouts=fanouts,
+        services=services,
+        upstreams=upstreams,
+        per=per,
+        steady_s=steady_s,
+        seed=seed,
+    )
     wanted = [step for step in steps.split(",") if step]
     wrong = [step for step in wanted if step not in STEPS]
     if wrong or min(subscribers, fanouts, services, upstreams, per) < 1:
-        click.echo(f"ospreyline: --steps: {wrong[0]} is none of {', '.join(STEPS)}" if wrong
-                   else "ospreyline: sizes are 1 or more", err=True)
+        click.echo(
+            f"ospreyline: --steps: {wrong[0]} is none of {', '.join(STEPS)}"
+            if wrong
+            else "ospreyline: sizes are 1 or more",
+            err=True,
+        )
         sys.exit(2)
     console = Console(stderr=True)
     try:
--- a/ospreyline/rig/keeper.py
+++ b/ospreyline/rig/keeper.py
@@ -17,8 +17,13 @@
 
 STARVED = 30.0  # ms in LOOK that a process was ready to run and did not, which is told
 LOOK = 100.0  # ms
-SIGNALS = {"stop": signal.SIGSTOP, "go on": signal.SIGCONT, "term": signal.SIGTERM, "kill": signal.SIGKILL,
-           "hup": signal.SIGHUP}
+SIGNALS = {
+    "stop": signal.SIGSTOP,
+    "go on": signal.SIGCONT,
+    "term": signal.SIGTERM,
+    "kill": signal.SIGKILL,
+    "hup": signal.SIGHUP,
+}
 
 
 class Keeper:
@@ -64,8 +69,13 @@
                 await asyncio.sleep(0)  # a hundred of them take a while
                 with open(one["log"], "ab") as log:
                     self._procs[one["name"]] = subprocess.Popen(
-                        one["command"], stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                        cwd=one["folder"], process_group=0)
+                        one["command"],
+                        stdin=subprocess.DEVNULL,
+                        stdout=log,
+                        stderr=log,
+                        cwd=one["folder"],
+                        process_group=0,
+                    )
                 self._waited.pop(one["name"], None)
                 self.worker.row("spawned", name=one["name"], pid=self._procs[one["name"]].pid)
             pids = {one["name"]: self._procs[one["name"]].pid for one in order["processes"]}
--- a/ospreyline/rig/ready.py
+++ b/ospreyline/rig/ready.py
@@ -70,7 +70,8 @@
     began = monotonic()
     with errors.open("ab") as log:
         process = await asyncio.create_subprocess_exec(
-            *command, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=log, cwd=ROOT)
+            *command, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=log, cwd=ROOT
+        )
     assert process.stdout is not None
     reading: asyncio.Task[bytes] | None = None
     try:
@@ -104,8 +105,17 @@
             await reading
 
 
-async def _measure(count: int, state: str, known: bool, pushed: bool, must_ask_s: float, seconds: float,
-                   seed: int, out: Path, back: float) -> list[Start]:
+async def _measure(
+    count: int,
+    state: str,
+    known: bool,
+    pushed: bool,
+    must_ask_s: float,
+    seconds: float,
+    seed: int,
+    out: Path,
+    back: float,
+) -> list[Start]:
     await asyncio.to_thread(compile_dir, f"{ROOT}/ospreyline", quiet=2)  # as the deployment's build does
     entries = [{"uid": f"s{i}", "machine": i, "az": "", "state": "active", "boot_ms": 0} for i in range(3)]
     at_all = {str(entry["machine"]): f"127.0.0.1:{9 + i}" for i, entry in enumerate(entries)}
@@ -113,11 +123,23 @@
     waiting = asyncio.ensure_future(service.said("listening", seconds))
     await asyncio.sleep(0)  # its future stands before the process can speak
     try:
-        await service.start("registry", {
-            "origin": monotonic() * 1e3, "seed": seed, "rows": str(out / "rows.jsonl"), "listen": "127.0.0.1",
-            "named": {}, "entries": entries, "endpoints": {"": at_all},
-            "calls_per_s": count / SLOW if state == "slow" else 0.0, "queue": 4 * count, "retry_after_s": 0.0,
-            "period_ms": 10.0}, out / "list.log")
+        await service.start(
+            "registry",
+            {
+                "origin": monotonic() * 1e3,
+                "seed": seed,
+                "rows": str(out / "rows.jsonl"),
+                "listen": "127.0.0.1",
+                "named": {},
+                "entries": entries,
+                "endpoints": {"": at_all},
+                "calls_per_s": count / SLOW if state == "slow" else 0.0,
+                "queue": 4 * count,
+                "retry_after_s": 0.0,
+                "period_ms": 10.0,
+            },
+            out / "list.log",
+        )
         at = (await waiting)["at"]
         down = {"do": "fault", "kind": "registry-hang" if state == "hang" else "registry-down"}
         if state in ("hang", "down", "back"):
@@ -129,7 +151,8 @@
         tasks = []
         for number, start in enumerate(starts):
             told = configuration(
-                scenario, number, "127.0.0.1:0", "{}:{}".format(*at), seed * 1009 + number, listed)
+                scenario, number, "127.0.0.1:0", "{}:{}".format(*at), seed * 1009 + number, listed
+            )
             told["settings"] |= {"Balancers": count, "Discovery": "push" if pushed else "ask"}
             told["settings"]["Invariants"]["MustAskInUs"] = 1e6 * must_ask_s
             file = out / f"b{number}.json"
@@ -158,9 +181,18 @@
     return found
 
 
-def measure(count: int, state: str, out: Path, known: bool = True, pushed: bool = False,
-            must_ask_s: float = 10.0, seconds: float = 30.0, seed: int = 1,
-            back: float = BACK) -> list[Start]:
+def measure(
+    count: int,
+    state: str,
+    out: Path,
+    known: bool = True,
+    pushed: bool = False,
+    must_ask_s: float = 10.0,
+    seconds: float = 30.0,
+    seed: int = 1,
+    back: float = BACK,
+) -> list[Start]:
     """Start so many at once; each gets `seconds` at the most."""
-    return asyncio.run(_ended_by_signals(
-        _measure(count, state, known, pushed, must_ask_s, seconds, seed, out, back)))
+    return asyncio.run(
+        _ended_by_signals(_measure(count, state, known, pushed, must_ask_s, seconds, seed, out, back))
+    )
--- a/ospreyline/rig/referee.py
+++ b/ospreyline/rig/referee.py
@@ -105,8 +105,9 @@
         self.breaches: list[Breach] = []
         self.pushed = 0.0  # the nearest that a cold upstream came to its bound, 1 for reaching it
 
-    def _found(self, rule: str, at: float, what: str, visit: str = "", balancer: str = "",
-               upstream: int = -1) -> None:
+    def _found(
+        self, rule: str, at: float, what: str, visit: str = "", balancer: str = "", upstream: int = -1
+    ) -> None:
         self.breaches.append(Breach(rule, round(at, 3), visit, balancer, upstream, what))
 
     def judge(self, rows: Iterable[Row]) -> list[Breach]:
@@ -150,12 +151,14 @@
             elif row["k"] == "ended":
                 spans.begin(at)
                 if not row["wanted"]:
-                    self._found("crash", at, f"ended by itself with status {row['status']}",
-                                balancer=row["name"])
+                    self._found(
+                        "crash", at, f"ended by itself with status {row['status']}", balancer=row["name"]
+                    )
                 elif row["status"] not in (0, -9) and not (row["status"] == -15 and row["name"] in starting):
                     # (one that was told to stop before it was there has not yet learnt to end in order)
-                    self._found("crash", at, f"told to stop, ended with status {row['status']}",
-                                balancer=row["name"])
+                    self._found(
+                        "crash", at, f"told to stop, ended with status {row['status']}", balancer=row["name"]
+                    )
             elif row["what"] in ("stop", "kill"):
                 spans.begin(at)
             elif row["what"] == "go on":
@@ -194,8 +197,16 @@
                 balancer, _, upstream = row["link"].partition(">")
                 if not upstream.startswith("u"):
                     continue
-                fetch = {"first": row["first"], "last": row["t"], "b": balancer, "u": int(upstream[1:]),
-                         "end": inf, "never": False, "id": row["id"], "prefix": row["prefix"]}
+                fetch = {
+                    "first": row["first"],
+                    "last": row["t"],
+                    "b": balancer,
+                    "u": int(upstream[1:]),
+                    "end": inf,
+                    "never": False,
+                    "id": row["id"],
+                    "prefix": row["prefix"],
+                }
                 out.setdefault(row["id"], []).append(fetch)
                 open_[row["link"], row["id"]] = fetch
             elif row["k"] in ("answered", "unanswered"):
@@ -215,26 +226,49 @@
             at, sent, balancer = row["t"], row["sent"], f"b{row['b']}"
             mine = fetches.get(row["id"], [])
             if row["how"] != "answer" and not self._excused(row["b"], sent, at):
-                self._found("lost", at, {"none": "no answer before its client's time was over",
-                                         "cut": "its connection ended without an answer"}.get(
-                                             row["how"], "an answer that cannot be read"),
-                            row["id"], balancer)
+                self._found(
+                    "lost",
+                    at,
+                    {
+                        "none": "no answer before its client's time was over",
+                        "cut": "its connection ended without an answer",
+                    }.get(row["how"], "an answer that cannot be read"),
+                    row["id"],
+                    balancer,
+                )
             if not row["own"]:
                 self._found("lost", at, "an answer that was not made for it", row["id"], balancer)
             self._second(row, mine)
             for fetch in mine:
                 if row["how"] == "answer" and fetch["first"] > at + self._slack:
-                    self._found("lost", fetch["first"], "sent on after its final answer", row["id"],
-                                fetch["b"], fetch["u"])
+                    self._found(
+                        "lost",
+                        fetch["first"],
+                        "sent on after its final answer",
+                        row["id"],
+                        fetch["b"],
+                        fetch["u"],
+                    )
                 elif fetch["first"] > max(until[row["id"]], self._passed_on(row["b"], sent)) + self._slack:
-                    self._found("lost", fetch["first"], "sent on after its client's time", row["id"],
-                                fetch["b"], fetch["u"])
+                    self._found(
+                        "lost",
+                        fetch["first"],
+                        "sent on after its client's time",
+                        row["id"],
+                        fetch["b"],
+                        fetch["u"],
+                    )
             terms = self._terms[row["prefix"]]
             harmless = terms.kind == "read-like" or (terms.kind == "tagged" and terms.scope == "all")
             bounced = row["how"] == "answer" and row["status"] in (429, 503)
             if bounced and not harmless and any(not f["never"] for f in mine):
-                self._found("twice", at, "bounced, though it may have run and its repeat is not harmless",
-                            row["id"], balancer)
+                self._found(
+                    "twice",
+                    at,
+                    "bounced, though it may have run and its repeat is not harmless",
+                    row["id"],
+                    balancer,
+                )
 
     def _second(self, row: Row, mine: list[dict[str, Any]]) -> None:
         """What an earlier fetch of the visit forbids."""
@@ -248,8 +282,9 @@
                     continue
                 elif terms.kind == "mutating":
                     why = "a mutating visit was sent on after it may have run"
-                elif ((terms.scope != "all" and self._zones[other["u"]] != self._zones[fetch["u"]])
-                      or fetch["first"] >= other["last"] + terms.window_ms + self._slack):
+                elif (terms.scope != "all" and self._zones[other["u"]] != self._zones[fetch["u"]]) or fetch[
+                    "first"
+                ] >= other["last"] + terms.window_ms + self._slack:
                     why = "a tagged visit was sent on outside its window or scope"
                 if why:
                     self._found("twice", fetch["first"], why, row["id"], fetch["b"], fetch["u"])
@@ -268,8 +303,13 @@
                 want, prefix = wants[row["id"]]
                 if self._terms[prefix].kind == "mutating":
                     if want in ran:
-                        self._found("twice", row["t"], f"ran twice, first as {ran[want]}", row["id"],
-                                    upstream=row["u"])
+                        self._found(
+                            "twice",
+                            row["t"],
+                            f"ran twice, first as {ran[want]}",
+                            row["id"],
+                            upstream=row["u"],
+                        )
                     ran[want] = row["id"]
 
     def _takings(self, rows: Sequence[Row], fetches: Mapping[str, list[dict[str, Any]]]) -> None:
@@ -285,16 +325,27 @@
             if row["k"] != "try":
                 continue
             if row["outcome"] == "answered" and row["status"] == 200 and ran.get(row["id"], inf) > row["t"]:
-                self._found("taken", row["t"], "told the answer of a visit that had not run", row["id"],
-                            f"b{row['b']}")
+                self._found(
+                    "taken",
+                    row["t"],
+                    "told the answer of a visit that had not run",
+                    row["id"],
+                    f"b{row['b']}",
+                )
         for id_, mine in fetches.items():
             mine = sorted(mine, key=lambda f: f["first"])
             terms = self._terms.get(mine[0]["prefix"])
             if terms is None:
                 continue
             if len(mine) > self._s.bank.max_fetches:
-                self._found("taken", mine[-1]["first"], f"{len(mine)} fetches by all balancers together", id_,
-                            mine[-1]["b"], mine[-1]["u"])
+                self._found(
+                    "taken",
+                    mine[-1]["first"],
+                    f"{len(mine)} fetches by all balancers together",
+                    id_,
+                    mine[-1]["b"],
+                    mine[-1]["u"],
+                )
             if terms.kind == "read-like":
                 continue
             for i, fetch in enumerate(mine):
@@ -306,8 +357,14 @@
                 if gone and gone.touches(other["first"], fetch["first"]):
                     continue
                 if not any(other["first"] <= at <= fetch["first"] for at in asked.get((id_, fetch["b"]), [])):
-                    self._found("taken", fetch["first"], f"sent after {other['b']} had taken it", id_,
-                                fetch["b"], fetch["u"])
+                    self._found(
+                        "taken",
+                        fetch["first"],
+                        f"sent after {other['b']} had taken it",
+                        id_,
+                        fetch["b"],
+                        fetch["u"],
+                    )
 
     def _passed_on(self, balancer: int, sent: float) -> float:
         """When a link passed on what its client sent, which is the first that the balancer can know of it."""
@@ -320,8 +377,11 @@
         told: dict[tuple[str, int], float] = {}  # by balancer and upstream: from when on it counts as told
         grace = self._s.rules.drain_grace_ms + self._slack
         sends = sorted((f for fs in fetches.values() for f in fs), key=lambda f: f["first"])
-        news = [r for r in rows if r["k"] in ("told", "listed", "spawned")
-                or (r["k"] == "opened" and ">list" in r["link"])]
+        news = [
+            r
+            for r in rows
+            if r["k"] in ("told", "listed", "spawned") or (r["k"] == "opened" and ">list" in r["link"])
+        ]
         asked: dict[str, float] = {}
         place = 0
         leaving: dict[int, float] = {}  # by upstream: when the list began to say so
@@ -343,8 +403,9 @@
                 late = f"sent {send['first'] - at:.0f} ms after its drain was told"
                 self._found("drain", send["first"], late, send["id"], balancer, upstream)
 
-    def _news(self, row: Row, told: dict[tuple[str, int], float], asked: dict[str, float],
-              leaving: dict[int, float]) -> None:
+    def _news(
+        self, row: Row, told: dict[tuple[str, int], float], asked: dict[str, float], leaving: dict[int, float]
+    ) -> None:
         if row["k"] == "opened":
             asked[row["link"].partition(">")[0]] = row["t"]
         elif row["k"] == "spawned":
@@ -373,8 +434,11 @@
                     active.add(uid_index(uid))
                     newest[uid_index(uid)] = max(newest.get(uid_index(uid), 0), uid_process(uid))
             # that a former process of a machine has left says nothing of the one that was named since
-            away = {uid_index(uid) for uid, state in row["states"]
-                    if state != "active" and uid_process(uid) >= newest.get(uid_index(uid), 0)} - active
+            away = {
+                uid_index(uid)
+                for uid, state in row["states"]
+                if state != "active" and uid_process(uid) >= newest.get(uid_index(uid), 0)
+            } - active
             if row["whole"]:
                 away |= set(range(len(self._groups))) - active
             for index in active:
--- a/ospreyline/rig/registry.py
+++ b/ospreyline/rig/registry.py
@@ -68,8 +68,11 @@
         """What changed after a version; None if the version is none of ours."""
         if not 0 < rev <= self.rev:
             return None
-        return [self.entries.get(uid) or self._left[uid]
-                for uid, at in sorted(self._changed.items(), key=lambda item: item[1]) if at > rev]
+        return [
+            self.entries.get(uid) or self._left[uid]
+            for uid, at in sorted(self._changed.items(), key=lambda item: item[1])
+            if at > rev
+        ]
 
 
 class Call(asyncio.Protocol):
@@ -117,8 +120,10 @@
     def plain(self, status: int, body: bytes, fields: bytes = b"") -> None:
         word = {200: b"OK", 404: b"Not Found", 503: b"Service Unavailable"}[status]
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(b"HTTP/1.1 %d %b\r\n%bConnection: close\r\nContent-Length: %d\r\n\r\n%b" % (
-                status, word, fields, len(body), body))
+            self.transport.write(
+                b"HTTP/1.1 %d %b\r\n%bConnection: close\r\nContent-Length: %d\r\n\r\n%b"
+                % (status, word, fields, len(body), body)
+            )
             self.transport.close()
 
     def reset(self) -> None:
@@ -176,7 +181,8 @@
 
     async def _listen(self) -> None:
         self._server = await self.worker.loop.create_server(
-            lambda: Call(self), *self._at, backlog=1024, reuse_address=True)
+            lambda: Call(self), *self._at, backlog=1024, reuse_address=True
+        )
         self._at = self._server.sockets[0].getsockname()
 
     def _on(self, kind: str) -> bool:
@@ -188,8 +194,14 @@
         now = self.worker.clock.now
         away = now < self._away_until
         waits = None if away or self._on("registry-full") else self.turns.call(now)
-        self.worker.row("call", b=call.balancer, watch=watch, after=after, refused=waits is None,
-                        queue=self.turns.waiting(now))
+        self.worker.row(
+            "call",
+            b=call.balancer,
+            watch=watch,
+            after=after,
+            refused=waits is None,
+            queue=self.turns.waiting(now),
+        )
         if waits is None:
             said = b"Retry-After: %g\r\n" % self._retry_after if self._retry_after else b""
             if away and self._away_wait:
@@ -223,7 +235,7 @@
             whole, entries = changes is None, self.listing.whole() if changes is None else changes
         line = self._line(call, whole, entries)
         if self._on("registry-half"):
-            call.chunk(line[:len(line) // 2])
+            call.chunk(line[: len(line) // 2])
             self.worker.clock.after(5.0, call.transport.abort)
             return
         call.watching = True
@@ -255,10 +267,10 @@
             self._away_until, self._away_wait = max(self._away_until, now + loss.away), loss.wait
         if loss.end == "last-chunk" and line:
             # chunked anew by what passes it on, so that its end is in form behind a part of a line, too
-            call.send(head + (chunked(line[:loss.arrives]) if loss.arrives else b"") + LAST_CHUNK)
+            call.send(head + (chunked(line[: loss.arrives]) if loss.arrives else b"") + LAST_CHUNK)
             call.close()
             return
-        call.send(writing[:loss.arrives])
+        call.send(writing[: loss.arrives])
         if loss.end == "reset":
             # the bytes that arrive are on their way before the reset is
             self.worker.clock.after(1.0 if loss.arrives else 0.0, call.reset)
@@ -274,8 +286,15 @@
             told.append({**entry, "endpoint": own.get(machine, "")})
         loss = self._losses[-1].end if self._losses else ""
         silent = {"heard": round(call.heard, 3)} if loss == "silence" else {}
-        self.worker.row("told", b=call.balancer, rev=rev, whole=whole, lost=loss, **silent,
-                        states=[(e["uid"], e["state"]) for e in told])
+        self.worker.row(
+            "told",
+            b=call.balancer,
+            rev=rev,
+            whole=whole,
+            lost=loss,
+            **silent,
+            states=[(e["uid"], e["state"]) for e in told],
+        )
         return msgspec.json.encode({"rev": rev, "all": whole, "targets": told}) + b"\n"
 
     def _empty_lines(self) -> None:
@@ -305,8 +324,12 @@
             kind, on = order["kind"], order["on"]
             self.faults[kind] = self.faults.get(kind, 0) + on
             if kind.startswith(LOSES):
-                loss = Loss(kind.removeprefix(LOSES), int(order["size"]), 1e3 * order["extra"],
-                            AWAY_WAIT if order["silent"] else 0.0)
+                loss = Loss(
+                    kind.removeprefix(LOSES),
+                    int(order["size"]),
+                    1e3 * order["extra"],
+                    AWAY_WAIT if order["silent"] else 0.0,
+                )
                 if on > 0:
                     self._losses.append(loss)
                 else:
@@ -341,8 +364,9 @@
             await self._listen()
 
     async def end(self) -> None:
-        self.worker.row("turns", longest=self.turns.longest, calls=self.turns.calls,
-                        refused=self.turns.refused)
+        self.worker.row(
+            "turns", longest=self.turns.longest, calls=self.turns.calls, refused=self.turns.refused
+        )
         self._end_watches()
 
 
--- a/ospreyline/rig/relays.py
+++ b/ospreyline/rig/relays.py
@@ -280,8 +280,9 @@
 class Link:
     """One link: a listener, where it leads, and how it is broken."""
 
-    def __init__(self, owner: Relays, name: str, listen: str, source: str, reads: bool,
-                 hub: Hub | None = None) -> None:
+    def __init__(
+        self, owner: Relays, name: str, listen: str, source: str, reads: bool, hub: Hub | None = None
+    ) -> None:
         self.owner = owner
         self.hub = hub  # whose listener it shares
         self.name = name
@@ -311,8 +312,7 @@
         """Make the listener what the faults that are on ask for."""
         if self.hub is not None:
             return
-        wanted = ("refuse" if self.refuses or self.target is None else
-                  "vanish" if self.vanished else "listen")
+        wanted = "refuse" if self.refuses or self.target is None else "vanish" if self.vanished else "listen"
         if wanted == self._state:
             return
         self._state = wanted
@@ -326,7 +326,8 @@
         self.at = self._socket.getsockname()
         if wanted == "listen":
             self._server = await self.owner.worker.loop.create_server(
-                self._accepted, sock=self._socket, backlog=BACKLOG)
+                self._accepted, sock=self._socket, backlog=BACKLOG
+            )
         elif wanted == "vanish":
             # guards: a listener that accepts and says nothing is no vanished machine. With its backlog full
             # a new connection stays in its first step
@@ -371,7 +372,8 @@
             return pair.reset()
         try:
             await self.owner.worker.loop.create_connection(
-                lambda: pair.far, *target, local_addr=(self.source, 0))
+                lambda: pair.far, *target, local_addr=(self.source, 0)
+            )
         except OSError:
             pair.reset()
         else:
@@ -438,7 +440,8 @@
     async def stand(self) -> None:
         if self._server is None:
             self._server = await self.owner.worker.loop.create_server(
-                lambda: Knock(self), *self.at, backlog=BACKLOG)
+                lambda: Knock(self), *self.at, backlog=BACKLOG
+            )
             self.at = self._server.sockets[0].getsockname()
 
     def link(self, source: str) -> Link | None:
@@ -471,9 +474,12 @@
         self.watches: list[Watch] = []
         self.links = {
             one["name"]: Link(self, one["name"], one["listen"], one["source"], one["reads"])
-            for one in setup["links"]}
-        self.hubs = {one["name"]: Hub(self, one["name"], one["listen"], one["sources"])
-                     for one in setup.get("hubs", ())}
+            for one in setup["links"]
+        }
+        self.hubs = {
+            one["name"]: Hub(self, one["name"], one["listen"], one["sources"])
+            for one in setup.get("hubs", ())
+        }
         self._draw = Random(worker.seed)
         self._stopped: dict[int, Link] = {}
 
@@ -482,8 +488,11 @@
             await link.stand()
         for hub in self.hubs.values():
             await hub.stand()
-        self.worker.say("linked", at={name: link.at for name, link in self.links.items() if not link.hub},
-                        hubs={name: hub.at for name, hub in self.hubs.items()})
+        self.worker.say(
+            "linked",
+            at={name: link.at for name, link in self.links.items() if not link.hub},
+            hubs={name: hub.at for name, hub in self.hubs.items()},
+        )
 
     async def told(self, order: dict[str, Any]) -> None:
         do = order["do"]
--- a/ospreyline/rig/results.py
+++ b/ospreyline/rig/results.py
@@ -26,8 +26,9 @@
     histogram = HdrHistogram(1, MOST_US, 3)
     for ms in times:
         histogram.record_value(max(1, int(ms * 1e3)))
-    return {f"p{q}": round(histogram.get_value_at_percentile(q) / 1e3, 2) if times else 0.0
-            for q in (50, 90, 99)}
+    return {
+        f"p{q}": round(histogram.get_value_at_percentile(q) / 1e3, 2) if times else 0.0 for q in (50, 90, 99)
+    }
 
 
 def busiest(times: Sequence[float], span: float) -> int:
@@ -44,8 +45,9 @@
     """The start of a bank of `count`: calls, lists in force, handshakes, counted from a time on."""
     calls = [row for row in rows if row["k"] == "call" and row["t"] >= since]
     served = [row for row in calls if not row["refused"]]
-    spans = [row["t"] for row in rows if row["k"] == "opened" and ">list" in row["link"]
-             and row["t"] >= since]
+    spans = [
+        row["t"] for row in rows if row["k"] == "opened" and ">list" in row["link"] and row["t"] >= since
+    ]
     listed: dict[str, float] = {}
     for row in rows:
         if row["k"] == "told" and row["t"] >= since:
@@ -79,15 +81,23 @@
         "all_ready_s": round((able[-1] - since) / 1e3, 2) if len(able) >= count else None,
         # from its own start to listen until it has a list
         "list_after_start_s": [round(waits[int(q * (len(waits) - 1))] / 1e3, 2) for q in (0.5, 0.99)]
-        if waits else None,
+        if waits
+        else None,
         "calls_in_4_s": sum(row["t"] < since + 4_000.0 for row in calls),
         "all_up_s": round((max(up.values()) - since) / 1e3, 2) if len(up) >= count else None,
         "most_handshakes_a_s": max((busiest(at, 1e3) for at in by.values()), default=0),
     }
 
 
-def summary(s: Scenario, rows: Sequence[Row], breaches: Sequence[Breach], pushed: float, seed: int,
-            lag: float, used: dict[str, Any]) -> dict[str, Any]:
+def summary(
+    s: Scenario,
+    rows: Sequence[Row],
+    breaches: Sequence[Breach],
+    pushed: float,
+    seed: int,
+    lag: float,
+    used: dict[str, Any],
+) -> dict[str, Any]:
     """The figures of one run."""
     settle = 1e3 * s.day.settle
     wants = [row for row in rows if row["k"] == "want" and row["since"] >= settle]
@@ -96,31 +106,48 @@
     gains = {p.name: p.gain for p in s.prefixes}
     late = {p.name: p.late_gain for p in s.prefixes}
     asked = sum(gains[row["prefix"]] for row in wants)
-    won = sum(gains[row["prefix"]] * (1.0 if row["outcome"] == "in time" else late[row["prefix"]])
-              for row in wants if row["outcome"] != "failed")
+    won = sum(
+        gains[row["prefix"]] * (1.0 if row["outcome"] == "in time" else late[row["prefix"]])
+        for row in wants
+        if row["outcome"] != "failed"
+    )
     outcomes = Counter(row["outcome"] for row in wants)
     total = max(1, len(wants))
     counts = Counter(b.rule for b in breaches)
     zone = {f"u{i}": z for i, z in enumerate(_zones(s))}
     sends = [row for row in rows if row["k"] == "asked" and ">u" in row["link"]]
     zones = len(s.zones.names)
-    crossed = sum(int(row["link"][1:].split(">")[0]) % zones != zone[row["link"].split(">")[1]]
-                  for row in sends)
+    crossed = sum(
+        int(row["link"][1:].split(">")[0]) % zones != zone[row["link"].split(">")[1]] for row in sends
+    )
     return {
-        "name": s.name, "seed": seed, "arm": "rig", "balancers": s.bank.count, "upstreams": s.upstreams(),
-        "wanted": len(wants), "gain": round(won / asked, 4) if asked else 0.0,
-        "in_time": round(outcomes["in time"] / total, 4), "late": round(outcomes["late"] / total, 4),
+        "name": s.name,
+        "seed": seed,
+        "arm": "rig",
+        "balancers": s.bank.count,
+        "upstreams": s.upstreams(),
+        "wanted": len(wants),
+        "gain": round(won / asked, 4) if asked else 0.0,
+        "in_time": round(outcomes["in time"] / total, 4),
+        "late": round(outcomes["late"] / total, 4),
         "failed": round(outcomes["failed"] / total, 4),
-        "in_time_5_s": _early(rows, 5_000.0), "met_in_time_5_s": _met(s, rows, 5_000.0),
-        "tries": len(tries), "bounced": sum(row["status"] in (429, 503) for row in tries),
+        "in_time_5_s": _early(rows, 5_000.0),
+        "met_in_time_5_s": _met(s, rows, 5_000.0),
+        "tries": len(tries),
+        "bounced": sum(row["status"] in (429, 503) for row in tries),
         "errored": sum(row["how"] == "answer" and row["status"] not in (200, 429, 503) for row in tries),
         "cut": sum(row["how"] in ("cut", "none", "spoilt") for row in tries),
         "nobody": sum(row["how"] in ("nobody", "unreached") for row in tries),
-        "fetches": len(sends), "crossed": crossed, **quantiles(delivered),
+        "fetches": len(sends),
+        "crossed": crossed,
+        **quantiles(delivered),
         "start": start(rows, s.bank.count),
         **({"asked_again": asked_again(rows)} if s.rig.asks_again else {}),
         "breaches": {rule: counts[rule] for rule in RULES},
-        "pushed": round(pushed, 3), "lag_ms": lag, "void": lag > s.rig.lag_ms, **used,
+        "pushed": round(pushed, 3),
+        "lag_ms": lag,
+        "void": lag > s.rig.lag_ms,
+        **used,
     }
 
 
@@ -186,26 +213,55 @@
         f"  first 5 s: in time {f['in_time_5_s']}, of tries that met a balancer {f['met_in_time_5_s']}",
     ]
     if f.get("resident_mb"):
-        lines.append(f"  a balancer: {f['resident_mb']} MB resident (most {f['most_resident_mb']}), "
-                     f"{f['cpu_s']} s of CPU")
+        lines.append(
+            f"  a balancer: {f['resident_mb']} MB resident (most {f['most_resident_mb']}), "
+            f"{f['cpu_s']} s of CPU"
+        )
     if f.get("asked_again"):
         lines.append("  asked again: " + ", ".join(f"{what} {n}" for what, n in f["asked_again"].items()))
     broken = {rule: n for rule, n in f["breaches"].items() if n}
-    lines.append(f"  rules {'BROKEN: ' + str(broken) if broken else 'kept'}; nearest to a cold bound "
-                 f"{f['pushed']:.0%}; the rig came {f['lag_ms']:g} ms late at the most"
-                 + (" - VOID, the machine was too busy" if f["void"] else ""))
+    lines.append(
+        f"  rules {'BROKEN: ' + str(broken) if broken else 'kept'}; nearest to a cold bound "
+        f"{f['pushed']:.0%}; the rig came {f['lag_ms']:g} ms late at the most"
+        + (" - VOID, the machine was too busy" if f["void"] else "")
+    )
     return "\n".join(lines)
 
 
-def write(out: Path, s: Scenario, rows: Sequence[Row], breaches: Sequence[Breach], figures: dict[str, Any],
-          faults: Sequence[dict[str, Any]], begun: float) -> None:
+def write(
+    out: Path,
+    s: Scenario,
+    rows: Sequence[Row],
+    breaches: Sequence[Breach],
+    figures: dict[str, Any],
+    faults: Sequence[dict[str, Any]],
+    begun: float,
+) -> None:
     """The records of a run, in the laboratory's form."""
     window = 1e3 * s.day.window
     last = max((row["t"] for row in rows if row["k"] in ("want", "try")), default=0.0)
     windows = max(1, int(last / window) + 1)
-    time = [{"t": i * window / 1e3, "wanted": 0, "in_time": 0, "late": 0, "failed": 0, "asked": 0.0,
-             "gain": 0.0, "tries": 0, "bounced": 0, "errored": 0, "cut": 0, "fetches": 0, "crossed": 0,
-             "calls": 0, "probes": 0, "ends": {}} for i in range(windows)]
+    time = [
+        {
+            "t": i * window / 1e3,
+            "wanted": 0,
+            "in_time": 0,
+            "late": 0,
+            "failed": 0,
+            "asked": 0.0,
+            "gain": 0.0,
+            "tries": 0,
+            "bounced": 0,
+            "errored": 0,
+            "cut": 0,
+            "fetches": 0,
+            "crossed": 0,
+            "calls": 0,
+            "probes": 0,
+            "ends": {},
+        }
+        for i in range(windows)
+    ]
     gains = {p.name: p.gain for p in s.prefixes}
     lates = {p.name: p.late_gain for p in s.prefixes}
     delays: list[list[float]] = [[] for _ in range(windows)]
@@ -222,7 +278,8 @@
             into[row["outcome"].replace(" ", "_")] += 1
             into["asked"] += gains[row["prefix"]]
             into["gain"] += gains[row["prefix"]] * {"in time": 1.0, "failed": 0.0}.get(
-                row["outcome"], lates[row["prefix"]])
+                row["outcome"], lates[row["prefix"]]
+            )
         elif kind == "try":
             into["tries"] += 1
             if row["how"] == "answer" and row["status"] == 200:
@@ -249,10 +306,22 @@
             away[row["u"]].append((row["t"], float("inf")))
         elif row["k"] == "started" and away[row["u"]]:
             away[row["u"]][-1] = (away[row["u"]][-1][0], row["t"])
-    servers = [{"t": i * window / 1e3, "server": u, "zone": names[zones[u]], "warmth": 1.0,
-                "up": not any(a < (i + 1) * window and b > i * window for a, b in away[u]),
-                "slow": 1.0, "held": held[i][u], "busy": 0.0, "done": held[i][u], "turned_away": 0}
-               for i in range(windows) for u in range(s.upstreams())]
+    servers = [
+        {
+            "t": i * window / 1e3,
+            "server": u,
+            "zone": names[zones[u]],
+            "warmth": 1.0,
+            "up": not any(a < (i + 1) * window and b > i * window for a, b in away[u]),
+            "slow": 1.0,
+            "held": held[i][u],
+            "busy": 0.0,
+            "done": held[i][u],
+            "turned_away": 0,
+        }
+        for i in range(windows)
+        for u in range(s.upstreams())
+    ]
     carried = [{**f, "from": (f["from"] - begun) / 1e3, "to": (f["to"] - begun) / 1e3} for f in faults]
     for name, lines in (("time", time), ("servers", servers), ("breaches", breaches), ("faults", carried)):
         (out / f"{name}.jsonl").write_bytes(b"".join(_JSON.encode(line) + b"\n" for line in lines))
--- a/ospreyline/rig/run.py
+++ b/ospreyline/rig/run.py
@@ -53,8 +53,17 @@
     async def start(self, kind: str, setup: dict[str, Any], errors: Path) -> None:
         with errors.open("ab") as log:
             self._proc = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ospreyline.rig.worker", kind, stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE, stderr=log, limit=1 << 26, cwd=ROOT, start_new_session=True)
+                sys.executable,
+                "-m",
+                "ospreyline.rig.worker",
+                kind,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                limit=1 << 26,
+                cwd=ROOT,
+                start_new_session=True,
+            )
         assert self._proc.stdin is not None
         self._proc.stdin.write(_JSON.encode(setup) + b"\n")
         self._reader = asyncio.get_running_loop().create_task(self._read())
@@ -129,42 +138,73 @@
     return f"127.{kind}.{number // 200}.{number % 200 + 1}"
 
 
-def configuration(s: Scenario, number: int, listen: str, discovery: str, seed: int,
-                  known: dict[str, Any]) -> dict[str, Any]:
+def configuration(
+    s: Scenario, number: int, listen: str, discovery: str, seed: int, known: dict[str, Any]
+) -> dict[str, Any]:
     """The file of one balancer."""
     groups, zones = s.servers, s.zones.names
     fields = {"in-flight": "inflight", "queue": "queue", "util": "util"}
     reports = [fields[f] for f in s.reports.fields if f in fields] if s.reports.via != "none" else []
     return {
-        "name": f"b{number}", "listen": listen, "discovery": discovery, "seed": f"{seed:x}",
-        "limits": {"sockets": 256, "memory_mb": 64}, "known": known,
+        "name": f"b{number}",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": f"{seed:x}",
+        "limits": {"sockets": 256, "memory_mb": 64},
+        "known": known,
         "settings": {
-            "Balancers": s.bank.count, "Me": number, "Zone": number % len(zones), "Dcs": zones,
+            "Balancers": s.bank.count,
+            "Me": number,
+            "Zone": number % len(zones),
+            "Dcs": zones,
             "Discovery": "ask",
             "PathPrefixes": [
-                {"Name": p.name, "Semantics": SEMANTICS[p.kind], "KeyScope": p.scope,
-                 "ClientTimeoutUs": 1e3 * p.timeout_ms, "TargetLatencyUs": 1e3 * p.target_ms,
-                 "WindowUs": 1e3 * p.window_ms, "Gain": p.gain, "LateGain": p.late_gain}
-                for p in s.prefixes],
-            "Caps": {"Cancel": True, "MostBackendFetches": s.bank.max_fetches, "RetryAfter": True,
-                     "MaxRetryAfterUs": 1e3 * s.goal.max_retry_after_ms, "Probing": s.reports.probes,
-                     "ConnectTimeoutUs": 1e3 * s.links.connect_timeout_ms,
-                     "KeepaliveUs": 1e3 * s.links.keepalive_ms},
+                {
+                    "Name": p.name,
+                    "Semantics": SEMANTICS[p.kind],
+                    "KeyScope": p.scope,
+                    "ClientTimeoutUs": 1e3 * p.timeout_ms,
+                    "TargetLatencyUs": 1e3 * p.target_ms,
+                    "WindowUs": 1e3 * p.window_ms,
+                    "Gain": p.gain,
+                    "LateGain": p.late_gain,
+                }
+                for p in s.prefixes
+            ],
+            "Caps": {
+                "Cancel": True,
+                "MostBackendFetches": s.bank.max_fetches,
+                "RetryAfter": True,
+                "MaxRetryAfterUs": 1e3 * s.goal.max_retry_after_ms,
+                "Probing": s.reports.probes,
+                "ConnectTimeoutUs": 1e3 * s.links.connect_timeout_ms,
+                "KeepaliveUs": 1e3 * s.links.keepalive_ms,
+            },
             "Fees": {"CrossZone": s.goal.cross_fee, "Probe": s.goal.probe_fee},
             "Goal": {"Whole": 1.0 - s.goal.worst_prefix, "WorstClass": s.goal.worst_prefix},
             "Feedback": {"Fields": reports},
-            "Invariants": {"ColdFrom": min(g.cold_from for g in groups),
-                           "MustAskInUs": 1e6 * s.rig.must_ask_s,
-                           "OverloadFactor": s.rules.overload_factor, "TipAfterUs": 1e3 * s.rules.tip_ms,
-                           "WarmWithinUs": 1e3 * max(g.warm_ms for g in groups)}}}
+            "Invariants": {
+                "ColdFrom": min(g.cold_from for g in groups),
+                "MustAskInUs": 1e6 * s.rig.must_ask_s,
+                "OverloadFactor": s.rules.overload_factor,
+                "TipAfterUs": 1e3 * s.rules.tip_ms,
+                "WarmWithinUs": 1e3 * max(g.warm_ms for g in groups),
+            },
+        },
+    }
 
 
 class Day:
     """One day of one scenario; `play` gives its rows."""
 
-    def __init__(self, scenario: Scenario, seed: int, out: Path,
-                 told: Callable[[str], None] = lambda text: None,
-                 live: Callable[[float, list[dict[str, int]]], None] | None = None) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        out: Path,
+        told: Callable[[str], None] = lambda text: None,
+        live: Callable[[float, list[dict[str, int]]], None] | None = None,
+    ) -> None:
         self.scenario = s = scenario
         self.seed = seed
         self.out = out.absolute()
@@ -216,15 +256,23 @@
         self._rows.write(_JSON.encode({"k": kind, "t": round(self.now(), 3), **values}) + b"\n")
 
     async def break_links(self, names: list[str], **order: Any) -> None:
-        await asyncio.gather(*(
-            relay.order(do="fault", links=mine, **order) for relay in self._relays
-            if (mine := [name for name in names if self._relay_of[name] is relay])))
+        await asyncio.gather(
+            *(
+                relay.order(do="fault", links=mine, **order)
+                for relay in self._relays
+                if (mine := [name for name in names if self._relay_of[name] is relay])
+            )
+        )
 
     async def tell_upstreams(self, indices: list[int], **order: Any) -> None:
         count = len(self._upstreams)
-        await asyncio.gather(*(
-            part.order(of=mine, **order) for i, part in enumerate(self._upstreams)
-            if (mine := [index for index in indices if index % count == i])))
+        await asyncio.gather(
+            *(
+                part.order(of=mine, **order)
+                for i, part in enumerate(self._upstreams)
+                if (mine := [index for index in indices if index % count == i])
+            )
+        )
 
     async def tell_list(self, **order: Any) -> None:
         await self._list.order(**order)
@@ -262,17 +310,24 @@
                 await asyncio.gather(*waits)
         except TimeoutError:
             silent = [f"b{b}" for b in balancers if not self._serving[b].is_set()]
-            raise RigError(f"{', '.join(silent[:3])} did not serve within {self.scenario.rig.ready_s:g} s, "
-                           f"see {self.out / 'logs'}") from None
+            raise RigError(
+                f"{', '.join(silent[:3])} did not serve within {self.scenario.rig.ready_s:g} s, "
+                f"see {self.out / 'logs'}"
+            ) from None
         await self.tell_clients(do="starting", balancers=balancers)
 
     def _process(self, b: int) -> dict[str, Any]:
         command = [sys.executable, "-m", "ospreyline", "serve", str(self.out / "config" / f"b{b}.json")]
         if self._operated:
             command += ["--operator", str(self.out / "config" / f"b{b}.toml")]
-        return {"name": f"b{b}", "log": str(self.out / "logs" / f"b{b}.log"), "command": command,
-                "folder": self.scenario.rig.program if self.scenario.rig.program and fnmatchcase(
-                    f"b{b}", self.scenario.rig.program_for) else str(ROOT)}
+        return {
+            "name": f"b{b}",
+            "log": str(self.out / "logs" / f"b{b}.log"),
+            "command": command,
+            "folder": self.scenario.rig.program
+            if self.scenario.rig.program and fnmatchcase(f"b{b}", self.scenario.rig.program_for)
+            else str(ROOT),
+        }
 
     def _operator(self, b: int) -> str:
         """The operator's file of one balancer."""
@@ -283,8 +338,13 @@
             seeds = range(min(mesh.seeds, self.scenario.bank.count))
             peers = [f"b{n}={'{}:{}'.format(*self._links[f'b{n}'])}" for n in seeds if n != b]
             tables.setdefault("fleet", {}).update(
-                bank="rig", listen=f"{address(7, b)}:0", address="{}:{}".format(*self._links[f"b{b}"]),
-                peers=peers, lists=mesh.lists, status="{out}/config/{b}.status")
+                bank="rig",
+                listen=f"{address(7, b)}:0",
+                address="{}:{}".format(*self._links[f"b{b}"]),
+                peers=peers,
+                lists=mesh.lists,
+                status="{out}/config/{b}.status",
+            )
         for table, keys in tables.items():
             lines.append(f"[{table}]")
             for key, value in keys.items():
@@ -368,7 +428,7 @@
                         text = log.read()
                 except FileNotFoundError:
                     continue
-                whole = text[:text.rfind(b"\n") + 1]
+                whole = text[: text.rfind(b"\n") + 1]
                 self._offsets[b] = self._offsets.get(b, 0) + len(whole)
                 for line in whole.splitlines():
                     with suppress(msgspec.DecodeError):
@@ -400,21 +460,28 @@
         if soft < wanted:
             resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, top), hard))
         if top < wanted:
-            self._told(f"{top} descriptors a process are allowed and up to {wanted} may be wanted: "
-                       "more relay_processes make it fewer")
+            self._told(
+                f"{top} descriptors a process are allowed and up to {wanted} may be wanted: "
+                "more relay_processes make it fewer"
+            )
 
     def _setup(self, name: str, number: int = 0) -> dict[str, Any]:
-        return {"origin": self.origin, "seed": self._streams.number(f"{name}-{number}") % (1 << 53),
-                "rows": str(self.out / "rows" / f"{name}-{number}.jsonl")}
-
-    async def _part(self, name: str, place: int, kind: str, said: str, **setup: Any) -> tuple[
-            Process, dict[str, Any]]:
+        return {
+            "origin": self.origin,
+            "seed": self._streams.number(f"{name}-{number}") % (1 << 53),
+            "rows": str(self.out / "rows" / f"{name}-{number}.jsonl"),
+        }
+
+    async def _part(
+        self, name: str, place: int, kind: str, said: str, **setup: Any
+    ) -> tuple[Process, dict[str, Any]]:
         part = Process(f"{name}-{place}", self._heard)
         self._parts.append(part)
         waiting = asyncio.ensure_future(part.said(said, self.scenario.rig.ready_s))
         await asyncio.sleep(0)  # its future stands before the process can speak
-        await part.start(kind, {**self._setup(name, place), **setup},
-                         self.out / "logs" / f"rig-{name}-{place}.log")
+        await part.start(
+            kind, {**self._setup(name, place), **setup}, self.out / "logs" / f"rig-{name}-{place}.log"
+        )
         return part, await waiting
 
     async def _stand(self) -> None:
@@ -428,39 +495,74 @@
         draw = self._streams.uniform("slower")
         setups: list[list[dict[str, Any]]] = [[] for _ in range(per)]
         for i, group in enumerate(self.groups):
-            setups[i % per].append({
-                "index": i, "uid": self.script.uid(i), "listen": address(2, i), "zone": self.zones[i],
-                "group": msgspec.to_builtins(group), "speed": self.speeds[i],
-                "slower": self._drawn(group.crowd.slower, draw)})
+            setups[i % per].append(
+                {
+                    "index": i,
+                    "uid": self.script.uid(i),
+                    "listen": address(2, i),
+                    "zone": self.zones[i],
+                    "group": msgspec.to_builtins(group),
+                    "speed": self.speeds[i],
+                    "slower": self._drawn(group.crowd.slower, draw),
+                }
+            )
         fields = s.reports.fields if s.reports.via != "none" else []
-        found = await asyncio.gather(*(
-            self._part("upstreams", i, "upstreams", "listening", upstreams=mine, fields=fields)
-            for i, mine in enumerate(setups)))
+        found = await asyncio.gather(
+            *(
+                self._part("upstreams", i, "upstreams", "listening", upstreams=mine, fields=fields)
+                for i, mine in enumerate(setups)
+            )
+        )
         self._upstreams = [part for part, _ in found]
         at = {int(i): tuple(where) for _, news in found for i, where in news["at"].items()}
         entries = [self.script.entry(i, 0) for i in range(len(self.groups))]
         if s.rig.relays:
             await self._stand_relays(at)
-            endpoints = {f"b{b}": {str(i): "{}:{}".format(*(self._links[f"b{b}>u{i}"] if s.rig.pairs else w))
-                                   for i, w in at.items()} for b in range(s.bank.count)}
+            endpoints = {
+                f"b{b}": {
+                    str(i): "{}:{}".format(*(self._links[f"b{b}>u{i}"] if s.rig.pairs else w))
+                    for i, w in at.items()
+                }
+                for b in range(s.bank.count)
+            }
         else:
-            endpoints = {b: {str(i): "{}:{}".format(*where) for i, where in at.items()}
-                         for b in ("", *(f"b{b}" for b in range(s.bank.count)))}
+            endpoints = {
+                b: {str(i): "{}:{}".format(*where) for i, where in at.items()}
+                for b in ("", *(f"b{b}" for b in range(s.bank.count)))
+            }
         self._list, news = await self._part(
-            "list", 0, "registry", "listening", listen=address(3, 0), entries=entries, endpoints=endpoints,
+            "list",
+            0,
+            "registry",
+            "listening",
+            listen=address(3, 0),
+            entries=entries,
+            endpoints=endpoints,
             named={address(1, b): f"b{b}" for b in range(s.bank.count)} if s.rig.relays else {},
-            calls_per_s=s.registry.calls_per_s, queue=s.rig.queue, retry_after_s=s.rig.retry_after_s,
-            period_ms=s.registry.period_ms)
+            calls_per_s=s.registry.calls_per_s,
+            queue=s.rig.queue,
+            retry_after_s=s.rig.retry_after_s,
+            period_ms=s.registry.period_ms,
+        )
         where = tuple(news["at"])
         if s.rig.relays:
             await self._target({name: where for name in self._relay_of if ">list" in name})
         for b in range(s.bank.count):
             listed = [{**e, "endpoint": endpoints[f"b{b}"][str(e["machine"])]} for e in entries]
-            known = {"rev": 1 if s.rig.known == "all" else 0, "all": True,
-                     "targets": listed if s.rig.known == "all" else []}
+            known = {
+                "rev": 1 if s.rig.known == "all" else 0,
+                "all": True,
+                "targets": listed if s.rig.known == "all" else [],
+            }
             asks = self._links[f"b{b}>list"] if s.rig.relays else where
-            told = configuration(s, b, f"{address(1, b)}:0", "{}:{}".format(*asks),
-                                 self._streams.number(f"balancer-{b}") % (1 << 53), known)
+            told = configuration(
+                s,
+                b,
+                f"{address(1, b)}:0",
+                "{}:{}".format(*asks),
+                self._streams.number(f"balancer-{b}") % (1 << 53),
+                known,
+            )
             (self.out / "config" / f"b{b}.json").write_bytes(_JSON.encode(told))
             if self._operated:
                 (self.out / "config" / f"b{b}.toml").write_text(self._operator(b))
@@ -490,9 +592,12 @@
             sources = {address(7, a): f"b{a}>b{b}" for a in range(s.bank.count) if a != b}
             of.update(dict.fromkeys(sources.values(), b % per))
             hubs[b % per].append({"name": f"b{b}", "listen": address(8, b), "sources": sources})
-        found = await asyncio.gather(*(
-            self._part("relays", i, "relays", "linked", links=mine, hubs=hubs[i])
-            for i, mine in enumerate(shares)))
+        found = await asyncio.gather(
+            *(
+                self._part("relays", i, "relays", "linked", links=mine, hubs=hubs[i])
+                for i, mine in enumerate(shares)
+            )
+        )
         self._relays = [part for part, _ in found]
         self._relay_of = {name: self._relays[share] for name, share in of.items()}
         for _, news in found:
@@ -501,19 +606,36 @@
             await self._target({f"b{b}>u{u}": where for b in range(s.bank.count) for u, where in at.items()})
 
     async def _target(self, at: dict[str, Any]) -> None:
-        await asyncio.gather(*(
-            relay.order(do="targets", at=mine) for relay in self._relays
-            if (mine := {name: where for name, where in at.items() if self._relay_of[name] is relay})))
+        await asyncio.gather(
+            *(
+                relay.order(do="targets", at=mine)
+                for relay in self._relays
+                if (mine := {name: where for name, where in at.items() if self._relay_of[name] is relay})
+            )
+        )
 
     async def _stand_clients(self) -> None:
         s = self.scenario
         per = s.rig.client_processes
         at = [self._links[f"c>b{b}"] for b in range(s.bank.count)]
-        found = await asyncio.gather(*(
-            self._part("clients", i, "clients", "standing", scenario=msgspec.to_builtins(s), number=i, of=per,
-                       live=self._live is not None, at=at, zones=self.balancer_zones,
-                       bank_seed=self._streams.number("bank") % (1 << 53))
-            for i in range(per)))
+        found = await asyncio.gather(
+            *(
+                self._part(
+                    "clients",
+                    i,
+                    "clients",
+                    "standing",
+                    scenario=msgspec.to_builtins(s),
+                    number=i,
+                    of=per,
+                    live=self._live is not None,
+                    at=at,
+                    zones=self.balancer_zones,
+                    bank_seed=self._streams.number("bank") % (1 << 53),
+                )
+                for i in range(per)
+            )
+        )
         self._clients = [part for part, _ in found]
 
     async def _run(self) -> None:
@@ -529,7 +651,7 @@
                 self._ready = {b: asyncio.Event() for b in everyone}
                 wave = 1 if s.rig.start == "in turn" else WAVE
                 for i in range(0, len(everyone), wave):
-                    await self.start(everyone[i:i + wave])
+                    await self.start(everyone[i : i + wave])
                 if not s.rig.relays:
                     await self._stand_clients()
                     await self.tell_clients(do="starting", balancers=everyone)
@@ -565,8 +687,10 @@
                 await asyncio.gather(*(event.wait() for event in self._ready.values()))
         except TimeoutError:
             late = [f"b{b}" for b, event in self._ready.items() if not event.is_set()]
-            raise RigError(f"{', '.join(late[:3])} and {max(0, len(late) - 3)} more were not ready within "
-                           f"{self.scenario.rig.ready_s:g} s") from None
+            raise RigError(
+                f"{', '.join(late[:3])} and {max(0, len(late) - 3)} more were not ready within "
+                f"{self.scenario.rig.ready_s:g} s"
+            ) from None
 
     def _begin_day(self) -> None:
         self.begun = self.now()
@@ -576,13 +700,20 @@
             part.tell(do="run", until=until)
         for number, fault in enumerate(self.script.faults):
             if fault.on is not None:
-                watch = {"number": number, "seen": fault.on.seen, "link": fault.on.link,
-                         "prefix": fault.on.prefix, "left": fault.on.nth}
+                watch = {
+                    "number": number,
+                    "seen": fault.on.seen,
+                    "link": fault.on.link,
+                    "prefix": fault.on.prefix,
+                    "left": fault.on.nth,
+                }
                 for relay in self._relays:
                     relay.tell(do="watch", watch=watch)
         self.script.begin()
-        self._told(f"the day begins: {self.scenario.bank.count} balancers, {len(self.groups)} upstreams, "
-                   f"{len(self._links)} links")
+        self._told(
+            f"the day begins: {self.scenario.bank.count} balancers, {len(self.groups)} upstreams, "
+            f"{len(self._links)} links"
+        )
 
     async def _together(self, everyone: list[int]) -> None:
         """All at the same moment, into whatever stands there."""
@@ -614,8 +745,11 @@
                 resident.append(int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * page)
         if not resident:
             return {}
-        return {"resident_mb": round(sum(resident) / len(resident), 1),
-                "most_resident_mb": round(max(resident), 1), "cpu_s": round(sum(cpu) / len(cpu), 2)}
+        return {
+            "resident_mb": round(sum(resident) / len(resident), 1),
+            "most_resident_mb": round(max(resident), 1),
+            "cpu_s": round(sum(cpu) / len(cpu), 2),
+        }
 
     async def _end(self) -> None:
         """Everything ends: the keeper last, once nothing asks anything of its processes."""
@@ -662,5 +796,3 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
     return await day.play()
-
-
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -57,8 +57,14 @@
 def entry(i: int, port: int = 9001) -> dict[str, Any]:
     """One upstream of the list, as discovery words it; each has an address of its own on loopback."""
     at = f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:{port}"
-    return {"uid": f"svc-{i // 30}-{i}", "endpoint": at, "az": ZONES[i % len(ZONES)], "pod_group": i % 97,
-            "state": "active", "boot_ms": 0}
+    return {
+        "uid": f"svc-{i // 30}-{i}",
+        "endpoint": at,
+        "az": ZONES[i % len(ZONES)],
+        "pod_group": i % 97,
+        "state": "active",
+        "boot_ms": 0,
+    }
 
 
 def bank(upstreams: int) -> int:
@@ -71,15 +77,37 @@
 
 
 def configuration(upstreams: int, routes: int, discovery: str, port: int = 9001, name: str = "n0") -> bytes:
-    prefixes = [{"Name": f"route-{i}", "Semantics": "repeatable", "ClientTimeoutUs": 2_000_000,
-                 "TargetLatencyUs": 1_000_000, "WindowUs": 1_500_000, "Gain": 1 + i % 3}
-                for i in range(routes)]
-    settings = {"Dcs": list(ZONES), "Zone": 0, "Balancers": bank(upstreams), "Me": 1, "Discovery": "ask",
-                "PathPrefixes": prefixes, "Invariants": {"MustAskInUs": 1e7}}
-    return msgspec.json.encode({
-        "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": "5", "settings": settings,
-        "limits": {"sockets": 1024, "memory_mb": 4096},
-        "known": msgspec.Raw(listing(upstreams, port))})
+    prefixes = [
+        {
+            "Name": f"route-{i}",
+            "Semantics": "repeatable",
+            "ClientTimeoutUs": 2_000_000,
+            "TargetLatencyUs": 1_000_000,
+            "WindowUs": 1_500_000,
+            "Gain": 1 + i % 3,
+        }
+        for i in range(routes)
+    ]
+    settings = {
+        "Dcs": list(ZONES),
+        "Zone": 0,
+        "Balancers": bank(upstreams),
+        "Me": 1,
+        "Discovery": "ask",
+        "PathPrefixes": prefixes,
+        "Invariants": {"MustAskInUs": 1e7},
+    }
+    return msgspec.json.encode(
+        {
+            "name": name,
+            "listen": "127.0.0.1:0",
+            "discovery": discovery,
+            "seed": "5",
+            "settings": settings,
+            "limits": {"sockets": 1024, "memory_mb": 4096},
+            "known": msgspec.Raw(listing(upstreams, port)),
+        }
+    )
 
 
 # processes
@@ -144,8 +172,10 @@
         return 100 * (self.cpu() - before) / (monotonic() - at)
 
 
-LIFTED = ("from ospreyline.fleet import members; members.MOST_MEMBERS = {most}; "
-          "from ospreyline.__main__ import main; main()")
+LIFTED = (
+    "from ospreyline.fleet import members; members.MOST_MEMBERS = {most}; "
+    "from ospreyline.__main__ import main; main()"
+)
 
 
 @asynccontextmanager
@@ -158,8 +188,12 @@
         command += ["--operator", str(operator)]
     begun = monotonic()
     proc = await asyncio.create_subprocess_exec(
-        *command, stdout=asyncio.subprocess.PIPE, limit=1 << 24, start_new_session=True,
-        preexec_fn=_die_with_us)
+        *command,
+        stdout=asyncio.subprocess.PIPE,
+        limit=1 << 24,
+        start_new_session=True,
+        preexec_fn=_die_with_us,
+    )
     process = Process(proc, begun)
     reading = asyncio.create_task(process.read())
     try:
@@ -208,8 +242,14 @@
 async def relaying(port: int) -> AsyncIterator[tuple[str, int]]:
     """A process that passes bytes on and does nothing else: what any process between would add here."""
     proc = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", RELAY, str(port), stdout=asyncio.subprocess.PIPE, start_new_session=True,
-        preexec_fn=_die_with_us)
+        sys.executable,
+        "-c",
+        RELAY,
+        str(port),
+        stdout=asyncio.subprocess.PIPE,
+        start_new_session=True,
+        preexec_fn=_die_with_us,
+    )
     try:
         assert proc.stdout is not None
         yield "127.0.0.1", int(await asyncio.wait_for(proc.stdout.readline(), START))
@@ -241,8 +281,9 @@
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                         b"Transfer-Encoding: chunked\r\n\r\n")
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+            )
             self._chunk(writer, (self.first or msgspec.json.encode({"rev": self.rev, "targets": []})) + b"\n")
             self.watches.append(writer)
             while not writer.is_closing():
@@ -343,8 +384,10 @@
         self._server = await loop.create_server(lambda: _Hollow(self), "127.0.0.1", 0, backlog=512)
         self.at = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
         begun = 1_700_000_000_000  # before that of the one
-        self.entries = {f"m{i}": Entry(f"m{i}", self.at, ZONES[i % len(ZONES)], begun + i, 0, ALIVE)
-                        for i in range(self.count)}
+        self.entries = {
+            f"m{i}": Entry(f"m{i}", self.at, ZONES[i % len(ZONES)], begun + i, 0, ALIVE)
+            for i in range(self.count)
+        }
         return self
 
     async def dial(self, at: tuple[str, int]) -> None:
@@ -495,8 +538,9 @@
 
     prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
     zones = len(ZONES)
-    terms = Deployment(zone=0, zones=zones, balancers=bank(count), number=1, prefixes=(prefix,),
-                       ask_for_list=False)
+    terms = Deployment(
+        zone=0, zones=zones, balancers=bank(count), number=1, prefixes=(prefix,), ask_for_list=False
+    )
     balancer = Balancer(_Nobody(), terms, 7, 100_000.0)
     lines = [Listed(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
     begun = process_time()
@@ -551,8 +595,11 @@
             process.proc.send_signal(signal.SIGHUP)
             await process.until("reloaded")
             if not saturated:
-                found.add("reload_cpu_ms", count,
-                          max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))))
+                found.add(
+                    "reload_cpu_ms",
+                    count,
+                    max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))),
+                )
             # what is added to a request
             if rate and count <= 50_000:
                 address = process.seen["serving"]["listen"].rpartition(":")
@@ -619,14 +666,18 @@
             config.write_bytes(text.replace(b'"Gain":1', b'"Gain":4', 1))
             process.proc.send_signal(signal.SIGHUP)
             await process.until("reloaded")
-            found.add("routes_reload_cpu_ms", count,
-                      max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))))
+            found.add(
+                "routes_reload_cpu_ms",
+                count,
+                max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))),
+            )
     finally:
         service.close()
 
 
-async def by_members(found: Found, folder: Path, count: int, seconds: float, settle: float = 12.0,
-                     losses: int = 8) -> None:
+async def by_members(
+    found: Found, folder: Path, count: int, seconds: float, settle: float = 12.0, losses: int = 8
+) -> None:
     """`serve` among so many members, all others hollow; some of those are lost."""
     service = await ListService().start()
     bank = await HollowBank(count - 1).start()
@@ -663,8 +714,9 @@
                     await asyncio.sleep(0.25)
             await asyncio.sleep(0.5)
             span, now = monotonic() - at, bank.counted()
-            found.add("loss_cpu_ms", count,
-                      max(0.0, 1e3 * (process.cpu() - before - rest / 100 * span) / len(lost)))
+            found.add(
+                "loss_cpu_ms", count, max(0.0, 1e3 * (process.cpu() - before - rest / 100 * span) / len(lost))
+            )
             found.add("loss_messages", count, max(0.0, (now[0] - counted[0] - rests[0] * span) / len(lost)))
             found.add("loss_bytes", count, max(0.0, (now[1] - counted[1] - rests[1] * span) / len(lost)))
             known = process.times.get("member", 0)
@@ -696,8 +748,15 @@
 
     alone = []
     for number in range(count):
-        terms = Deployment(zone=0, zones=3, balancers=count, number=number, prefixes=(prefix,),
-                           ask_for_list=True, must_ask_in=10_000.0)
+        terms = Deployment(
+            zone=0,
+            zones=3,
+            balancers=count,
+            number=number,
+            prefixes=(prefix,),
+            ask_for_list=True,
+            must_ask_in=10_000.0,
+        )
         alone.append(Balancer(_Nobody(), terms, number, 0.0)._asking.due)
     found.add("calls_alone_most_s", count, most(alone))
     paces = []
@@ -738,15 +797,29 @@
 
 
 def steps(sizes: dict[str, tuple[int, ...]], parts: tuple[str, ...]) -> Iterator[tuple[str, int]]:
-    by = {"rank": "upstreams", "whole": "upstreams", "upstreams": "upstreams", "routes": "routes",
-          "members": "members", "calls": "balancers", "pass": "listeners"}
+    by = {
+        "rank": "upstreams",
+        "whole": "upstreams",
+        "upstreams": "upstreams",
+        "routes": "routes",
+        "members": "members",
+        "calls": "balancers",
+        "pass": "listeners",
+    }
     for part in parts:
         for size in sizes[by[part]]:
             yield part, size
 
 
-async def measured(sizes: dict[str, tuple[int, ...]], parts: tuple[str, ...], seconds: float, rate: float,
-                   calls_per_s: float, say: Say, step: Callable[[str], None]) -> Found:
+async def measured(
+    sizes: dict[str, tuple[int, ...]],
+    parts: tuple[str, ...],
+    seconds: float,
+    rate: float,
+    calls_per_s: float,
+    say: Say,
+    step: Callable[[str], None],
+) -> Found:
     """All slopes, by name: (size, value)."""
     found = Found(say)
     with tempfile.TemporaryDirectory(prefix="ospreyline-scale-") as name:
--- a/ospreyline/rig/scenario.py
+++ b/ospreyline/rig/scenario.py
@@ -84,8 +84,23 @@
 
 
 # the laboratory's words that the rig carries out, too
-SHARED = ("slow", "pause", "crash", "zone-loss", "flap", "cut", "errors", "mute", "kill", "restart", "burst",
-          "shrink", "roll", "registry-down", "registry-late")
+SHARED = (
+    "slow",
+    "pause",
+    "crash",
+    "zone-loss",
+    "flap",
+    "cut",
+    "errors",
+    "mute",
+    "kill",
+    "restart",
+    "burst",
+    "shrink",
+    "roll",
+    "registry-down",
+    "registry-late",
+)
 # part of the balancers is told a new address of the list service (SIGHUP); the old one closes 1.5 s later
 MOVED = "registry-moved"
 # words of links and processes
@@ -103,21 +118,37 @@
     "stop": "processes are stopped (SIGSTOP) and continued at the end",
     "starve": "processes are stopped for size ms, every extra ms",
     "crash-loop": "processes are killed size ms after each time that they serve, and started again; each "
-                  "begins at a moment of its own within extra ms",
+    "begins at a moment of its own within extra ms",
     "hup": "processes get SIGHUP once",
     "registry-full": "the list service answers 503 to every call",
     "registry-hang": "the list service sends a head and then nothing",
     "registry-half": "the list service sends half a list and closes",
     "registry-lost": "what the list service writes is lost: a reset takes it away, but for some bytes",
-    **{f"registry-lost-{end}": f"what the list service writes is lost but for size bytes, {how}; calls are "
-                               "turned away for extra s after each, each after 2 s if silent"
-       for end, how in (("last-chunk", "and the answer ends in form"), ("fin", "and closed in order"),
-                        ("reset", "by a reset"), ("silence", "and nothing comes any more"))},
+    **{
+        f"registry-lost-{end}": f"what the list service writes is lost but for size bytes, {how}; calls are "
+        "turned away for extra s after each, each after 2 s if silent"
+        for end, how in (
+            ("last-chunk", "and the answer ends in form"),
+            ("fin", "and closed in order"),
+            ("reset", "by a reset"),
+            ("silence", "and nothing comes any more"),
+        )
+    },
     "registry-back": "the list service tells a list older than the one it told before",
     "registry-swap": "the list names the address of another upstream for part of the upstreams",
 }
-LINK_KINDS = ("drop", "stall", "slow-link", "reset", "refuse", "half-close", "cut-at", "narrow", "vanish",
-              "fin-for-reset")
+LINK_KINDS = (
+    "drop",
+    "stall",
+    "slow-link",
+    "reset",
+    "refuse",
+    "half-close",
+    "cut-at",
+    "narrow",
+    "vanish",
+    "fin-for-reset",
+)
 PROCESS_KINDS = ("stop", "starve", "crash-loop", "hup", "kill", "restart", MOVED)
 # ranges of those of them that are drawn, mildest end first: for_s, part of the balancers, size, extra
 DRAWN: dict[str, tuple[tuple[float, float], ...]] = {
@@ -137,15 +168,21 @@
     "registry-half": ((1, 5), (0, 0), (0, 0), (0, 0)),
     "registry-lost": ((0.5, 4), (0, 0), (0, 0), (0, 0)),
 }
-FAULTS = {**{kind: words.FAULTS[kind] for kind in SHARED}, **OWN,
-          MOVED: "balancers get a new address of the list service by SIGHUP; the old one closes after 1.5 s"}
+FAULTS = {
+    **{kind: words.FAULTS[kind] for kind in SHARED},
+    **OWN,
+    MOVED: "balancers get a new address of the list service by SIGHUP; the old one closes after 1.5 s",
+}
 
 
 def shipped() -> dict[str, str]:
     """The scenarios that come with the rig: their names and their text."""
     folder = resources.files("ospreyline.rig") / "scenarios"
-    return {entry.name.removesuffix(".toml"): entry.read_text("utf-8")
-            for entry in sorted(folder.iterdir(), key=lambda e: e.name) if entry.name.endswith(".toml")}
+    return {
+        entry.name.removesuffix(".toml"): entry.read_text("utf-8")
+        for entry in sorted(folder.iterdir(), key=lambda e: e.name)
+        if entry.name.endswith(".toml")
+    }
 
 
 def load(name: str) -> Scenario:
@@ -177,8 +214,9 @@
 
 def _over(base: dict[str, Any], top: Mapping[str, Any]) -> dict[str, Any]:
     for key, value in top.items():
-        base[key] = _over(base[key], value) if isinstance(value, dict) and isinstance(
-            base.get(key), dict) else value
+        base[key] = (
+            _over(base[key], value) if isinstance(value, dict) and isinstance(base.get(key), dict) else value
+        )
     return base
 
 
@@ -199,10 +237,13 @@
     balancers, upstreams = range(s.bank.count), range(s.upstreams())
     between = balancers if s.rig.fleet.on else range(0)
     moved = balancers if any(fault.kind == MOVED for fault in s.faults) else range(0)
-    return [*(f"c>b{b}" for b in balancers), *(f"b{b}>list" for b in balancers),
-            *(f"b{b}>list2" for b in moved),
-            *(f"b{b}>u{u}" for b in balancers for u in (upstreams if s.rig.pairs else ())),
-            *(f"b{a}>b{b}" for a in between for b in between if a != b)]
+    return [
+        *(f"c>b{b}" for b in balancers),
+        *(f"b{b}>list" for b in balancers),
+        *(f"b{b}>list2" for b in moved),
+        *(f"b{b}>u{u}" for b in balancers for u in (upstreams if s.rig.pairs else ())),
+        *(f"b{a}>b{b}" for a in between for b in between if a != b),
+    ]
 
 
 def drawn(s: Scenario, generator: Any) -> list[Fault]:
@@ -219,7 +260,8 @@
             continue
         for_s, part, size, extra = (
             low + float(generator.random()) * (1 - chance.mildness) * (high - low)
-            for low, high in DRAWN[kind])
+            for low, high in DRAWN[kind]
+        )
         at_s = (0.1 + 0.75 * float(generator.random())) * s.day.seconds
         link = ""
         if kind in LINK_KINDS:
@@ -230,16 +272,31 @@
                 sorts += [f"b{b}>b*", f"b*>b{b}", f"b{b}>b{other if other != b else (b + 1) % count}"]
             link = sorts[int(generator.integers(len(sorts)))]
         part = 0.0 if link else round(max(part, 0.01), 3)
-        out.append(Fault(kind, round(at_s, 2), round(for_s, 2), part, "", "", round(size, 3), round(extra, 3),
-                         link=link, way=WAYS[int(generator.integers(3))]))
+        out.append(
+            Fault(
+                kind,
+                round(at_s, 2),
+                round(for_s, 2),
+                part,
+                "",
+                "",
+                round(size, 3),
+                round(extra, 3),
+                link=link,
+                way=WAYS[int(generator.integers(3))],
+            )
+        )
     return out
 
 
 def _problems(s: Scenario) -> Iterator[tuple[str, str]]:
     """What only the rig asks of a scenario."""
-    for key, figure, most in (("bank.count", s.bank.count, MOST_BALANCERS),
-                              ("servers", s.upstreams(), MOST_UPSTREAMS),
-                              ("day.seconds", s.day.seconds, MOST_SECONDS), ("load", s.rate(), MOST_RATE)):
+    for key, figure, most in (
+        ("bank.count", s.bank.count, MOST_BALANCERS),
+        ("servers", s.upstreams(), MOST_UPSTREAMS),
+        ("day.seconds", s.day.seconds, MOST_SECONDS),
+        ("load", s.rate(), MOST_RATE),
+    ):
         if figure > most:
             yield key, f"{figure:g} is more than the {most:g} that a machine can play"
     for key in ("relay_processes", "client_processes", "upstream_processes"):
--- a/ospreyline/rig/script.py
+++ b/ospreyline/rig/script.py
@@ -39,8 +39,9 @@
 class Script:
     """The faults of one run."""
 
-    def __init__(self, day: Day, faults: list[Fault], seed: int, zones: list[int],
-                 balancer_zones: list[int]) -> None:
+    def __init__(
+        self, day: Day, faults: list[Fault], seed: int, zones: list[int], balancer_zones: list[int]
+    ) -> None:
         self.day = day
         self.faults = faults
         self.log: list[dict[str, Any]] = []  # what was carried out, for the records
@@ -89,8 +90,15 @@
     async def carry_out(self, number: int, fault: Fault) -> None:
         """Begin a fault; its end is put in the clock."""
         begun = self.day.now()
-        entry: dict[str, Any] = {"number": number, "kind": fault.kind, "from": begun, "to": begun,
-                                 "servers": [], "balancers": [], "links": []}
+        entry: dict[str, Any] = {
+            "number": number,
+            "kind": fault.kind,
+            "from": begun,
+            "to": begun,
+            "servers": [],
+            "balancers": [],
+            "links": [],
+        }
         self.log.append(entry)
         act: Callable[[Fault, dict[str, Any]], Awaitable[Undo | None]]
         if fault.kind in LINK_KINDS:
@@ -153,8 +161,12 @@
         zones = self.day.scenario.zones.names
         zone = zones.index(fault.zone or zones[0])
         to = zones.index(fault.to_zone) if fault.to_zone else -1
-        names = [f"b{b}>u{u}" for b, bz in enumerate(self._balancer_zones) for u, uz in enumerate(self._zones)
-                 if bz != uz and ((bz == zone and to in (-1, uz)) or (uz == zone and to in (-1, bz)))]
+        names = [
+            f"b{b}>u{u}"
+            for b, bz in enumerate(self._balancer_zones)
+            for u, uz in enumerate(self._zones)
+            if bz != uz and ((bz == zone and to in (-1, uz)) or (uz == zone and to in (-1, bz)))
+        ]
         entry["links"] = names
         kind = {"kind": "drop", "extra": fault.extra or 0.5}
         await self._break(names, fault, 1, **kind)
@@ -175,8 +187,16 @@
     def entry(self, index: int, boot_ms: int) -> dict[str, Any]:
         """What the list says of a machine."""
         zones = self.day.scenario.zones.names
-        return {"uid": self.uid(index), "az": zones[self._zones[index]], "model": "stand-in", "pod_group": 0,
-                "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms, "machine": index}
+        return {
+            "uid": self.uid(index),
+            "az": zones[self._zones[index]],
+            "model": "stand-in",
+            "pod_group": 0,
+            "state": "active",
+            "capacity_hint": 1.0,
+            "boot_ms": boot_ms,
+            "machine": index,
+        }
 
     async def _learnt(self, wait: float, entry: dict[str, Any]) -> None:
         await asyncio.sleep(wait / 1e3)
@@ -236,7 +256,7 @@
         entry["servers"], entry["balancers"] = met, numbers
         await self._end(met, fault.silent, fault)
         await self._kill_them(numbers)
-        back = met[:ceil(len(met) * fault.size)] if fault.size else met
+        back = met[: ceil(len(met) * fault.size)] if fault.size else met
 
         async def undo() -> None:
             await self._revive(back, fault.silent, fault)
@@ -257,8 +277,9 @@
         batch = max(1, round((fault.size or 0.1) * len(self._zones)))
         steps = ceil(len(met) / batch)
         for i in range(steps):
-            self.spawn(self._replace(fault.for_s * i / steps, met[i * batch:(i + 1) * batch],
-                                     fault.extra or 3.0))
+            self.spawn(
+                self._replace(fault.for_s * i / steps, met[i * batch : (i + 1) * batch], fault.extra or 3.0)
+            )
 
     async def _replace(self, wait: float, met: list[int], drain: float) -> None:
         await asyncio.sleep(wait)
@@ -301,7 +322,9 @@
         batch = max(1, round((fault.size or 0.1) * len(self._balancer_zones)))
         steps = ceil(len(numbers) / batch)
         for i in range(steps):
-            self.spawn(self._again(fault.for_s * i / steps, numbers[i * batch:(i + 1) * batch], fault.extra))
+            self.spawn(
+                self._again(fault.for_s * i / steps, numbers[i * batch : (i + 1) * batch], fault.extra)
+            )
 
     async def _again(self, wait: float, numbers: list[int], down: float) -> None:
         await asyncio.sleep(wait)
@@ -385,7 +408,14 @@
             await self._notices(1e3 * fault.size)
             return lambda: self._notices(-1e3 * fault.size)
         met = self._upstreams(fault, entry) if fault.kind == "registry-swap" else []
-        order = {"do": "fault", "kind": fault.kind, "size": fault.size, "extra": fault.extra,
-                 "silent": fault.silent, "uids": [self.uid(index) for index in met], "machines": met}
+        order = {
+            "do": "fault",
+            "kind": fault.kind,
+            "size": fault.size,
+            "extra": fault.extra,
+            "silent": fault.silent,
+            "uids": [self.uid(index) for index in met],
+            "machines": met,
+        }
         await self.day.tell_list(on=1, **order)
         return lambda: self.day.tell_list(on=-1, **order)
--- a/ospreyline/rig/slopefile.py
+++ b/ospreyline/rig/slopefile.py
@@ -106,36 +106,53 @@
 def machine() -> str:
     """The class of machine, in words."""
     load = os.getloadavg()[0]
-    return (f"{platform.machine()}, {os.cpu_count()} cores, {platform.system()}, Python "
-            f"{platform.python_version()}, load {load:.0f} at the end")
+    return (
+        f"{platform.machine()}, {os.cpu_count()} cores, {platform.system()}, Python "
+        f"{platform.python_version()}, load {load:.0f} at the end"
+    )
 
 
 def toml(slopes: dict[str, dict[str, Any]]) -> str:
     """The data file."""
-    out = ["# Measured slopes, which docs/CAPACITY.md and `ospreyline capacity` are worked out from.",
-           "# Written by `ospreyline rig scale slopes`, which leaves what it has not measured as it stands.",
-           "# A slope without points is not measured yet."]
+    out = [
+        "# Measured slopes, which docs/CAPACITY.md and `ospreyline capacity` are worked out from.",
+        "# Written by `ospreyline rig scale slopes`, which leaves what it has not measured as it stands.",
+        "# A slope without points is not measured yet.",
+    ]
     for name, about in slopes.items():
         out += ["", f"[{name}]"]
         for key in ("by", "unit", "about", "date", "command", "machine"):
             out.append(f"{key} = {json.dumps(about.get(key, ''))}")
         if about.get("reference_ms"):
             out.append(f"reference_ms = [{', '.join(f'{ms:.3g}' for ms in about['reference_ms'])}]")
-        points = ", ".join(f"[{size:g}, {value:.4g}]" if size < 1e6 else f"[{size:.0f}, {value:.4g}]"
-                           for size, value in about["points"])
+        points = ", ".join(
+            f"[{size:g}, {value:.4g}]" if size < 1e6 else f"[{size:.0f}, {value:.4g}]"
+            for size, value in about["points"]
+        )
         out.append(f"points = [{points}]")
     return "\n".join(out) + "\n"
 
 
-def merged(before: dict[str, dict[str, Any]], points: Mapping[str, list[tuple[float, float]]],
-           reference: list[float], date: str, command: str, on: str) -> dict[str, dict[str, Any]]:
+def merged(
+    before: dict[str, dict[str, Any]],
+    points: Mapping[str, list[tuple[float, float]]],
+    reference: list[float],
+    date: str,
+    command: str,
+    on: str,
+) -> dict[str, dict[str, Any]]:
     """What stood there, with what was measured now; a slope that was measured now is measured anew whole."""
     out = {name: dict(about) for name, about in before.items()}
     ms = sorted(reference)
     for name, found in points.items():
-        out[name] = {**(SLOPES | SCOPED)[name], "date": date, "command": command, "machine": on,
-                     "reference_ms": [ms[0], ms[len(ms) // 2], ms[-1]] if ms else [],
-                     "points": [[size, value] for size, value in found]}
+        out[name] = {
+            **(SLOPES | SCOPED)[name],
+            "date": date,
+            "command": command,
+            "machine": on,
+            "reference_ms": [ms[0], ms[len(ms) // 2], ms[-1]] if ms else [],
+            "points": [[size, value] for size, value in found],
+        }
     return out
 
 
@@ -149,7 +166,8 @@
     groups = {
         "upstreams listed": ("serve_memory_mb", "serve_cpu_pct", "rank_ms", "change_cpu_ms", "added_p99_ms"),
         "path prefixes": ("routes_memory_mb", "routes_cpu_pct", "routes_check_ms", "routes_reload_cpu_ms"),
-        "members of the bank": ("members_memory_mb", "members_cpu_pct", "loss_cpu_ms", "loss_messages")}
+        "members of the bank": ("members_memory_mb", "members_cpu_pct", "loss_cpu_ms", "loss_messages"),
+    }
     figure, axes = pyplot.subplots(1, 3, figsize=(15, 5))
     for axis, (title, names) in zip(axes, groups.items(), strict=True):
         for name in names:
--- a/ospreyline/rig/upstreams.py
+++ b/ospreyline/rig/upstreams.py
@@ -80,10 +80,17 @@
     def answer(self, status: int, body: bytes, fields: bytes = b"", close: bool = False) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        words = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Internal Server Error",
-                 503: b"Service Unavailable"}
-        self.transport.write(b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
-            status, words[status], fields, b"Connection: close\r\n" if close else b"", len(body), body))
+        words = {
+            200: b"OK",
+            400: b"Bad Request",
+            404: b"Not Found",
+            500: b"Internal Server Error",
+            503: b"Service Unavailable",
+        }
+        self.transport.write(
+            b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b"
+            % (status, words[status], fields, b"Connection: close\r\n" if close else b"", len(body), body)
+        )
         if close:
             self.transport.close()
 
@@ -91,8 +98,17 @@
 class Upstream:
     """One machine: its model, its address, its connections."""
 
-    def __init__(self, owner: Upstreams, index: int, uid: str, listen: str, group: Group, zone: int,
-                 speed: float, slower: float) -> None:
+    def __init__(
+        self,
+        owner: Upstreams,
+        index: int,
+        uid: str,
+        listen: str,
+        group: Group,
+        zone: int,
+        speed: float,
+        slower: float,
+    ) -> None:
         self.owner = owner
         self.index = index
         self.uid = uid
@@ -114,7 +130,8 @@
         sock.bind(self.at)
         self.at = sock.getsockname()
         self._listening = await self.owner.worker.loop.create_server(
-            lambda: Connection(self), sock=sock, backlog=512)
+            lambda: Connection(self), sock=sock, backlog=512
+        )
 
     def start(self, warm: bool) -> None:
         """A process begins on this machine."""
@@ -154,11 +171,14 @@
         fields, server = self.owner.fields, self.server
         if not fields:
             return b""
-        have = {"in-flight": f"inflight={server.held}",
-                "queue": f"queue={max(0.0, server.held - server.cores):g}",
-                "util": f"util={min(1.0, server.held / server.cores):.3f}"}
-        return ("Endpoint-Load-Metrics: TEXT " + ", ".join(have[f] for f in fields if f in have)
-                + "\r\n").encode()
+        have = {
+            "in-flight": f"inflight={server.held}",
+            "queue": f"queue={max(0.0, server.held - server.cores):g}",
+            "util": f"util={min(1.0, server.held / server.cores):.3f}",
+        }
+        return (
+            "Endpoint-Load-Metrics: TEXT " + ", ".join(have[f] for f in fields if f in have) + "\r\n"
+        ).encode()
 
     def probed(self, conn: Connection, path: str) -> None:
         if not self.mute:
@@ -173,8 +193,13 @@
             work = float(fields.get(b"x-work", b"")) if b"x-work" in fields else self.owner.work
         except ValueError:
             work = self.owner.work
-        row = {"u": self.index, "inc": server.incarnation, "id": trace, "work": round(work, 3),
-               "key": fields.get(b"idempotency-key", b"").decode("latin-1")}
+        row = {
+            "u": self.index,
+            "inc": server.incarnation,
+            "id": trace,
+            "work": round(work, 3),
+            "key": fields.get(b"idempotency-key", b"").decode("latin-1"),
+        }
         if not server.up or self.mute:
             self.owner.worker.row("muted", **row)
             return
@@ -214,10 +239,18 @@
         self.fields: list[str] = setup["fields"]
         self.work = 1.0  # ms, of a request that brings none
         self.upstreams = {
-            one["index"]: Upstream(self, one["index"], one["uid"], one["listen"],
-                                   msgspec.convert(one["group"], Group), one["zone"], one["speed"],
-                                   one["slower"])
-            for one in setup["upstreams"]}
+            one["index"]: Upstream(
+                self,
+                one["index"],
+                one["uid"],
+                one["listen"],
+                msgspec.convert(one["group"], Group),
+                one["zone"],
+                one["speed"],
+                one["slower"],
+            )
+            for one in setup["upstreams"]
+        }
 
     async def begin(self) -> None:
         for upstream in self.upstreams.values():
--- a/ospreyline/rig/worker.py
+++ b/ospreyline/rig/worker.py
@@ -81,7 +81,7 @@
     def say(self, news: str, **values: Any) -> None:
         line = _JSON.encode({"news": news, **values}) + b"\n"
         while line:
-            line = line[os.write(1, line):]
+            line = line[os.write(1, line) :]
 
     def look(self) -> None:
         now = self.loop.time()
--- a/ospreyline/state.py
+++ b/ospreyline/state.py
@@ -16,8 +16,21 @@
 class Lane:
     """A path prefix: its terms, what has been learnt of it, and its visits that wait for room."""
 
-    __slots__ = ("arrived", "gain", "held", "in_time", "kind", "late_gain", "pace", "scope", "target",
-                 "terms", "usual_ttl", "value", "window")
+    __slots__ = (
+        "arrived",
+        "gain",
+        "held",
+        "in_time",
+        "kind",
+        "late_gain",
+        "pace",
+        "scope",
+        "target",
+        "terms",
+        "usual_ttl",
+        "value",
+        "window",
+    )
 
     def __init__(self, terms: PathPrefix) -> None:
         self.terms = terms
@@ -34,6 +47,7 @@
 @dataclass(slots=True, eq=False)
 class Fetch:
     """One backend fetch of a visit."""
+
     upstream: Upstream
     lane: Lane
     sent: float
@@ -48,8 +62,19 @@
 class Visit:
     """The handle of a visit that was taken."""
 
-    __slots__ = ("_balancer", "begin_by", "came", "done", "expires", "fetches", "held", "lane", "out", "tag",
-                 "target_at")
+    __slots__ = (
+        "_balancer",
+        "begin_by",
+        "came",
+        "done",
+        "expires",
+        "fetches",
+        "held",
+        "lane",
+        "out",
+        "tag",
+        "target_at",
+    )
 
     def __init__(self, owner: Balancer, tag: int, lane: Lane, now: float, ttl: float, repeat: bool) -> None:
         self._balancer, self.tag, self.lane, self.came = owner, tag, lane, now
@@ -71,8 +96,9 @@
         """The first fetch that may have run or is still out."""
         return next((f for f in self.fetches if f.end not in NEVER_RAN), None)
 
-    def ended(self, now: float, number: int, end: End, spent: float, final: bool,
-              report: tuple[float, ...]) -> None:
+    def ended(
+        self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
+    ) -> None:
         """One of its fetches has ended; final: the client has its answer."""
         self._balancer._ended(self, self.fetches[number], now, end, spent, final, report)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,8 +34,17 @@
 TRIES = 3  # of a story whose day was void
 LINE = re.compile(r"(?P<name>[^|\s]+\.py::[^|]*[^|\s]) \| (?P<cause>[^|\s][^|]*) \| (?P<issue>\d+)")
 # options that leave tests out, or end a run early
-SELECTING = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise", "maxfail",
-             "collectonly")
+SELECTING = (
+    "keyword",
+    "markexpr",
+    "deselect",
+    "ignore",
+    "ignore_glob",
+    "lf",
+    "stepwise",
+    "maxfail",
+    "collectonly",
+)
 
 
 @dataclass
--- a/tests/scope_net.py
+++ b/tests/scope_net.py
@@ -28,9 +28,19 @@
 class Net:
     """One source, fan-out machines, balancers; `run` goes on in time and checks all."""
 
-    def __init__(self, seed: int, fanouts: int = 3, balancers: int = 6, scopes: int = 8, upstreams: int = 5,
-                 loss: float = 0.0, double: float = 0.0, late: float = 0.0, rate: int = BYTES,
-                 body: int = 40) -> None:
+    def __init__(
+        self,
+        seed: int,
+        fanouts: int = 3,
+        balancers: int = 6,
+        scopes: int = 8,
+        upstreams: int = 5,
+        loss: float = 0.0,
+        double: float = 0.0,
+        late: float = 0.0,
+        rate: int = BYTES,
+        body: int = 40,
+    ) -> None:
         self.random = Random(seed)
         self.now = 1_000.0
         self.loss, self.double, self.late = loss, double, late
@@ -86,16 +96,33 @@
                 self.observe()
 
     def start_fanout(self, name: str) -> None:
-        up = Subscriber(name, self._born(name), [("source", "")], self.random.random, self.now,
-                        everything=True, rate=2 << 20, most_bytes=64 << 20, beat=500.0)
+        up = Subscriber(
+            name,
+            self._born(name),
+            [("source", "")],
+            self.random.random,
+            self.now,
+            everything=True,
+            rate=2 << 20,
+            most_bytes=64 << 20,
+            beat=500.0,
+        )
         self.up[name] = Fanout(up)
         self._links_end(name)
 
     def start_balancer(self, name: str) -> None:
         start = self._born(name)
         number = self.balancers.index(name)
-        self.subs[name] = Subscriber(name, start, [(f, "") for f in self.fans], self.random.random, self.now,
-                                     number=number, count=len(self.balancers), rate=self.rate)
+        self.subs[name] = Subscriber(
+            name,
+            start,
+            [(f, "") for f in self.fans],
+            self.random.random,
+            self.now,
+            number=number,
+            count=len(self.balancers),
+            rate=self.rate,
+        )
         self.flying[name] = []
         for key in [k for k in self.shown if k[0] == name]:
             del self.shown[key]
@@ -210,7 +237,7 @@
             self.now = max(self.now, at)
             if frozenset((me, to)) in self.cut:
                 continue
-            message = _DECODER.decode(frame[HEAD.size:])
+            message = _DECODER.decode(frame[HEAD.size :])
             if to == "source":
                 self.source.heard(self.now, me, message)
                 self.observe()
@@ -341,8 +368,10 @@
             if at <= since or newer == version or (gone and states is None):
                 break  # one that is no more is the same under each version
             if at < self.now - age - 1e-6:
-                raise Broken(f"{name}: {scope} at {version} said to be {age:.0f} ms old, {newer} was there "
-                             f"{self.now - at:.0f} ms ago")
+                raise Broken(
+                    f"{name}: {scope} at {version} said to be {age:.0f} ms old, {newer} was there "
+                    f"{self.now - at:.0f} ms ago"
+                )
 
     def _right(self, name: str, sub: Subscriber, scope: str) -> None:
         """What is held is what the source had under that version; what leaves leaves, in its time."""
@@ -408,9 +437,12 @@
         """Nobody who wants it sends to this upstream."""
         for name, sub in self.subs.items():
             held = sub.scopes.get(scope)
-            if scope in self.wants[name] and held is not None and not held.gone and key in held.records \
-                    and held.records[key].state == HERE:
+            if (
+                scope in self.wants[name]
+                and held is not None
+                and not held.gone
+                and key in held.records
+                and held.records[key].state == HERE
+            ):
                 return False
         return True
-
-
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -25,11 +25,13 @@
 
 
 PLAIN = Deployment(
-    zone=0, zones=3, balancers=3, number=0, prefixes=(prefix(Kind.READ_LIKE),), ask_for_list=False)
+    zone=0, zones=3, balancers=3, number=0, prefixes=(prefix(Kind.READ_LIKE),), ask_for_list=False
+)
 
 
-def listed(upstream: int, zone: int = 0, cell: int = 0, came_up: float = 0.0,
-           readiness: Readiness = Readiness.READY) -> Listed:
+def listed(
+    upstream: int, zone: int = 0, cell: int = 0, came_up: float = 0.0, readiness: Readiness = Readiness.READY
+) -> Listed:
     return Listed(upstream, upstream * 7919 + 13, zone, cell, readiness, came_up)
 
 
@@ -101,8 +103,9 @@
         self.pass_time(spent)
         visit.ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
 
-    def serve(self, visits: int, end: Callable[[int], End] = lambda upstream: End.DELIVERED,
-              lane: int = 0) -> list[int]:
+    def serve(
+        self, visits: int, end: Callable[[int], End] = lambda upstream: End.DELIVERED, lane: int = 0
+    ) -> list[int]:
         """Visits one after another, each ended by its upstream's index; the upstreams they went to first."""
         first = []
         for _ in range(visits):
@@ -225,41 +228,79 @@
         """Write to the open watch, in chunks of so many bytes."""
         await self.until(lambda: bool(self.writers))
         for at in range(0, len(data), piece):
-            part = data[at:at + piece]
+            part = data[at : at + piece]
             self.writers[-1].write(b"%x\r\n%b\r\n" % (len(part), part))
             await self.writers[-1].drain()
             await asyncio.sleep(0)
 
-    async def tell(self, rev: int, *targets: dict[str, Any], whole: bool = False,
-                   piece: int = 1 << 20) -> None:
+    async def tell(
+        self, rev: int, *targets: dict[str, Any], whole: bool = False, piece: int = 1 << 20
+    ) -> None:
         line = json.dumps({"rev": rev, "all": whole, "targets": targets}, ensure_ascii=False)
         await self.say(line.encode() + b"\n", piece)
 
 
 def target(uid: str, port: int, **more: Any) -> dict[str, Any]:
-    return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "a", "model": "m", "pod_group": 0,
-            "state": "active", "capacity_hint": 1.0, "boot_ms": 0, **more}
-
-
-def configuration(known: list[dict[str, Any]], registry: int = 1, sockets: int = 256,
-                  **caps: Any) -> dict[str, Any]:
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": "a",
+        "model": "m",
+        "pod_group": 0,
+        "state": "active",
+        "capacity_hint": 1.0,
+        "boot_ms": 0,
+        **more,
+    }
+
+
+def configuration(
+    known: list[dict[str, Any]], registry: int = 1, sockets: int = 256, **caps: Any
+) -> dict[str, Any]:
     def prefix(name: str, semantics: str) -> dict[str, Any]:
-        return {"Name": name, "Semantics": semantics, "KeyScope": "all", "ClientTimeoutUs": 2_000_000,
-                "TargetLatencyUs": 1_000_000, "WindowUs": 1_500_000, "Gain": 1.0}
+        return {
+            "Name": name,
+            "Semantics": semantics,
+            "KeyScope": "all",
+            "ClientTimeoutUs": 2_000_000,
+            "TargetLatencyUs": 1_000_000,
+            "WindowUs": 1_500_000,
+            "Gain": 1.0,
+        }
 
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{registry}", "seed": "8c1f",
-        "limits": {"sockets": sockets}, "known": {"rev": 3, "all": True, "targets": known},
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{registry}",
+        "seed": "8c1f",
+        "limits": {"sockets": sockets},
+        "known": {"rev": 3, "all": True, "targets": known},
         "settings": {
-            "Balancers": 1, "Dcs": ["a", "b"], "Zone": 0, "Me": 0, "Discovery": caps.pop("Discovery", "ask"),
+            "Balancers": 1,
+            "Dcs": ["a", "b"],
+            "Zone": 0,
+            "Me": 0,
+            "Discovery": caps.pop("Discovery", "ask"),
             "PathPrefixes": [prefix("read", "repeatable"), prefix("tag", "by_key"), prefix("change", "once")],
-            "Caps": {"Cancel": True, "MostBackendFetches": 3, "MaxRetryAfterUs": 2_000_000,
-                     "RetryAfter": True, **caps}}}
+            "Caps": {
+                "Cancel": True,
+                "MostBackendFetches": 3,
+                "MaxRetryAfterUs": 2_000_000,
+                "RetryAfter": True,
+                **caps,
+            },
+        },
+    }
 
 
 @asynccontextmanager
-async def running(*peers: Peer, registry: Peer | None = None, known: list[dict[str, Any]] | None = None,
-                  operator: Operator | None = None, **more: Any) -> AsyncIterator[Service]:
+async def running(
+    *peers: Peer,
+    registry: Peer | None = None,
+    known: list[dict[str, Any]] | None = None,
+    operator: Operator | None = None,
+    **more: Any,
+) -> AsyncIterator[Service]:
     """A balancer on sockets in front of peers that have started, or start now."""
     for peer in (*peers, *([registry] if registry else [])):
         if not peer.port:
@@ -293,8 +334,9 @@
 TRACES = count(0x9B1F)
 
 
-def request(path: str = "/read/a", method: str = "GET", body: bytes = b"", trace: str | None = None,
-            **fields: str) -> bytes:
+def request(
+    path: str = "/read/a", method: str = "GET", body: bytes = b"", trace: str | None = None, **fields: str
+) -> bytes:
     trace = f"{next(TRACES):x}" if trace is None else trace
     named = {"Host": "origin.svc", "X-Trace-Id": trace, **{k.replace("_", "-"): v for k, v in fields.items()}}
     if body and "Transfer-Encoding" not in named:
--- a/tests/test_call_ends.py
+++ b/tests/test_call_ends.py
@@ -61,7 +61,7 @@
 
 
 def half_a_line(line: bytes) -> bytes:
-    return chunk(line)[:len(line) // 2]
+    return chunk(line)[: len(line) // 2]
 
 
 def half_an_answer(line: bytes) -> bytes:
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -137,8 +137,9 @@
     await settled(day.elsewhere, day.service, 1)
     new = day.calls()[-1]
     day.put(day.news(), 0)
-    new.data_received(chunk(listing(7, *(target(f"u{i}", p.port) for i, p in enumerate(day.peers)),
-                                    whole=True)))
+    new.data_received(
+        chunk(listing(7, *(target(f"u{i}", p.port) for i, p in enumerate(day.peers)), whole=True))
+    )
 
 
 async def it_has_waited_for_too_long(day: Day) -> None:
@@ -149,9 +150,15 @@
 
 
 PLACES: list[Callable[[Day], Awaitable[None]]] = [
-    another_waiting_call_speaks, the_watch_that_replaces_it_speaks, too_many_calls_wait,
-    the_whole_list_comes_on_another, the_whole_list_trickles, the_service_counts_anew, discovery_moves,
-    the_new_address_speaks]
+    another_waiting_call_speaks,
+    the_watch_that_replaces_it_speaks,
+    too_many_calls_wait,
+    the_whole_list_comes_on_another,
+    the_whole_list_trickles,
+    the_service_counts_anew,
+    discovery_moves,
+    the_new_address_speaks,
+]
 
 
 def ended_with_news_unread(place: Callable[[Day], Awaitable[None]]) -> None:
@@ -265,8 +272,15 @@
     async def story():
         service, steps, failures = Stubborn(), [], []
         await service.start()
-        lists = Discovery(asyncio.get_running_loop(), ("127.0.0.1", service.port), 3, structlog.get_logger(),
-                          lambda news: None, failures.append, steps.append)
+        lists = Discovery(
+            asyncio.get_running_loop(),
+            ("127.0.0.1", service.port),
+            3,
+            structlog.get_logger(),
+            lambda news: None,
+            failures.append,
+            steps.append,
+        )
         lists.watch(True)
         await service.until(lambda: len(service.writers) == 1)
         service.writers[0].write(b'20\r\n{"rev":50,"all":false,')
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -36,21 +36,24 @@
 # sizes
 
 
-@pytest.mark.parametrize(("text", "problem"), [
-    ("balancer = 3", "balancer: unknown key, 'balancers'?"),
-    ("colour = 3", "colour: unknown key"),
-    ("balancers = 'many'", "balancers: Expected `float`, got `str`"),
-    ("balancers = 0", "balancers: Expected `float` > 0.0"),
-    ("balancers = -5", "balancers: Expected `float` > 0.0"),
-    ("balancers = nan", "balancers: Expected `float` > 0.0"),
-    ("upstreams = inf", "upstreams: Expected `float` <= 1000000000000.0"),
-    ("restarts_a_day = -1", "restarts_a_day: Expected `float` >= 0.0"),
-    ("balancers = 10", "zones: 43 is more than balancers, 10"),
-    ("services = 300000", "services: 300000 is more than upstreams, 200000"),
-    ("regions = 50", "regions: 50 is more than zones, 43"),
-    ("[balancers]\na = 1", "balancers: Expected `float`, got `object`"),
-    ("balancers = ", "Invalid value (at end of document)"),
-])
+@pytest.mark.parametrize(
+    ("text", "problem"),
+    [
+        ("balancer = 3", "balancer: unknown key, 'balancers'?"),
+        ("colour = 3", "colour: unknown key"),
+        ("balancers = 'many'", "balancers: Expected `float`, got `str`"),
+        ("balancers = 0", "balancers: Expected `float` > 0.0"),
+        ("balancers = -5", "balancers: Expected `float` > 0.0"),
+        ("balancers = nan", "balancers: Expected `float` > 0.0"),
+        ("upstreams = inf", "upstreams: Expected `float` <= 1000000000000.0"),
+        ("restarts_a_day = -1", "restarts_a_day: Expected `float` >= 0.0"),
+        ("balancers = 10", "zones: 43 is more than balancers, 10"),
+        ("services = 300000", "services: 300000 is more than upstreams, 200000"),
+        ("regions = 50", "regions: 50 is more than zones, 43"),
+        ("[balancers]\na = 1", "balancers: Expected `float`, got `object`"),
+        ("balancers = ", "Invalid value (at end of document)"),
+    ],
+)
 def test_bad_input_is_one_line_that_names_the_key(tmp_path, text, problem):
     file = tmp_path / "size.toml"
     file.write_text(text, "utf-8")
@@ -75,8 +78,10 @@
 # slopes
 
 
-@pytest.mark.parametrize(("size", "value"), [
-    (10, 1.0), (100, 1.0), (150, 1.5), (200, 2.0), (600, 4.0), (1_000, 6.0), (2_000, 11.0)])
+@pytest.mark.parametrize(
+    ("size", "value"),
+    [(10, 1.0), (100, 1.0), (150, 1.5), (200, 2.0), (600, 4.0), (1_000, 6.0), (2_000, 11.0)],
+)
 def test_a_slope_is_read_between_points_and_carried_on_beyond_the_last(size, value):
     assert line((100, 1.0), (200, 2.0), (1_000, 6.0)).at(size) == pytest.approx(value)
 
@@ -108,8 +113,17 @@
 
 
 def test_rates_fall_on_balancers_and_upstreams_in_proportion():
-    rates = model.rates(Size(balancers=100, upstreams=900, services=9, restarts_a_day=86_400,
-                             failures_a_day=8_640, changes_a_day=43_200, entries_a_restart=3))
+    rates = model.rates(
+        Size(
+            balancers=100,
+            upstreams=900,
+            services=9,
+            restarts_a_day=86_400,
+            failures_a_day=8_640,
+            changes_a_day=43_200,
+            entries_a_restart=3,
+        )
+    )
     assert rates.listed == pytest.approx(0.9 * (3 + 0.2))
     assert rates.configured == 0.5
     assert (rates.failed, rates.restarted) == (pytest.approx(0.01), pytest.approx(0.1))
@@ -128,16 +142,21 @@
     slopes = STRAIGHT | {
         "serve_memory_mb": line((100, 30.0), (1_100, 40.0)),
         "routes_memory_mb": line((100, 31.0), (600, 36.0)),
-        "members_memory_mb": line((70, 32.0), (1_070, 34.0))}
+        "members_memory_mb": line((70, 32.0), (1_070, 34.0)),
+    }
     row = rows_of(Size(upstreams=2_100, services=100, routes=1_100, balancers=1_070), slopes)[
-        "flat", "balancer", "memory"]
+        "flat", "balancer", "memory"
+    ]
     assert [round(part.value, 3) for part in row.parts] == [50.0, 10.0, 4.0]
     assert [part.extrapolated for part in row.parts] == [True, True, False]
 
 
 def test_a_budget_lasts_to_the_size_at_which_its_row_meets_it():
-    slopes = STRAIGHT | {"serve_memory_mb": line((0, 0.0), (1_000, 10.0)),
-                       "routes_memory_mb": line((1, 1.0)), "members_memory_mb": line((1, 0.0))}
+    slopes = STRAIGHT | {
+        "serve_memory_mb": line((0, 0.0), (1_000, 10.0)),
+        "routes_memory_mb": line((1, 1.0)),
+        "members_memory_mb": line((1, 0.0)),
+    }
     size = Size(upstreams=10_000, services=100, memory_mb=40)
     found = model.breaking(size, slopes)["flat", "balancer", "memory"]
     assert found == pytest.approx(0.4, rel=1e-3)
@@ -164,26 +183,51 @@
 
 def test_a_size_that_all_budgets_bear_says_so():
     slopes = load()
-    small = {"services": 1, "regions": 1, "zones": 1, "tenants": 1, "changes_a_day": 1, "balancers": 3,
-             "upstreams": 10, "routes": 2, "failures_a_day": 0, "restarts_a_day": 1, "added_ms": 50}
+    small = {
+        "services": 1,
+        "regions": 1,
+        "zones": 1,
+        "tenants": 1,
+        "changes_a_day": 1,
+        "balancers": 3,
+        "upstreams": 10,
+        "routes": 2,
+        "failures_a_day": 0,
+        "restarts_a_day": 1,
+        "added_ms": 50,
+    }
     size = parse("\n".join(f"{key} = {value}" for key, value in small.items()))
     assert Report(size, slopes).headline() == "No budget breaks at this size."
 
 
-@pytest.mark.parametrize(("key", "moved", "still"), [
-    ("upstreams", ("balancer", "memory"), ("balancer", "state: path prefixes")),
-    ("upstreams", ("passes lists on", "state: the list in one frame"), ("passes lists on", "connections")),
-    ("routes", ("source of configuration", "bytes"), ("balancer", "state: the list in one line")),
-    ("routes", ("balancer", "memory"), ("balancer", "time added to a request, 99 in 100")),
-    ("balancers", ("list service", "connections"), ("balancer", "state: the list in one line")),
-    ("balancers", (model.ALL, "calls at the list service, each alone"), ("source of configuration", "state")),
-    ("requests_per_s", ("upstream", "messages"), ("balancer", "processor time")),
-    ("changes_a_day", ("source of configuration", "messages"), ("list service", "messages")),
-    ("restarts_a_day", (model.WAVES, "bytes to each balancer"), ("balancer", "memory")),
-    ("failures_a_day", (model.SPREAD, "entries of the list that change"), ("balancer", "connections")),
-    ("rack_machines", (model.RACK, "told to each balancer, at the allowed bytes"),
-     (model.ZONE, "told to each balancer, at the allowed bytes")),
-])
+@pytest.mark.parametrize(
+    ("key", "moved", "still"),
+    [
+        ("upstreams", ("balancer", "memory"), ("balancer", "state: path prefixes")),
+        (
+            "upstreams",
+            ("passes lists on", "state: the list in one frame"),
+            ("passes lists on", "connections"),
+        ),
+        ("routes", ("source of configuration", "bytes"), ("balancer", "state: the list in one line")),
+        ("routes", ("balancer", "memory"), ("balancer", "time added to a request, 99 in 100")),
+        ("balancers", ("list service", "connections"), ("balancer", "state: the list in one line")),
+        (
+            "balancers",
+            (model.ALL, "calls at the list service, each alone"),
+            ("source of configuration", "state"),
+        ),
+        ("requests_per_s", ("upstream", "messages"), ("balancer", "processor time")),
+        ("changes_a_day", ("source of configuration", "messages"), ("list service", "messages")),
+        ("restarts_a_day", (model.WAVES, "bytes to each balancer"), ("balancer", "memory")),
+        ("failures_a_day", (model.SPREAD, "entries of the list that change"), ("balancer", "connections")),
+        (
+            "rack_machines",
+            (model.RACK, "told to each balancer, at the allowed bytes"),
+            (model.ZONE, "told to each balancer, at the allowed bytes"),
+        ),
+    ],
+)
 def test_raising_a_size_moves_its_rows_and_no_others(key, moved, still):
     before, after = Size(), parse(f"{key} = {2 * getattr(Size(), key):g}")
     old, new = rows_of(before), rows_of(after)
@@ -210,7 +254,8 @@
     row = rows_of(Size(), slopes)["scoped", "balancer", "bytes"]
     assert row.value is None
     assert "| scoped | balancer | bytes | not measured | 24 (control bytes) | not measured |  |" in list(
-        Report(Size(), slopes).lines("roles"))
+        Report(Size(), slopes).lines("roles")
+    )
     measured = rows_of(Size(), STRAIGHT | {"scoped_bytes_s": line((1, 40.0), (100, 500.0))})
     assert measured["scoped", "balancer", "bytes"].value == pytest.approx(0.0887, abs=0.0001)
 
@@ -231,25 +276,50 @@
 
 HOLLOW = {
     "plan": {"subscribers": 700, "fanouts": 20, "services": 670, "upstreams": 20_000, "per": 7},
-    "held_bytes_a_subscriber": 9_000, "phases": {
-        "steady": {"seconds": 20.0, "in_force_ms": {"p99": 120.0}, "deaf_ms": {"count": 0, "most": 0.0},
-                   "subscriber": {"cpu_percent": 0.02, "bytes_a_second": 60.0, "words_a_second": 1.5},
-                   "fanout": {"cpu_percent": 2.0, "bytes_a_second": 900.0, "words_a_second": 40.0,
-                              "most_mb": 80.0},
-                   "source": {"most_calls_a_second": 3.0}},
-        "killed": {"seconds": 12.0, "in_force_ms": {"p99": 900.0}, "deaf_ms": {"count": 35, "most": 1_500.0},
-                   "subscriber": {}, "fanout": {"most_mb": 90.0}, "source": {"most_calls_a_second": 9.0}},
-        "region cut": {"seconds": 20.0, "deaf_ms": {"count": 9, "most": 20_000.0}, "subscriber": {},
-                       "fanout": {"most_mb": 70.0}, "source": {"most_calls_a_second": 1.0}},
-        "all restarted": {"seconds": 68.0, "deaf_ms": {"count": 700, "most": 9_000.0},
-                          "subscriber": {"bytes_a_second": 500.0}, "fanout": {"most_mb": 70.0},
-                          "source": {"most_calls_a_second": 1.0}}}}
+    "held_bytes_a_subscriber": 9_000,
+    "phases": {
+        "steady": {
+            "seconds": 20.0,
+            "in_force_ms": {"p99": 120.0},
+            "deaf_ms": {"count": 0, "most": 0.0},
+            "subscriber": {"cpu_percent": 0.02, "bytes_a_second": 60.0, "words_a_second": 1.5},
+            "fanout": {"cpu_percent": 2.0, "bytes_a_second": 900.0, "words_a_second": 40.0, "most_mb": 80.0},
+            "source": {"most_calls_a_second": 3.0},
+        },
+        "killed": {
+            "seconds": 12.0,
+            "in_force_ms": {"p99": 900.0},
+            "deaf_ms": {"count": 35, "most": 1_500.0},
+            "subscriber": {},
+            "fanout": {"most_mb": 90.0},
+            "source": {"most_calls_a_second": 9.0},
+        },
+        "region cut": {
+            "seconds": 20.0,
+            "deaf_ms": {"count": 9, "most": 20_000.0},
+            "subscriber": {},
+            "fanout": {"most_mb": 70.0},
+            "source": {"most_calls_a_second": 1.0},
+        },
+        "all restarted": {
+            "seconds": 68.0,
+            "deaf_ms": {"count": 700, "most": 9_000.0},
+            "subscriber": {"bytes_a_second": 500.0},
+            "fanout": {"most_mb": 70.0},
+            "source": {"most_calls_a_second": 1.0},
+        },
+    },
+}
 
 
 def test_a_hollow_runs_figures_become_slopes(tmp_path):
     data, run = tmp_path / "slopes.toml", tmp_path / "run.json"
-    data.write_text(slopefile.toml({name: {**about, "points": []} for name, about in
-                                    (slopefile.SLOPES | slopefile.SCOPED).items()}), "utf-8")
+    data.write_text(
+        slopefile.toml(
+            {name: {**about, "points": []} for name, about in (slopefile.SLOPES | slopefile.SCOPED).items()}
+        ),
+        "utf-8",
+    )
     run.write_text(json.dumps(HOLLOW), "utf-8")
     words = ["rig", "scale", "scoped", str(data), str(run), "--command", "hollow", "--machine", "small"]
     assert CliRunner().invoke(main, words).exit_code == 0
@@ -274,8 +344,11 @@
     found = json.loads(called("--json").output)
     assert found == json.loads(json.dumps(planned.data()))
     assert found["headline"] == planned.headline()
-    assert all(sum(part["value"] for part in row["parts"]) == pytest.approx(row["value"])
-               for row in found["rows"] if row["value"] is not None)
+    assert all(
+        sum(part["value"] for part in row["parts"]) == pytest.approx(row["value"])
+        for row in found["rows"]
+        if row["value"] is not None
+    )
 
 
 def test_parts_are_printed_when_asked_for():
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -25,9 +25,20 @@
         peer = Peer(ok(b"\x00\xffbody", b"Content-Type: x/y\r\nKeep-Alive: 5\r\n"))
         async with running(peer) as service:
             client = await caller(service)
-            status, head, body = await client.ask(request(
-                "/tag/a%20b?c=d", "POST", b"\x01\x02", "9b1f", Idempotency_Key="5C0f", X_Expires_In="0.480",
-                Connection="keep-alive, X-Secret", X_Secret="1", TE="trailers", X_Other="kept"))
+            status, head, body = await client.ask(
+                request(
+                    "/tag/a%20b?c=d",
+                    "POST",
+                    b"\x01\x02",
+                    "9b1f",
+                    Idempotency_Key="5C0f",
+                    X_Expires_In="0.480",
+                    Connection="keep-alive, X-Secret",
+                    X_Secret="1",
+                    TE="trailers",
+                    X_Other="kept",
+                )
+            )
             assert (status, body) == (200, b"\x00\xffbody")
             assert b"Content-Type: x/y" in head and b"Keep-Alive" not in head
             sent, sent_body = peer.requests[0]
@@ -48,10 +59,25 @@
         (b"nonsense\r\n\r\n", 400),
         (request(X_Long="x" * clients.MOST_HEAD), 431),
         (request("/tag/a", "POST", b"x" * (clients.MOST_BODY + 1), **KEY), 413),
-        (request("/tag/a", "POST", b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
-                 Transfer_Encoding="chunked", **KEY), 413),
-        (request("/change", "POST", b"1\r\nx\r\n0\r\nX-Trailer: " + b"y" * 2 * clients.MOST_RAW,
-                 Transfer_Encoding="chunked"), 413),
+        (
+            request(
+                "/tag/a",
+                "POST",
+                b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
+                Transfer_Encoding="chunked",
+                **KEY,
+            ),
+            413,
+        ),
+        (
+            request(
+                "/change",
+                "POST",
+                b"1\r\nx\r\n0\r\nX-Trailer: " + b"y" * 2 * clients.MOST_RAW,
+                Transfer_Encoding="chunked",
+            ),
+            413,
+        ),
         (request("/nowhere"), 404),
         (request("//read"), 404),
         (request("read"), 400),
@@ -73,10 +99,18 @@
         (request("/change", "POST", X="1").replace(b"X: 1", b"Content-Length: +1"), 400),
         (request("/change", "POST", X="1").replace(b"X: 1", b"Content-Length: 1, 1"), 400),
         (request("/change", "POST", X="1").replace(b"X: 1", b"Content-Length: 9" + b"9" * 30), 400),
-        (request("/change", "POST", b"x", Content_Length="1").replace(
-            b"Host", b"Content-Length: 1\r\nHost"), 400),
-        (request("/change", "POST", b"1\r\nx\r\n0\r\n\r\n", Transfer_Encoding="chunked").replace(
-            b"Host", b"Transfer-Encoding: identity\r\nHost"), 400),
+        (
+            request("/change", "POST", b"x", Content_Length="1").replace(
+                b"Host", b"Content-Length: 1\r\nHost"
+            ),
+            400,
+        ),
+        (
+            request("/change", "POST", b"1\r\nx\r\n0\r\n\r\n", Transfer_Encoding="chunked").replace(
+                b"Host", b"Transfer-Encoding: identity\r\nHost"
+            ),
+            400,
+        ),
         (request("/change", "POST", b"-1\r\nx\r\n0\r\n\r\n", Transfer_Encoding="chunked"), 400),
         (request("/change", "POST", b"f" * 17 + b"\r\nx\r\n0\r\n\r\n", Transfer_Encoding="chunked"), 400),
         (request().replace(b"\r\nHost", b"\nHost"), 400),
@@ -115,7 +149,8 @@
         async with running(peer) as service:
             client = await caller(service)
             client.writer.write(
-                request("/change", "POST", Transfer_Encoding="chunked", Expect="100-continue"))
+                request("/change", "POST", Transfer_Encoding="chunked", Expect="100-continue")
+            )
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.writer.write(b"3\r\nabc\r\n2\r\n")
             assert (await client.ask(b"de\r\n0\r\nX-Trailer: 1\r\n\r\n"))[0] == 200
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -251,8 +251,12 @@
 def test_the_end_waits_for_what_the_machine_holds(monkeypatch):
     # out of our buffer is not with the client: a byte from it after the end, and the rest was gone
     async def story():
-        for name, value in (("MOST_NOTICE", 0.0), ("LAST_ANSWERS", 0.05), ("LAST_BYTES", 3.0),
-                            ("KEEP_ACCEPTING", 0.0)):
+        for name, value in (
+            ("MOST_NOTICE", 0.0),
+            ("LAST_ANSWERS", 0.05),
+            ("LAST_BYTES", 3.0),
+            ("KEEP_ACCEPTING", 0.0),
+        ):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 150_000
         async with running(Peer(ok(body))) as service:
@@ -267,8 +271,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("how", [
-    "has asked nothing", "half a request", "kept", "makes room", "makes room, kept"])
+@pytest.mark.parametrize(
+    "how", ["has asked nothing", "half a request", "kept", "makes room", "makes room, kept"]
+)
 def test_a_connection_is_not_cut_over_a_request_that_lies_in_its_socket(how, monkeypatch):
     # what came in a long pass lay unread when its timers ran, and was cut with what it had asked
     async def story():
@@ -317,8 +322,12 @@
 def test_a_request_that_is_whole_only_as_the_end_comes_is_answered(monkeypatch):
     # all that was out had been answered, once; the rest of a slow one that came then was taken, and cut off
     async def story():
-        for name, value in (("MOST_NOTICE", 0.0), ("LAST_ANSWERS", 0.05), ("LAST_BYTES", 3.0),
-                            ("KEEP_ACCEPTING", 0.0)):
+        for name, value in (
+            ("MOST_NOTICE", 0.0),
+            ("LAST_ANSWERS", 0.05),
+            ("LAST_BYTES", 3.0),
+            ("KEEP_ACCEPTING", 0.0),
+        ):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 150_000
         async with running(Peer(ok(body), SILENT)) as service:
@@ -427,7 +436,8 @@
     "length, ends with it": b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 50\r\n\r\n",
     "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n",
     "chunked, ends with it": (
-        b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n"),
+        b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n"
+    ),
 }
 
 
@@ -471,7 +481,8 @@
 def pieces_of(data):
     """All ways to cut it in two, and then byte by byte."""
     return [[data[:at], data[at:]] for at in range(1, len(data))] + [
-        [data[at:at + 1] for at in range(len(data))]]
+        [data[at : at + 1] for at in range(len(data))]
+    ]
 
 
 def counted(kind, monkeypatch):
@@ -494,8 +505,11 @@
         async with running(peer) as service:
             sock, _ = await connected(service)
             loop = asyncio.get_running_loop()
-            data = asked(path, trace="100") if path != "chunked" else request(
-                "/change", "POST", b"1\r\nx\r\n0\r\nX-T: 1\r\n\r\n", Transfer_Encoding="chunked")
+            data = (
+                asked(path, trace="100")
+                if path != "chunked"
+                else request("/change", "POST", b"1\r\nx\r\n0\r\nX-T: 1\r\n\r\n", Transfer_Encoding="chunked")
+            )
             for seen, pieces in enumerate(pieces_of(data)):
                 for piece in pieces:
                     before = len(calls)
@@ -541,10 +555,12 @@
 @pytest.mark.parametrize("sends", ["requests", "a body", "nonsense", "a request and a half"])
 def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(sends, goes):
     async def story():
-        data = {"requests": request("/change", "POST", b"x") * 300,
-                "a body": request("/change", "POST", Content_Length="60000") + b"x" * 50_000,
-                "nonsense": b"\x00\xff" * 50_000,
-                "a request and a half": request("/change", "POST", b"x") + request()[:30]}[sends]
+        data = {
+            "requests": request("/change", "POST", b"x") * 300,
+            "a body": request("/change", "POST", Content_Length="60000") + b"x" * 50_000,
+            "nonsense": b"\x00\xff" * 50_000,
+            "a request and a half": request("/change", "POST", b"x") + request()[:30],
+        }[sends]
         peer = Peer()
         async with running(peer) as service:
             usual = await caller(service)
@@ -553,8 +569,11 @@
                 sock = socket.create_connection(service.at)
                 sock.sendall(data)
                 reset(sock) if goes == "reset" else sock.close()
-            while service.turn.counts["accepted"] < 31 or len(service.clients.open) > 1 \
-                    or service.clients._coming:
+            while (
+                service.turn.counts["accepted"] < 31
+                or len(service.clients.open) > 1
+                or service.clients._coming
+            ):
                 await asyncio.sleep(0)
             assert (await usual.ask(request()))[0] == 200
             assert len(peer.requests) == 2 and not service.turn.visits and not service.turn._ids
@@ -596,7 +615,7 @@
             send_buffer(client, 4096)
             loop, data = asyncio.get_running_loop(), request(X_Long="y" * 400)
             for at in range(0, len(data), 100):
-                slow.sendall(data[at:at + 100])
+                slow.sendall(data[at : at + 100])
                 client.since -= 0.3  # as much later, and within its time
                 service.clients.tidy()
                 for _ in range(5):
@@ -618,8 +637,17 @@
 def test_whatever_an_upstream_does_each_request_has_one_answer_in_time(path):
     # what our own backstops guarantee: the client timeout and 15 ms, then the turn that is under way
     async def story():
-        odd = [SILENT, RESET, ("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), ok(b"", b"", b"500 Oh"), b"HTTP/1.1 2",
-               b"nonsense\r\n\r\n", ("cut", b""), ok(b"", b"", b"503 No"), b"HTTP/1.1 102 Processing\r\n\r\n"]
+        odd = [
+            SILENT,
+            RESET,
+            ("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"),
+            ok(b"", b"", b"500 Oh"),
+            b"HTTP/1.1 2",
+            b"nonsense\r\n\r\n",
+            ("cut", b""),
+            ok(b"", b"", b"503 No"),
+            b"HTTP/1.1 102 Processing\r\n\r\n",
+        ]
         peers = [Peer(*odd * 40) for _ in range(3)]
         async with running(*peers) as service:
             callers = [await caller(service) for _ in range(40)]
@@ -702,12 +730,20 @@
     play(story)
 
 
-@pytest.mark.parametrize(("head", "whole"), [
-    (b"HTTP/1.1 200 OK\r\n\r\n", True), (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", True),
-    (b"HTTP/1.1 200 OK\r\n\r\n", False), (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n", False),
-    (b"HTTP/1.1 503 No\r\n\r\n", None), (b"", None), (b"HTTP/1.1 200 OK\r\n\r\n", ""),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", ""),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "")])
+@pytest.mark.parametrize(
+    ("head", "whole"),
+    [
+        (b"HTTP/1.1 200 OK\r\n\r\n", True),
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", True),
+        (b"HTTP/1.1 200 OK\r\n\r\n", False),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n", False),
+        (b"HTTP/1.1 503 No\r\n\r\n", None),
+        (b"", None),
+        (b"HTTP/1.1 200 OK\r\n\r\n", ""),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", ""),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ""),
+    ],
+)
 def test_a_list_without_a_length_lasts_until_the_end_and_half_of_one_is_asked_for_again(head, whole):
     # any such answer counted as a failed call, so the list could not be had from that service at all
     async def story():
@@ -744,8 +780,12 @@
     assert all(path.exists() for path in named)
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration([target("u0", 1)])))
-    process = subprocess.Popen(["/bin/sh", "-c", f"exec {sys.executable} -m ospreyline serve {file}"],
-                               stdout=subprocess.PIPE, text=True, cwd=ROOT)
+    process = subprocess.Popen(
+        ["/bin/sh", "-c", f"exec {sys.executable} -m ospreyline serve {file}"],
+        stdout=subprocess.PIPE,
+        text=True,
+        cwd=ROOT,
+    )
     watchdog = threading.Timer(15, process.kill)
     watchdog.start()
     try:
@@ -770,8 +810,9 @@
 
 
 @pytest.mark.parametrize("end", ["end", "reset"])
-@pytest.mark.parametrize("head", [
-    b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", b"length"])
+@pytest.mark.parametrize(
+    "head", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", b"length"]
+)
 def test_a_watch_in_any_form_tells_its_lines_and_half_a_line_at_its_end_tells_nothing(head, end):
     async def story():
         raw = Raw()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -27,8 +27,13 @@
     return [Pace(n, count, calls_per_s, 10_000.0) for n in range(count)]
 
 
-def played(paces: list[Pace], calls_per_s: float, seconds: float, down: tuple[float, float] = (0.0, 0.0),
-           queue: int = 50) -> tuple[Turns, dict[int, float], list[float]]:
+def played(
+    paces: list[Pace],
+    calls_per_s: float,
+    seconds: float,
+    down: tuple[float, float] = (0.0, 0.0),
+    queue: int = 50,
+) -> tuple[Turns, dict[int, float], list[float]]:
     """A bank that starts at 0 against a service that is down for a while: when each was served, all calls."""
     turns, served, calls = Turns(1e3 / calls_per_s, queue), {}, []
     for pace in paces:
@@ -91,9 +96,15 @@
     assert calls <= 4
 
 
-@pytest.mark.parametrize(("retry_after", "least", "most"), [
-    (0.0, 1_000.0, 1_400.0), (2_500.0, 2_500.0, 2_500.0), (3_000.0, 2_800.0, 2_800.0),
-    (3_600_000.0, 2_800.0, 2_800.0)])
+@pytest.mark.parametrize(
+    ("retry_after", "least", "most"),
+    [
+        (0.0, 1_000.0, 1_400.0),
+        (2_500.0, 2_500.0, 2_500.0),
+        (3_000.0, 2_800.0, 2_800.0),
+        (3_600_000.0, 2_800.0, 2_800.0),
+    ],
+)
 def test_a_refusal_is_honoured_but_never_until_the_list_counts_as_told(retry_after, least, most):
     pace = Pace(0, 3, 250.0, 10_000.0)
     pace.start(0.0)
@@ -135,10 +146,15 @@
             kept.decode(WHOLE[:cut], 2_000.0, 86_400e3)
 
 
-@pytest.mark.parametrize(("text", "now", "why"), [
-    (WHOLE.replace(b"9001", b"9999"), 2_000.0, "checksum"),
-    (b"ospreyline-list 2 " + WHOLE[18:], 2_000.0, "no form"),
-    (WHOLE, 90_000_000.0, "s old"), (WHOLE, -400_000.0, "future")])
+@pytest.mark.parametrize(
+    ("text", "now", "why"),
+    [
+        (WHOLE.replace(b"9001", b"9999"), 2_000.0, "checksum"),
+        (b"ospreyline-list 2 " + WHOLE[18:], 2_000.0, "no form"),
+        (WHOLE, 90_000_000.0, "s old"),
+        (WHOLE, -400_000.0, "future"),
+    ],
+)
 def test_a_kept_list_that_is_damaged_or_old_is_taken_not_at_all(text, now, why):
     with pytest.raises(kept.KeptError, match=why):
         kept.decode(text, now, 86_400e3)
@@ -260,11 +276,16 @@
     asyncio.run(story())
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("[lst]\n", "lst: unknown key, 'list'?"),
-    ("[list]\ncalls_per = 3\n", "list.calls_per: unknown key, 'calls_per_s'?"),
-    ("[list]\ncalls_per_s = -1\n", "list.calls_per_s: "),
-    ("[list]\nkeep = 3\n", "list.keep: "), ("[list", "Expected")])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("[lst]\n", "lst: unknown key, 'list'?"),
+        ("[list]\ncalls_per = 3\n", "list.calls_per: unknown key, 'calls_per_s'?"),
+        ("[list]\ncalls_per_s = -1\n", "list.calls_per_s: "),
+        ("[list]\nkeep = 3\n", "list.keep: "),
+        ("[list", "Expected"),
+    ],
+)
 def test_what_is_wrong_with_the_operators_file_is_one_line_that_names_it(text, said, tmp_path):
     (tmp_path / "operator.toml").write_text(text)
     with pytest.raises(FactError) as error:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -31,8 +31,10 @@
     """How many of so many visits at once are let through to it."""
     balancer = host.balancer
     u, lane = balancer._upstreams[upstream], balancer._lanes[0]
-    return sum(balancer._send(Visit(balancer, -1 - i, lane, host.now, 2_500.0, False), u, host.now)
-               for i in range(tries))
+    return sum(
+        balancer._send(Visit(balancer, -1 - i, lane, host.now, 2_500.0, False), u, host.now)
+        for i in range(tries)
+    )
 
 
 def most_in_a_window(host: FakeHost, upstream: int = 0, span: float = 2_000.0) -> int:
@@ -178,14 +180,17 @@
     assert not any(cold.count(shape, 200, budget, 1).broken for budget in (2.0, 50.0))
 
 
-@pytest.mark.parametrize(("part", "shape", "balancers", "budget"), [
-    ("means", "moving", 3, 100.0), ("means", "moving", 20, 100.0), ("chance", "even", 200, 10.0)])
+@pytest.mark.parametrize(
+    ("part", "shape", "balancers", "budget"),
+    [("means", "moving", 3, 100.0), ("means", "moving", 20, 100.0), ("chance", "even", 200, 10.0)],
+)
 def test_without_a_part_of_the_rule_the_sum_is_over_it(part, shape, balancers, budget):
     assert any(cold.count(shape, balancers, budget, seed, part).broken for seed in range(4))
 
 
 @pytest.mark.parametrize(
-    ("balancers", "budget", "least"), [(3, 10.0, 0.6), (20, 10.0, 0.35), (20, 100.0, 0.6)])
+    ("balancers", "budget", "least"), [(3, 10.0, 0.6), (20, 10.0, 0.35), (20, 100.0, 0.6)]
+)
 def test_what_the_rule_gives_is_used(balancers, budget, least):
     used = [cold.count("even", balancers, budget, seed).used for seed in range(5)]
     assert sum(used) / len(used) >= least, used
@@ -194,8 +199,12 @@
 @pytest.mark.parametrize(("balancers", "budget"), [(4, 1.0), (5, 10.0), (50, 10.0), (50, 100.0)])
 def test_draws_that_are_won_early_and_used_late_keep_to_the_budget_and_its_chance(balancers, budget):
     # all draw while visits go elsewhere, send at the end of a window, and again as the next is drawn
-    hosts = [FakeHost([listed(0, came_up=100_000.0)], seed=seed, balancers=8 * balancers,
-                      **TERMS | {"cold_from": 1.0}) for seed in range(balancers)]
+    hosts = [
+        FakeHost(
+            [listed(0, came_up=100_000.0)], seed=seed, balancers=8 * balancers, **TERMS | {"cold_from": 1.0}
+        )
+        for seed in range(balancers)
+    ]
     sends: list[float] = []
     for step in range(400):
         sending = 34 < step % 80 <= 44
@@ -211,22 +220,34 @@
             sends += [host.now] * (len(host.sends) - before)
             host.now += 50.0
     windows = [sum(at - 2_000 < other <= at for other in sends) for at in sorted(set(sends))]
-    assert 0 < max(windows) <= budget + 2 * budget ** 0.5 + 2
+    assert 0 < max(windows) <= budget + 2 * budget**0.5 + 2
 
 
 def test_three_processes_keep_to_the_budget_of_upstreams_that_return_cold(tmp_path):
     load = {"name": "read", "work_ms": 20.0, "target_ms": 400.0, "timeout_ms": 1_500.0}
     tree = {
-        "name": "cold", "day": {"seconds": 5.0}, "bank": {"count": 3, "skew": 1.0},
+        "name": "cold",
+        "day": {"seconds": 5.0},
+        "bank": {"count": 3, "skew": 1.0},
         "zones": {"names": ["a", "b"]},
         "servers": [{"count": 6, "cores": 1, "slots_per_core": 6, "cold_from": 0.15, "warm_ms": 8_000.0}],
-        "registry": {"mode": "ask", "calls_per_s": 250.0, "notice_ms": [50.0, 100.0],
-                     "silent_ms": [100.0, 200.0], "period_ms": 25.0},
-        "load": {"rate": 110.0}, "clients": {"retries": 2, "patience": 0.7}, "prefixes": [load],
+        "registry": {
+            "mode": "ask",
+            "calls_per_s": 250.0,
+            "notice_ms": [50.0, 100.0],
+            "silent_ms": [100.0, 200.0],
+            "period_ms": 25.0,
+        },
+        "load": {"rate": 110.0},
+        "clients": {"retries": 2, "patience": 0.7},
+        "prefixes": [load],
         "rules": {"overload_factor": 2.5, "tip_ms": 1_000.0, "slack_ms": 150.0},
-        "faults": [{"kind": "crash", "part": 0.4, "at_s": 1.0, "for_s": 0.3},
-                   {"kind": "burst", "size": 2.0, "at_s": 1.2, "for_s": 3.0, "extra": 0.3}],
-        "rig": {"relay_processes": 1, "upstream_processes": 1}}
+        "faults": [
+            {"kind": "crash", "part": 0.4, "at_s": 1.0, "for_s": 0.3},
+            {"kind": "burst", "size": 2.0, "at_s": 1.2, "for_s": 3.0, "extra": 0.3},
+        ],
+        "rig": {"relay_processes": 1, "upstream_processes": 1},
+    }
     said: list[str] = []
     figures = played(scenario.build(tree), 1, tmp_path, said.append)
     assert figures["wanted"] > 300 and not figures["breaches"]["cold"], said
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -243,7 +243,8 @@
     told["settings"]["Invariants"] = {"MustAskInUs": 1_000_000}
     file.write_text(json.dumps(told))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "ospreyline", "serve", str(file), stdout=asyncio.subprocess.PIPE)
+        sys.executable, "-m", "ospreyline", "serve", str(file), stdout=asyncio.subprocess.PIPE
+    )
     one = Running(process, file)
     reading = asyncio.ensure_future(one.read())
     try:
@@ -334,8 +335,9 @@
             async with asyncio.timeout(PATIENT):
                 while not any(line.get("uid") == "u1" for line in one.log):
                     with suppress(ConnectionError):  # a call that was given up may stand last
-                        await registry.tell(9, target("u0", peers[0].port, state="leaving"),
-                                            target("u1", peers[1].port))
+                        await registry.tell(
+                            9, target("u0", peers[0].port, state="leaving"), target("u1", peers[1].port)
+                        )
                     await asyncio.sleep(0.05)
             assert (await (await one.caller()).ask(request()))[2] == b"1"
             assert one.open() <= one.most <= 64
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -75,8 +75,7 @@
 
 
 def an_answer_asked_for_before_a_loss_settles_it(patch):
-    patch.setattr(lease._Losses, "settled_by",
-                  lambda self, read: read.whole or read.version >= self.version)
+    patch.setattr(lease._Losses, "settled_by", lambda self, read: read.whole or read.version >= self.version)
 
 
 def an_end_in_form_counts_as_current(patch):
@@ -120,17 +119,21 @@
 
 
 # within these bounds the text as it is breaks no sentence: what is found is what was planted
-@pytest.mark.parametrize(("mistake", "begin", "calls", "of", "sentence"), [
-    (fin_with_nothing_of_an_update_is_a_proof, "broken", 1, anything, "grace"),
-    (reset_with_nothing_read_counts_for_1_s, "broken", 1, anything, "grace"),
-    (reset_with_nothing_read_counts_for_6_s, "broken", 1, anything, "grace"),
-    (a_503_in_a_new_process_says_nothing, "first", 1, not_refused, "grace"),
-    (a_503_after_a_reset_says_nothing, "broken", 1, anything, "grace"),
-    (an_answer_asked_for_before_a_loss_settles_it, "waiting", 2, two_at_once, "grace"),
-    (an_end_in_form_counts_as_current, "first", 1, anything, "grace"),
-    (a_refusal_settles_what_was_lost, "broken", 1, anything, "grace"),
-    (nothing_settles_a_loss, "broken", 1, anything, "liveness")],
-    ids=lambda value: value.__name__ if callable(value) else "")
+@pytest.mark.parametrize(
+    ("mistake", "begin", "calls", "of", "sentence"),
+    [
+        (fin_with_nothing_of_an_update_is_a_proof, "broken", 1, anything, "grace"),
+        (reset_with_nothing_read_counts_for_1_s, "broken", 1, anything, "grace"),
+        (reset_with_nothing_read_counts_for_6_s, "broken", 1, anything, "grace"),
+        (a_503_in_a_new_process_says_nothing, "first", 1, not_refused, "grace"),
+        (a_503_after_a_reset_says_nothing, "broken", 1, anything, "grace"),
+        (an_answer_asked_for_before_a_loss_settles_it, "waiting", 2, two_at_once, "grace"),
+        (an_end_in_form_counts_as_current, "first", 1, anything, "grace"),
+        (a_refusal_settles_what_was_lost, "broken", 1, anything, "grace"),
+        (nothing_settles_a_loss, "broken", 1, anything, "liveness"),
+    ],
+    ids=lambda value: value.__name__ if callable(value) else "",
+)
 def test_a_planted_mistake_is_found_with_a_trace(mistake, begin, calls, of, sentence, monkeypatch):
     explorer = Explorer(begin, calls, [outcome for outcome in OUTCOMES if of(outcome)], apart=True)
     assert not explorer.explore(1_000).broken and not explorer.sample(300).broken
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -20,8 +20,7 @@
 from ospreyline.fleet.frames import ALIVE, Entry, Hello
 from ospreyline.rig.run import ROOT
 
-BANK = ('[list]\ncalls_per_s = 250\n[fleet]\nbank = "b"\nlisten = "127.0.0.1:0"\nlists = true\n'
-        'peers = [{}]\n')
+BANK = '[list]\ncalls_per_s = 250\n[fleet]\nbank = "b"\nlisten = "127.0.0.1:0"\nlists = true\npeers = [{}]\n'
 
 
 class Log:
@@ -39,14 +38,24 @@
 class Stand:
     """A bank's member in this process."""
 
-    def __init__(self, name: str, *peers: Stand, bank: str = "b", listen: str = "127.0.0.1:0",
-                 watched: str = "") -> None:
+    def __init__(
+        self, name: str, *peers: Stand, bank: str = "b", listen: str = "127.0.0.1:0", watched: str = ""
+    ) -> None:
         named = f'"{watched}"' if watched else ", ".join(f'"{p.name}={p.address}"' for p in peers)
         text = BANK.format(named).replace('"b"', f'"{bank}"').replace("127.0.0.1:0", listen)
         on = operator.parse(text).fleet
         self.name, self.log, self.hints, self.news = name, Log(), [], []
-        self.bank = Bank(asyncio.get_running_loop(), self.log, name, "z", on, 1, self.news.append,
-                         self.hints.append, lambda: None)
+        self.bank = Bank(
+            asyncio.get_running_loop(),
+            self.log,
+            name,
+            "z",
+            on,
+            1,
+            self.news.append,
+            self.hints.append,
+            lambda: None,
+        )
 
     async def start(self) -> Stand:
         await self.bank.start()
@@ -57,8 +66,10 @@
         return self.bank.members.me.address
 
     def knows(self, *others: Stand) -> bool:
-        return all(o.name in self.bank.members.members
-                   and self.bank.members.members[o.name].entry.state == ALIVE for o in others)
+        return all(
+            o.name in self.bank.members.members and self.bank.members.members[o.name].entry.state == ALIVE
+            for o in others
+        )
 
 
 async def until(holds) -> None:
@@ -96,8 +107,10 @@
         a = await Stand("a", listen="127.9.1.1:0", watched="127.9.1.0/28:1").start()
         port = a.address.rpartition(":")[2]
         a.bank.close()
-        a, b, c = [await Stand(n, listen=f"127.9.1.{i}:{port}", watched=f"127.9.1.0/28:{port}").start()
-                   for i, n in ((1, "a"), (2, "b"), (6, "c"))]
+        a, b, c = [
+            await Stand(n, listen=f"127.9.1.{i}:{port}", watched=f"127.9.1.0/28:{port}").start()
+            for i, n in ((1, "a"), (2, "b"), (6, "c"))
+        ]
         await until(lambda: a.knows(b, c) and b.knows(a, c) and c.knows(a, b))
         c.bank.close()
         # one that comes up later, at an address where nobody was
@@ -110,15 +123,18 @@
     asyncio.run(story())
 
 
-@pytest.mark.parametrize(("wire", "why"), [
-    (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "no frame"),
-    (frames.HEAD.pack(frames.MARK, frames.VERSION - 1, 1 << 30, 0), "is the most"),
-    (frames.encode(frames.Ask(number=1)), "no hello"),
-    (frames.encode(Hello(bank="other", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")), "another bank"),
-    (frames.encode(Hello(bank="b", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")), "dialled for"),
-    (frames.encode(Hello(bank="b", me=Entry("a", "h:1", "z", 1, 0, ALIVE), to="a")), "our own name"),
-    (frames.encode(frames.Deaf())[:9], "silent"),
-])
+@pytest.mark.parametrize(
+    ("wire", "why"),
+    [
+        (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "no frame"),
+        (frames.HEAD.pack(frames.MARK, frames.VERSION - 1, 1 << 30, 0), "is the most"),
+        (frames.encode(frames.Ask(number=1)), "no hello"),
+        (frames.encode(Hello(bank="other", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")), "another bank"),
+        (frames.encode(Hello(bank="b", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")), "dialled for"),
+        (frames.encode(Hello(bank="b", me=Entry("a", "h:1", "z", 1, 0, ALIVE), to="a")), "our own name"),
+        (frames.encode(frames.Deaf())[:9], "silent"),
+    ],
+)
 def test_what_does_not_belong_costs_its_link_and_nothing_else(wire, why, monkeypatch):
     monkeypatch.setattr("ospreyline.fleet.links.GREET", 0.3)
 
@@ -175,22 +191,41 @@
     asyncio.run(story())
 
 
-@pytest.mark.parametrize(("hears", "of", "said"), [
-    (100, 100, "hears all"), (37, 100, "hears 37 of 100"), (1, 100, "alone"),
-    (1, 1, "alone by its configuration")])
+@pytest.mark.parametrize(
+    ("hears", "of", "said"),
+    [
+        (100, 100, "hears all"),
+        (37, 100, "hears 37 of 100"),
+        (1, 100, "alone"),
+        (1, 1, "alone by its configuration"),
+    ],
+)
 def test_how_much_is_heard_is_said_in_words(hears, of, said):
     assert words(hears, of) == said
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ('[fleet]\nlisten = "h:1"\n', "fleet.bank: is missing"),
-    ('[fleet]\nbank = "b"\nlisten = "x"\n', "fleet.listen: 'x' is no host:port"),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a"]\n', "fleet.peers[0]: 'a' is no name=host:port"),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["10.1.0.1/27:7"]\n', "fleet.peers[0]: '10.1.0.1/27:7': "),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["10.0.0.0/8:7"]\n', "fleet.peers[0]: '10.0.0.0/8:7' has"),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a=h:2", "a=h:3"]\n', "fleet.peers[1]: 'a' is there"),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a=h:1"]\n', "fleet.peers[0]: h:1 is our own address"),
-    ('[fleet]\nbank = "b"\nlisten = "h:1"\nlists = true\n', "fleet.lists: needs list.calls_per_s")])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ('[fleet]\nlisten = "h:1"\n', "fleet.bank: is missing"),
+        ('[fleet]\nbank = "b"\nlisten = "x"\n', "fleet.listen: 'x' is no host:port"),
+        ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a"]\n', "fleet.peers[0]: 'a' is no name=host:port"),
+        (
+            '[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["10.1.0.1/27:7"]\n',
+            "fleet.peers[0]: '10.1.0.1/27:7': ",
+        ),
+        (
+            '[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["10.0.0.0/8:7"]\n',
+            "fleet.peers[0]: '10.0.0.0/8:7' has",
+        ),
+        ('[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a=h:2", "a=h:3"]\n', "fleet.peers[1]: 'a' is there"),
+        (
+            '[fleet]\nbank = "b"\nlisten = "h:1"\npeers = ["a=h:1"]\n',
+            "fleet.peers[0]: h:1 is our own address",
+        ),
+        ('[fleet]\nbank = "b"\nlisten = "h:1"\nlists = true\n', "fleet.lists: needs list.calls_per_s"),
+    ],
+)
 def test_what_is_wrong_with_the_fleet_is_one_line_that_names_the_key(text, said):
     with pytest.raises(FactError) as error:
         operator.parse(text)
@@ -209,8 +244,12 @@
     zero = json.loads((day.out / "origin.json").read_text())["unix_ms"]
     last = max(row["t"] for row in day.of("signal", what="term"))
     ended = min(row["t"] for row in day.of("signal", what="term") if row["t"] > last - 500.0)
-    return [line for line in day.log(balancer) if line["event"] == event
-            and datetime.fromisoformat(line["timestamp"]).timestamp() * 1e3 < zero + ended]
+    return [
+        line
+        for line in day.log(balancer)
+        if line["event"] == event
+        and datetime.fromisoformat(line["timestamp"]).timestamp() * 1e3 < zero + ended
+    ]
 
 
 def states(day: Played, balancer: int) -> dict[str, list[str]]:
@@ -225,9 +264,16 @@
 
 
 def test_one_that_is_stopped_is_noticed_and_one_that_restarts_is_not_suspected(tmp_path):
-    day = Played(tmp_path, seconds=10.0, bank=SIX, rig=MESH, faults=[
-        {"kind": "stop", "who": "b4", "at_s": 1.5, "for_s": 4.0},
-        {"kind": "restart", "who": "b5", "at_s": 2.0, "for_s": 0, "extra": 0.1}])
+    day = Played(
+        tmp_path,
+        seconds=10.0,
+        bank=SIX,
+        rig=MESH,
+        faults=[
+            {"kind": "stop", "who": "b4", "at_s": 1.5, "for_s": 4.0},
+            {"kind": "restart", "who": "b5", "at_s": 2.0, "for_s": 0, "extra": 0.1},
+        ],
+    )
     day.kept()
     for b in range(4):
         assert states(day, b)["b4"][:2] == ["suspected", "dead"] and states(day, b)["b4"][-1] == "alive"
@@ -239,9 +285,21 @@
 
 @pytest.mark.parametrize("way", ["both", "to"])
 def test_a_third_that_was_cut_off_from_the_others_is_found_again(way, tmp_path):
-    day = Played(tmp_path, seconds=16.0, bank=SIX, rig=MESH, load={"rate": 40.0}, faults=[
-        {"kind": "stall", "link": "b[01]>b[2345]", "way": way, "at_s": 1.0, "for_s": 6.0},
-        *([{"kind": "stall", "link": "b[2345]>b[01]", "at_s": 1.0, "for_s": 6.0}] if way == "both" else [])])
+    day = Played(
+        tmp_path,
+        seconds=16.0,
+        bank=SIX,
+        rig=MESH,
+        load={"rate": 40.0},
+        faults=[
+            {"kind": "stall", "link": "b[01]>b[2345]", "way": way, "at_s": 1.0, "for_s": 6.0},
+            *(
+                [{"kind": "stall", "link": "b[2345]>b[01]", "at_s": 1.0, "for_s": 6.0}]
+                if way == "both"
+                else []
+            ),
+        ],
+    )
     day.kept()
     if way == "both":
         assert any("hears 2 of 6" in line["words"] for line in said(day, 0, "fleet"))
@@ -249,41 +307,77 @@
     assert hears_all(day, *range(6))
 
 
-@pytest.mark.parametrize("fault", [{"kind": "stall"}, {"kind": "narrow", "size": 100.0}, {"kind": "reset"}],
-                         ids=lambda fault: str(fault["kind"]))
+@pytest.mark.parametrize(
+    "fault",
+    [{"kind": "stall"}, {"kind": "narrow", "size": 100.0}, {"kind": "reset"}],
+    ids=lambda fault: str(fault["kind"]),
+)
 def test_one_broken_link_kills_nobody(fault, tmp_path):
-    day = Played(tmp_path, seconds=8.0, bank=SIX, rig=MESH, load={"rate": 40.0}, faults=[
-        {**fault, "link": "b0>b1", "at_s": 1.0, "for_s": 6.0},
-        {**fault, "link": "b1>b0", "at_s": 1.0, "for_s": 6.0}])
+    day = Played(
+        tmp_path,
+        seconds=8.0,
+        bank=SIX,
+        rig=MESH,
+        load={"rate": 40.0},
+        faults=[
+            {**fault, "link": "b0>b1", "at_s": 1.0, "for_s": 6.0},
+            {**fault, "link": "b1>b0", "at_s": 1.0, "for_s": 6.0},
+        ],
+    )
     day.kept()
     assert not any("dead" in got for b in range(6) for got in states(day, b).values())
 
 
 def test_those_that_pass_the_list_on_are_killed_at_the_moment_of_a_drain(tmp_path):
     assert lists.PASSERS == 2  # of zone a: b0 and b2, the oldest there
-    day = Played(tmp_path, seconds=9.0, bank={"count": 8, "notice_ms": [300.0, 600.0]}, faults=[
-        {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 3.0, "extra": 4.0},
-        {"kind": "kill", "who": "b[02]", "at_s": 3.12, "for_s": 1.0}],
-        rig={"fleet": {"on": True, "lists": True}, "pairs": False, "known": "none", "start": "in turn",
-             "operator": {"list": {"calls_per_s": 250.0}}})
+    day = Played(
+        tmp_path,
+        seconds=9.0,
+        bank={"count": 8, "notice_ms": [300.0, 600.0]},
+        faults=[
+            {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 3.0, "extra": 4.0},
+            {"kind": "kill", "who": "b[02]", "at_s": 3.12, "for_s": 1.0},
+        ],
+        rig={
+            "fleet": {"on": True, "lists": True},
+            "pairs": False,
+            "known": "none",
+            "start": "in turn",
+            "operator": {"list": {"calls_per_s": 250.0}},
+        },
+    )
     day.kept()
-    from_others = sum(line.get("lists_from_others", 0) for b in range(8) for line in day.log(b)
-                      if line["event"] == "counts")
+    from_others = sum(
+        line.get("lists_from_others", 0) for b in range(8) for line in day.log(b) if line["event"] == "counts"
+    )
     assert from_others >= 2 and day.figures["start"]["calls_in_4_s"] <= 8
     # everybody has the news of the drain within a moment of the service's
     told = day.of("listed")[0]
     uid = told["entry"]["uid"]
     for b in range(8):
-        assert any(line["event"] == "upstream" and line["uid"] == uid and line["state"] == "draining"
-                   for line in day.log(b)), b
+        assert any(
+            line["event"] == "upstream" and line["uid"] == uid and line["state"] == "draining"
+            for line in day.log(b)
+        ), b
 
 
 def test_a_list_service_that_moves_at_half_of_the_bank_breaks_no_drain(tmp_path):
-    day = Played(tmp_path, seconds=9.0, bank=SIX, load={"rate": 40.0}, faults=[
-        {"kind": "registry-moved", "who": "b[024]", "at_s": 1.5},
-        {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 2.0, "extra": 4.0}],
-        rig={"fleet": {"on": True, "lists": True}, "pairs": False, "relay_processes": 1,
-             "operator": {"list": {"calls_per_s": 250.0}}})
+    day = Played(
+        tmp_path,
+        seconds=9.0,
+        bank=SIX,
+        load={"rate": 40.0},
+        faults=[
+            {"kind": "registry-moved", "who": "b[024]", "at_s": 1.5},
+            {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 2.0, "extra": 4.0},
+        ],
+        rig={
+            "fleet": {"on": True, "lists": True},
+            "pairs": False,
+            "relay_processes": 1,
+            "operator": {"list": {"calls_per_s": 250.0}},
+        },
+    )
     day.kept()
     for b in range(6):
         events = [line["event"] for line in day.log(b)]
@@ -292,16 +386,25 @@
 
 
 def test_a_bank_of_two_versions_speaks(tmp_path):
-    shutil.copytree(ROOT / "ospreyline", tmp_path / "next" / "ospreyline",
-                    ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        ROOT / "ospreyline", tmp_path / "next" / "ospreyline", ignore=shutil.ignore_patterns("__pycache__")
+    )
     path = tmp_path / "next" / "ospreyline" / "fleet" / "frames.py"
     text = path.read_text()
     own, later = f"VERSION = {frames.VERSION}\n", f"VERSION = {frames.VERSION + 1}\n"
     assert text.count(own) == 1
-    path.write_text(text.replace(own, later).replace(
-        "class Deaf(_Message", 'class Later(_Message, tag="later"):\n    pass\n\n\nclass Deaf(_Message'))
-    day = Played(tmp_path / "out", seconds=5.0, bank=SIX, load={"rate": 40.0}, rig={
-        **MESH, "program": str(tmp_path / "next"), "program_for": "b[135]"})
+    path.write_text(
+        text.replace(own, later).replace(
+            "class Deaf(_Message", 'class Later(_Message, tag="later"):\n    pass\n\n\nclass Deaf(_Message'
+        )
+    )
+    day = Played(
+        tmp_path / "out",
+        seconds=5.0,
+        bank=SIX,
+        load={"rate": 40.0},
+        rig={**MESH, "program": str(tmp_path / "next"), "program_for": "b[135]"},
+    )
     day.kept()
     assert hears_all(day, *range(6))
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -244,8 +244,9 @@
     async def story():
         many = 300
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
-        async with running(known=[target("u0", gate.port)], sockets=2_048,
-                           ConnectTimeoutUs=4_000_000) as service:
+        async with running(
+            known=[target("u0", gate.port)], sockets=2_048, ConnectTimeoutUs=4_000_000
+        ) as service:
             if where == "held":
                 room = hold(service, monkeypatch)
             else:
@@ -392,8 +393,10 @@
         turn = service.turn
         turn.covering = Covering(turn, On(on=True, wait_ms=4_000.0), "m0", "a", 1, 1, 3)
         self.turn, self.own = turn, turn.covering.takeover
-        self.at = {name: Takeover(name, "a", 1, lambda: 0.5, 4_000.0, 30_000.0, False, 3)
-                   for name in ("m1", "m2", "m3")}
+        self.at = {
+            name: Takeover(name, "a", 1, lambda: 0.5, 4_000.0, 30_000.0, False, 3)
+            for name in ("m1", "m2", "m3")
+        }
         everybody = {"m0": self.own, **self.at}
         for name, one in everybody.items():
             one.members(clock(), [(other, "a") for other in everybody if other != name])
@@ -445,8 +448,14 @@
         peer = Peer()
         async with running(peer) as service:
             guarded, turn = Guarded(service), service.turn
-            guarded.at["m1"].take(clock(), 1, "tag 7", asked_kind := next(
-                p.kind for p in turn._post.terms.prefixes if p.name == "tag"), b"tbody", 2_000.0)
+            guarded.at["m1"].take(
+                clock(),
+                1,
+                "tag 7",
+                asked_kind := next(p.kind for p in turn._post.terms.prefixes if p.name == "tag"),
+                b"tbody",
+                2_000.0,
+            )
             guarded.at["m1"].held(clock(), 1)
             guarded.carry()
             sock = connected(service)
@@ -518,8 +527,11 @@
     told = configuration([target("u0", upstream)], ConnectTimeoutUs=4_000_000)
     file = tmp_path / "balancer.json"
     file.write_text(json.dumps(told | {"listen": f"127.0.0.1:{port}"}))
-    started = subprocess.Popen([sys.executable, "-m", "ospreyline", "serve", str(file)],
-                               stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    started = subprocess.Popen(
+        [sys.executable, "-m", "ospreyline", "serve", str(file)],
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+    )
     try:
         await serving(port)
         yield started.pid, port
@@ -676,8 +688,7 @@
 
 
 @LATE_BY
-@pytest.mark.parametrize("place", [
-    "accept", "read", "turn", "write", "connect", "connected", "slow", "held"])
+@pytest.mark.parametrize("place", ["accept", "read", "turn", "write", "connect", "connected", "slow", "held"])
 def test_what_a_first_attempt_tells_as_time_left_is_not_more_than_that(place, late, monkeypatch):
     async def story():
         peer = Peer()
@@ -722,9 +733,18 @@
 
 
 @LATE_BY
-@pytest.mark.parametrize(("first", "place"), [
-    ("reset", "read"), ("reset", "ended"), ("reset", "connect"), ("reset", "kept"), ("turned away", "turn"),
-    ("turned away", "slow"), ("turned away", "held")])  # what may have run is not held
+@pytest.mark.parametrize(
+    ("first", "place"),
+    [
+        ("reset", "read"),
+        ("reset", "ended"),
+        ("reset", "connect"),
+        ("reset", "kept"),
+        ("turned away", "turn"),
+        ("turned away", "slow"),
+        ("turned away", "held"),
+    ],
+)  # what may have run is not held
 def test_what_a_further_attempt_tells_as_time_left_is_not_more_than_that(first, place, late, monkeypatch):
     async def story():
         bad = RESET if first == "reset" else ok(b"", b"X-Never-Ran: 1\r\n", b"503 Service Unavailable")
@@ -884,8 +904,9 @@
     async def story():
         registry, other = Registry(), await Registry().start()
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
-        async with running(registry=registry, known=[target("u0", gate.port)],
-                           ConnectTimeoutUs=4_000_000) as service:
+        async with running(
+            registry=registry, known=[target("u0", gate.port)], ConnectTimeoutUs=4_000_000
+        ) as service:
             await registry.tell(4)
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,13 +11,19 @@
 from ospreyline.fleet.guard import Guardian, Work, guardians
 
 
-@pytest.mark.parametrize(("bounds", "most"), [
-    ({"covered": True, "may_refuse": False}, 100_000),
-    ({"covered": True, "restarts": 1, "may_refuse": False}, 100_000),
-    ({"covered": True, "doublings": 1, "may_refuse": False}, 100_000),
-    ({"takers": 2, "may_refuse": False}, 4_000), ({"doublings": 1}, 4_000), ({"forgets": 1}, 4_000),
-    ({"at_once": True, "answers": True, "takers": 2, "may_refuse": False}, 4_000),
-    ({"covered": True, "anew": True}, 8_000)])
+@pytest.mark.parametrize(
+    ("bounds", "most"),
+    [
+        ({"covered": True, "may_refuse": False}, 100_000),
+        ({"covered": True, "restarts": 1, "may_refuse": False}, 100_000),
+        ({"covered": True, "doublings": 1, "may_refuse": False}, 100_000),
+        ({"takers": 2, "may_refuse": False}, 4_000),
+        ({"doublings": 1}, 4_000),
+        ({"forgets": 1}, 4_000),
+        ({"at_once": True, "answers": True, "takers": 2, "may_refuse": False}, 4_000),
+        ({"covered": True, "anew": True}, 8_000),
+    ],
+)
 def test_the_sentences_hold(bounds, most):
     # the first three are seen whole; the others as far as CI has time, more by `ospreyline explore guards`
     found = Explorer(**bounds).explore(most)
@@ -39,8 +45,9 @@
 
 def permits_not_told(patch):
     yes = Guardian._yes
-    patch.setattr(Guardian, "_yes",
-                  lambda self, now, say, kept: replace(yes(self, now, say, kept), permits=()))
+    patch.setattr(
+        Guardian, "_yes", lambda self, now, say, kept: replace(yes(self, now, say, kept), permits=())
+    )
 
 
 def one_is_enough(patch):
@@ -79,8 +86,9 @@
 
 def forgetful_counts_as_knowing(patch):
     yes = Guardian._yes
-    patch.setattr(Guardian, "_yes",
-                  lambda self, now, say, kept: replace(yes(self, now, say, kept), guards=GUARDS))
+    patch.setattr(
+        Guardian, "_yes", lambda self, now, say, kept: replace(yes(self, now, say, kept), guards=GUARDS)
+    )
 
 
 def sent_after_its_refusal(patch):
@@ -100,13 +108,20 @@
     patch.setattr(Explorer, "steps", more)
 
 
-@pytest.mark.parametrize(("mistake", "bounds"), [
-    (permit_after_takeover, {"may_refuse": False}), (permits_not_told, {"may_refuse": False}),
-    (one_is_enough, {"may_refuse": False}), (written_without_permit, {"may_refuse": False}),
-    (may_have_run_ignored, {"may_refuse": False}), (refused_before_it_is_recorded, {"covered": True}),
-    (sent_after_its_refusal, {"covered": True, "takers": 0}),
-    (forgetful_counts_as_knowing, {"covered": True, "restarts": 1, "may_refuse": False})],
-    ids=lambda value: value.__name__ if callable(value) else "")
+@pytest.mark.parametrize(
+    ("mistake", "bounds"),
+    [
+        (permit_after_takeover, {"may_refuse": False}),
+        (permits_not_told, {"may_refuse": False}),
+        (one_is_enough, {"may_refuse": False}),
+        (written_without_permit, {"may_refuse": False}),
+        (may_have_run_ignored, {"may_refuse": False}),
+        (refused_before_it_is_recorded, {"covered": True}),
+        (sent_after_its_refusal, {"covered": True, "takers": 0}),
+        (forgetful_counts_as_knowing, {"covered": True, "restarts": 1, "may_refuse": False}),
+    ],
+    ids=lambda value: value.__name__ if callable(value) else "",
+)
 def test_a_planted_mistake_is_found_with_a_trace(mistake, bounds, monkeypatch):
     mistake(monkeypatch)
     found = Explorer(**bounds).explore(30_000)
@@ -122,10 +137,20 @@
     assert len({tuple(guardians(f"v{i}", members)) for i in range(40)}) > 8
 
 
-def word(what: str, work: str = WORK, session: int = 0, body: bytes = b"", round_: int = 0,
-         serial: int = 1) -> Say:
-    return Say(what, work, (round_, "o"), session, "g0", "o", body,
-               guards=GUARDS if what == "register" else (), serial=serial)
+def word(
+    what: str, work: str = WORK, session: int = 0, body: bytes = b"", round_: int = 0, serial: int = 1
+) -> Say:
+    return Say(
+        what,
+        work,
+        (round_, "o"),
+        session,
+        "g0",
+        "o",
+        body,
+        guards=GUARDS if what == "register" else (),
+        serial=serial,
+    )
 
 
 def test_what_a_guardian_keeps_is_bounded_whatever_others_send(monkeypatch):
@@ -133,8 +158,9 @@
     monkeypatch.setattr(guard, "MOST_BYTES", 1_000)
     one = Guardian("g0", 1_000.0, 1)
     session = one.linked("o")
-    said = [one.heard(0.0, word("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what
-            for i in range(100)]
+    said = [
+        one.heard(0.0, word("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what for i in range(100)
+    ]
     assert said.count("yes") == 33 and one.bytes <= 1_000
     assert all(one.heard(0.0, word("claim", f"c{i}", session, round_=1)).what for i in range(100))
     assert len(one.works) <= 50
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -65,12 +65,15 @@
 
 
 @pytest.mark.parametrize("ran", [False, True])
-@pytest.mark.parametrize(("names", "changes", "status"), [
-    (["change", "tag", "read"], {}, 200),  # another place, the same terms
-    (["change", "tag"], {}, 503),  # its place is nobody's, or another's
-    (["change"], {}, 503),
-    (["read", "tag", "change"], {"read": {"Semantics": "once"}}, 503),  # another promise under its name
-])
+@pytest.mark.parametrize(
+    ("names", "changes", "status"),
+    [
+        (["change", "tag", "read"], {}, 200),  # another place, the same terms
+        (["change", "tag"], {}, 503),  # its place is nobody's, or another's
+        (["change"], {}, 503),
+        (["read", "tag", "change"], {"read": {"Semantics": "once"}}, 503),  # another promise under its name
+    ],
+)
 def test_a_visit_that_waited_over_a_reload_is_never_decided_as_another_class(names, changes, status, ran):
     async def story():
         peer = Peer()
@@ -270,7 +273,7 @@
                 await asyncio.sleep(0)
             for peer in peers:
                 for writer, (head, _) in zip(peer.writers, peer.requests, strict=True):
-                    writer.write(ok(head[head.index(b"X-Customer: ") + 12:][:1]))
+                    writer.write(ok(head[head.index(b"X-Customer: ") + 12 :][:1]))
             assert [(await client.answer())[2] for client in callers] == [b"a", b"b"]
 
     play(story)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -18,8 +18,19 @@
 from ospreyline.lab import placing
 from ospreyline.rig import hollow
 
-SMALL = hollow.Plan(subscribers=40, fanouts=3, services=30, upstreams=400, per=4, config_per_s=6.0,
-                    replaced_per_s=4.0, steady_s=1.0, fault_s=3.4, gone_after_s=0.5, of_a_process=20)
+SMALL = hollow.Plan(
+    subscribers=40,
+    fanouts=3,
+    services=30,
+    upstreams=400,
+    per=4,
+    config_per_s=6.0,
+    replaced_per_s=4.0,
+    steady_s=1.0,
+    fault_s=3.4,
+    gone_after_s=0.5,
+    of_a_process=20,
+)
 
 
 def test_every_change_reaches_all_that_serve_it_also_while_a_machine_is_silent():
@@ -48,10 +59,15 @@
         for i in range(services):
             found = [(f"u{k}", HERE, b"x" * 90) for k in range(upstreams // services)]
             self.source.put(self.now, f"s{i}", found)
-        self.fan = Fanout(Subscriber("f", 1, [("source", "")], draw, self.now, everything=True, rate=2 << 20,
-                                     most_bytes=1 << 30))
-        self.subs = [Subscriber(f"b{i}", 1, [("f", "")], draw, self.now, number=i, count=balancers)
-                     for i in range(balancers)]
+        self.fan = Fanout(
+            Subscriber(
+                "f", 1, [("source", "")], draw, self.now, everything=True, rate=2 << 20, most_bytes=1 << 30
+            )
+        )
+        self.subs = [
+            Subscriber(f"b{i}", 1, [("f", "")], draw, self.now, number=i, count=balancers)
+            for i in range(balancers)
+        ]
         for i, wanted in enumerate(process.assigned(services, balancers, per, 1)):
             for one in wanted:
                 self.subs[i].want(self.now, f"s{one}")
@@ -114,7 +130,8 @@
             raise TimeoutError
 
         here.links.loop = SimpleNamespace(
-            create_connection=late, create_task=loop.create_task, time=loop.time)
+            create_connection=late, create_task=loop.create_task, time=loop.time
+        )
         word = Got(session=1, edition=1, at=1.0)
         here.send([("f", word)])
         async with asyncio.timeout(10):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,8 +13,10 @@
 RIGHT = "def test_right():\n    pass\n"
 TWO = "import pytest\n\n\n@pytest.mark.parametrize('n', [1, 2])\ndef test_two(n):\n    assert n == 1\n"
 SKIPPED = "import pytest\n\n\n@pytest.mark.skip\ndef test_skipped():\n    pass\n"
-TORN = ("import pytest\n\n\n@pytest.fixture\ndef torn():\n    yield\n    raise OSError('torn down')\n\n\n"
-        "def test_torn(torn):\n    assert 1 == 2\n")
+TORN = (
+    "import pytest\n\n\n@pytest.fixture\ndef torn():\n    yield\n    raise OSError('torn down')\n\n\n"
+    "def test_torn(torn):\n    assert 1 == 2\n"
+)
 ALONE, WORKERS = [], ["-n", "3", "--dist", "loadfile"]
 both = pytest.mark.parametrize("how", [ALONE, WORKERS], ids=["alone", "workers"])
 
@@ -33,8 +35,14 @@
     (folder / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     if lines is not None:
         (folder / "KNOWN-RED.txt").write_text("".join(f"{text}\n" for text in lines))
-    done = subprocess.run([sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *more], cwd=folder,
-                          stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *more],
+        cwd=folder,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+        check=False,
+    )
     return done.returncode, done.stdout
 
 
@@ -49,15 +57,19 @@
 
 
 @both
-@pytest.mark.parametrize(("suite", "name", "says"), [
-    (RIGHT, "test_right", "tests/test_a.py::test_right passed or broke otherwise"),
-    # without its parameters a name stands for every one of them
-    (TWO, "test_two", "tests/test_a.py::test_two[1] passed or broke otherwise"),
-    (SKIPPED, "test_skipped", "tests/test_a.py::test_skipped is skipped"),
-    (TORN, "test_torn", "tests/test_a.py::test_torn passed or broke otherwise"),
-    (RIGHT, "test_gone", "tests/test_a.py::test_gone matches no test"),
-    (RIGHT, "test_righ", "tests/test_a.py::test_righ matches no test")],
-    ids=["passes", "one of it passes", "skipped", "breaks after it", "no test", "part of a name"])
+@pytest.mark.parametrize(
+    ("suite", "name", "says"),
+    [
+        (RIGHT, "test_right", "tests/test_a.py::test_right passed or broke otherwise"),
+        # without its parameters a name stands for every one of them
+        (TWO, "test_two", "tests/test_a.py::test_two[1] passed or broke otherwise"),
+        (SKIPPED, "test_skipped", "tests/test_a.py::test_skipped is skipped"),
+        (TORN, "test_torn", "tests/test_a.py::test_torn passed or broke otherwise"),
+        (RIGHT, "test_gone", "tests/test_a.py::test_gone matches no test"),
+        (RIGHT, "test_righ", "tests/test_a.py::test_righ matches no test"),
+    ],
+    ids=["passes", "one of it passes", "skipped", "breaks after it", "no test", "part of a name"],
+)
 def test_a_listed_test_that_does_not_fail_is_red(suite, name, says, how, tmp_path):
     status, said = run(tmp_path, suite, [line(name)], *how)
     assert status == 1 and f"RED: {says}\n" in said, said
@@ -75,14 +87,18 @@
     assert status == 1 and "RED: tests/test_a.py::test_gone matches no test\n" in said, said
 
 
-@pytest.mark.parametrize(("lines", "says"), [
-    ([line(f"test_two[{n}]") for n in range(4)], "4 lines, 3 are the most"),
-    (["tests/test_a.py::test_wrong | one is not two"], "line 1: is not `test id | cause | issue number`"),
-    (["", "tests/test_a.py::test_wrong |  | 7"], "line 2: is not `test id"),
-    ([line("test_wrong", issue="soon")], "line 1: is not `test id"),
-    (["test_wrong | one is not two | 7"], "line 1: is not `test id"),
-    ([line("test_wrong"), line("test_wrong", "x")], "tests/test_a.py::test_wrong is there twice")],
-    ids=["a fourth", "no issue", "no cause", "no number", "no file", "twice"])
+@pytest.mark.parametrize(
+    ("lines", "says"),
+    [
+        ([line(f"test_two[{n}]") for n in range(4)], "4 lines, 3 are the most"),
+        (["tests/test_a.py::test_wrong | one is not two"], "line 1: is not `test id | cause | issue number`"),
+        (["", "tests/test_a.py::test_wrong |  | 7"], "line 2: is not `test id"),
+        ([line("test_wrong", issue="soon")], "line 1: is not `test id"),
+        (["test_wrong | one is not two | 7"], "line 1: is not `test id"),
+        ([line("test_wrong"), line("test_wrong", "x")], "tests/test_a.py::test_wrong is there twice"),
+    ],
+    ids=["a fourth", "no issue", "no cause", "no number", "no file", "twice"],
+)
 def test_a_file_that_is_not_as_it_has_to_be_is_red(lines, says, tmp_path):
     status, said = run(tmp_path, WRONG, lines)
     assert status not in (0, 1) and says in said, said
