--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -175,7 +175,8 @@
         "lost": [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 0.5, "size": 0.5}],
         "twice": [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 0.5, "size": 0.5}],
         "drain": [{"kind": "shrink", "at_s": 1, "for_s": 1, "part": 0.4, "extra": 4}],
-        "cold": [{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.2}]}[rule]
+        "cold": [{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.2}],
+    }[rule]
     settings = {"faults": faults, "rules.drain_grace_ms": 200}
     assert play(small(**settings), 1, f"file:{path}")["breaches"][rule]
     assert not any(play(small(**settings), 1)["breaches"].values())
@@ -183,21 +184,27 @@
 
 def test_a_visit_that_nobody_answers_is_found(tmp_path):
     path = tmp_path / "bad.py"
-    path.write_text(BAD + """
+    path.write_text(
+        BAD
+        + """
     def again(self, visit, now):
         if visit.tag % 9:
             super().again(visit, now)
-""")
+"""
+    )
     assert play(small(), 1, f"file:{path}")["breaches"]["lost"]
 
 
 def test_a_bounce_that_promises_too_much_is_found(tmp_path):
     path = tmp_path / "bad.py"
-    path.write_text(BAD + """
+    path.write_text(
+        BAD
+        + """
     def _give_up(self, visit, ran):
         self.host.bounce(visit.tag, 0.0)
         visit.done = True
-""")
+"""
+    )
     errors = [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 1.0, "size": 1.0}]
     assert play(small(faults=errors), 1, f"file:{path}")["breaches"]["twice"]
 
@@ -212,8 +219,11 @@
 def test_a_server_pushed_over_while_cold_dies_and_comes_back(tmp_path):
     path = tmp_path / "bad.py"
     path.write_text(BAD + PLANTED["cold"])
-    settings = {"servers.0.tips": 2.0, "servers.0.restart_ms": 500.0,
-                "faults": [{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.2}]}
+    settings = {
+        "servers.0.tips": 2.0,
+        "servers.0.restart_ms": 500.0,
+        "faults": [{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.2}],
+    }
     run = Run(small(**settings), 1, f"file:{path}")
     run.go()
     assert max(server.incarnation for server in run.servers) > 2
@@ -259,11 +269,13 @@
 
 
 def test_overlapping_faults_are_taken_back_whole():
-    faults = [{"kind": "slow", "at_s": 1, "for_s": 2, "part": 1.0, "size": 3},
-              {"kind": "slow", "at_s": 2, "for_s": 2, "part": 1.0, "size": 2},
-              {"kind": "cut", "at_s": 1, "for_s": 2, "zone": "a"},
-              {"kind": "cut", "at_s": 2, "for_s": 2, "zone": "b"},
-              {"kind": "burst", "at_s": 1, "for_s": 2, "size": 2, "extra": 0.4}]
+    faults = [
+        {"kind": "slow", "at_s": 1, "for_s": 2, "part": 1.0, "size": 3},
+        {"kind": "slow", "at_s": 2, "for_s": 2, "part": 1.0, "size": 2},
+        {"kind": "cut", "at_s": 1, "for_s": 2, "zone": "a"},
+        {"kind": "cut", "at_s": 2, "for_s": 2, "zone": "b"},
+        {"kind": "burst", "at_s": 1, "for_s": 2, "size": 2, "extra": 0.4},
+    ]
     for kind, size in (("errors", 0.3), ("mute", 0), ("neighbour", 0.4), ("lossy", 0.02)):
         for at in (1, 2):
             faults.append({"kind": kind, "at_s": at, "for_s": 2, "part": 1.0, "size": size, "extra": 0.3})
@@ -304,19 +316,27 @@
     assert found.name == name and len(found.about) > 20 and found.rate() > 0
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("[bank]\ncuont = 3", "bank.cuont: unknown key, 'count'?"),
-    ("[load]\nrate = -1", "load.rate: -1 is not a figure from 0 on"),
-    ('[load]\nrate = 1\n[[servers]]\nzone = "x"', "servers[0].zone: 'x' is not in zones.names"),
-    ('[load]\nrate = 1\n[zones]\nnames = ["a", "b"]\n[[servers]]\nzone = "a"',
-     "zones.names: no server is in 'b'"),
-    ('[load]\nrate = 1\n[[faults]]\nkind = "slwo"', "faults[0].kind: unknown 'slwo', 'slow'?"),
-    ("[load]\nrate = 1\n[[servers]]\nspeed = [2, 1]", "servers[0].speed: the range goes from 2 down to 1"),
-    ("[load]\nrate = 1\n[bank]\ncount = 0", "bank.count: one balancer is needed"),
-    ('[load]\nrate = 1\n[bank]\ncount = "x"', "bank.count: Expected `int`, got `str`"),
-    ("", "load: rate, share or closed is needed"),
-    ("[load", "Expected ']' at the end of a table declaration"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("[bank]\ncuont = 3", "bank.cuont: unknown key, 'count'?"),
+        ("[load]\nrate = -1", "load.rate: -1 is not a figure from 0 on"),
+        ('[load]\nrate = 1\n[[servers]]\nzone = "x"', "servers[0].zone: 'x' is not in zones.names"),
+        (
+            '[load]\nrate = 1\n[zones]\nnames = ["a", "b"]\n[[servers]]\nzone = "a"',
+            "zones.names: no server is in 'b'",
+        ),
+        ('[load]\nrate = 1\n[[faults]]\nkind = "slwo"', "faults[0].kind: unknown 'slwo', 'slow'?"),
+        (
+            "[load]\nrate = 1\n[[servers]]\nspeed = [2, 1]",
+            "servers[0].speed: the range goes from 2 down to 1",
+        ),
+        ("[load]\nrate = 1\n[bank]\ncount = 0", "bank.count: one balancer is needed"),
+        ('[load]\nrate = 1\n[bank]\ncount = "x"', "bank.count: Expected `int`, got `str`"),
+        ("", "load: rate, share or closed is needed"),
+        ("[load", "Expected ']' at the end of a table declaration"),
+    ],
+)
 def test_what_is_wrong_with_a_scenario_is_one_line_that_names_the_key(text, said, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text(text)
@@ -326,18 +346,21 @@
     assert len(found.output.strip().splitlines()) == 1
 
 
-@pytest.mark.parametrize(("args", "said"), [
-    (["run", "quite"], "no such file or shipped scenario, 'quiet'?"),
-    (["run", "quiet", "--set", "bank.cuont=3"], "bank.cuont: no such key, 'count'?"),
-    (["run", "quiet", "--arm", "best"], "arm 'best': unknown, one of ours"),
-    (["run", "quiet", "--arm", "rev:no-such-revision"], "arm rev:no-such-revision: "),
-    (["run", "quiet", "--arm", "file:/no/such.py"], "arm file:/no/such.py: No such file or directory"),
-    (["run", "quiet", "--out", "/proc/none/here"], "/proc/none/here: "),
-    (["plot", "/no/such"], "/no/such: neither a run nor a sweep"),
-    (["explain", "/no/such", "3"], "no visits were kept"),
-    (["sweep", "quiet", "--out", "{tmp}/s", "--grid", "bank.cuont=1,2"], "bank.cuont: no such key"),
-    (["bench", "quiet", "--sizes", "3,x"], "--sizes: '3,x' are no whole numbers"),
-])
+@pytest.mark.parametrize(
+    ("args", "said"),
+    [
+        (["run", "quite"], "no such file or shipped scenario, 'quiet'?"),
+        (["run", "quiet", "--set", "bank.cuont=3"], "bank.cuont: no such key, 'count'?"),
+        (["run", "quiet", "--arm", "best"], "arm 'best': unknown, one of ours"),
+        (["run", "quiet", "--arm", "rev:no-such-revision"], "arm rev:no-such-revision: "),
+        (["run", "quiet", "--arm", "file:/no/such.py"], "arm file:/no/such.py: No such file or directory"),
+        (["run", "quiet", "--out", "/proc/none/here"], "/proc/none/here: "),
+        (["plot", "/no/such"], "/no/such: neither a run nor a sweep"),
+        (["explain", "/no/such", "3"], "no visits were kept"),
+        (["sweep", "quiet", "--out", "{tmp}/s", "--grid", "bank.cuont=1,2"], "bank.cuont: no such key"),
+        (["bench", "quiet", "--sizes", "3,x"], "--sizes: '3,x' are no whole numbers"),
+    ],
+)
 def test_what_is_wrong_with_a_call_is_one_line(args, said, tmp_path):
     found = invoke(*(arg.format(tmp=tmp_path) for arg in args))
     assert found.exit_code == 2 and said in found.output and "Traceback" not in found.output
@@ -385,17 +408,22 @@
     assert sweep.key(small(), cell, arms.text_of(cell.arm)) != before
 
 
-@pytest.mark.parametrize(("differences", "said"), [
-    ([0.1, 0.12, 0.08, 0.11, 0.1, 0.09], "b is above a"),
-    ([-0.1, -0.12, -0.08, -0.11, -0.1, -0.09], "b is below a"),
-    ([0.1, -0.12, 0.08, -0.11, 0.1, -0.09], "no difference between a and b is shown"),
-    ([0.1, 0.12], "2 pairs are too few"),
-    ([], "no run with the same settings and seed"),
-])
+@pytest.mark.parametrize(
+    ("differences", "said"),
+    [
+        ([0.1, 0.12, 0.08, 0.11, 0.1, 0.09], "b is above a"),
+        ([-0.1, -0.12, -0.08, -0.11, -0.1, -0.09], "b is below a"),
+        ([0.1, -0.12, 0.08, -0.11, 0.1, -0.09], "no difference between a and b is shown"),
+        ([0.1, 0.12], "2 pairs are too few"),
+        ([], "no run with the same settings and seed"),
+    ],
+)
 def test_a_comparison_says_what_it_shows(differences, said):
     def rows(by):
-        return [{"settings": {"x": 1}, "seed": i, "arm": "z", "summary": {"net_gain": 0.5 + d}}
-                for i, d in enumerate(by)]
+        return [
+            {"settings": {"x": 1}, "seed": i, "arm": "z", "summary": {"net_gain": 0.5 + d}}
+            for i, d in enumerate(by)
+        ]
 
     found = compare.paired(rows([0.0] * len(differences)), rows(differences), "net_gain")
     assert said in found.sentence("a", "b")
@@ -416,13 +444,29 @@
     told = invoke("explain", tmp_path / "run", crossed["visit"]).output
     assert "fetch 2 to server" in told and "final answer" in told and "the client ended as" in told
     assert "no visit 999999 is kept" in invoke("explain", tmp_path / "run", 999999).output
-    swept = invoke("sweep", path, "--out", tmp_path / "sweep", "--seeds", 2, "--grid", "bank.count=2,6",
-                   "--arm", "ours", "--arm", "two-samples", "--set", "day.seconds=2")
+    swept = invoke(
+        "sweep",
+        path,
+        "--out",
+        tmp_path / "sweep",
+        "--seeds",
+        2,
+        "--grid",
+        "bank.count=2,6",
+        "--arm",
+        "ours",
+        "--arm",
+        "two-samples",
+        "--set",
+        "day.seconds=2",
+    )
     assert swept.exit_code == 0 and swept.output.count("2 seeds") == 4
     assert invoke("plot", tmp_path / "sweep", "--figure", "net_gain", "--figure", "p99").exit_code == 0
     assert "pairs" in invoke("compare", "two-samples", "ours", "--in", tmp_path / "sweep").output
-    assert "no figure 'x'" in invoke("compare", "two-samples", "ours", "--in", tmp_path / "sweep",
-                                     "--figure", "x").output
+    assert (
+        "no figure 'x'"
+        in invoke("compare", "two-samples", "ours", "--in", tmp_path / "sweep", "--figure", "x").output
+    )
     assert "roll" in invoke("list").output
     assert msgspec.json.decode(invoke("show", path).output)["name"] == "small"
     assert "balancers" in invoke("bench", path, "--sizes", "2").output
@@ -430,10 +474,12 @@
 
 
 def test_serving_imports_nothing_of_the_laboratory():
-    code = ("import sys; sys.argv = ['x', 'version']; import ospreyline.__main__ as m; "
-            "m.main(standalone_mode=False); import ospreyline.net.service; "
-            "print([n for n in sys.modules if n.startswith(('ospreyline.lab', 'ospreyline.regression', "
-            "'numpy', 'matplotlib', 'hdrh', 'xxhash'))])")
+    code = (
+        "import sys; sys.argv = ['x', 'version']; import ospreyline.__main__ as m; "
+        "m.main(standalone_mode=False); import ospreyline.net.service; "
+        "print([n for n in sys.modules if n.startswith(('ospreyline.lab', 'ospreyline.regression', "
+        "'numpy', 'matplotlib', 'hdrh', 'xxhash'))])"
+    )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert found.stdout.strip().endswith("[]")
 
--- a/tests/test_late_rig.py
+++ b/tests/test_late_rig.py
@@ -33,17 +33,33 @@
 
 
 @both
-@pytest.mark.parametrize(("days", "status", "said"), [
-    ([FINE], 0, []),
-    ([BROKEN], 1, []),
-    ([LATE_FINE], 0, ["passed, though the rig came 312 ms late"]),
-    ([LATE_BROKEN, FINE], 0, ["the rig came 312 ms late: played again, after AssertionError: rules broken"]),
-    ([LATE_BROKEN, BROKEN], 1, ["the rig came 312 ms late: played again"]),
-    ([LATE_BROKEN, LATE_FINE], 0, ["played again", "passed, though"]),
-    ([LATE_BROKEN, LATE_BROKEN, FINE], 0, ["played again"]),
-    ([LATE_BROKEN, LATE_BROKEN, LATE_BROKEN, FINE], 1, ["played again"])],
-    ids=["fine", "broken", "late", "late and broken, fine", "late and broken, broken", "broken, late",
-         "late and broken twice", "late and broken three times"])
+@pytest.mark.parametrize(
+    ("days", "status", "said"),
+    [
+        ([FINE], 0, []),
+        ([BROKEN], 1, []),
+        ([LATE_FINE], 0, ["passed, though the rig came 312 ms late"]),
+        (
+            [LATE_BROKEN, FINE],
+            0,
+            ["the rig came 312 ms late: played again, after AssertionError: rules broken"],
+        ),
+        ([LATE_BROKEN, BROKEN], 1, ["the rig came 312 ms late: played again"]),
+        ([LATE_BROKEN, LATE_FINE], 0, ["played again", "passed, though"]),
+        ([LATE_BROKEN, LATE_BROKEN, FINE], 0, ["played again"]),
+        ([LATE_BROKEN, LATE_BROKEN, LATE_BROKEN, FINE], 1, ["played again"]),
+    ],
+    ids=[
+        "fine",
+        "broken",
+        "late",
+        "late and broken, fine",
+        "late and broken, broken",
+        "broken, late",
+        "late and broken twice",
+        "late and broken three times",
+    ],
+)
 def test_a_story_fails_at_once_unless_the_rig_came_late(days, status, said, how, tmp_path):
     got, text = run(tmp_path, SUITE.format(days=days), None, *how)
     assert got == status, text
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -67,8 +67,9 @@
     assert expires_at(found, 1_000.0)
 
 
-@pytest.mark.parametrize("version, whole, settled", [
-    (3, False, False), (4, False, True), (5, False, True), (3, True, True)])
+@pytest.mark.parametrize(
+    "version, whole, settled", [(3, False, False), (4, False, True), (5, False, True), (3, True, True)]
+)
 def test_a_loss_is_settled_by_a_later_answer_with_as_much_news_or_the_whole_list(version, whole, settled):
     answer = UpdateRead(2, version, whole)
     found = after((1_000.0, UpdateLost(1, 4)), (1_500.0, CallBegan(2)), (1_600.0, answer))
@@ -86,8 +87,12 @@
 
 
 def test_one_answer_settles_nothing_of_another_that_is_still_arriving():
-    found = after((900.0, CallBegan(2)), (1_000.0, UpdateArriving(1)), (1_100.0, UpdateArriving(2)),
-                  (1_200.0, UpdateRead(2, 4, True)))
+    found = after(
+        (900.0, CallBegan(2)),
+        (1_000.0, UpdateArriving(1)),
+        (1_100.0, UpdateArriving(2)),
+        (1_200.0, UpdateRead(2, 4, True)),
+    )
     assert found.withholds(1_400.0)
     found.take(1_300.0, NothingArrived(1))  # it was read to its end, and told no more than that
     assert not found.withholds(1_400.0)
@@ -95,8 +100,11 @@
 
 def test_in_any_order_the_lease_is_over_as_long_as_something_is_missing():
     steps: dict[str, LeaseMessage] = {
-        "arriving": UpdateArriving(1), "lost": UpdateLost(2), "whole": UpdateRead(3, 9, True),
-        "rest": UpdateRead(1, 9, False)}
+        "arriving": UpdateArriving(1),
+        "lost": UpdateLost(2),
+        "whole": UpdateRead(3, 9, True),
+        "rest": UpdateRead(1, 9, False),
+    }
     for order in permutations(steps):
         found = lease()
         found.take(0.0, CallBegan(2))
@@ -161,35 +169,58 @@
     assert len(host.watches) == began + 1
 
 
-@pytest.mark.parametrize("part, version", [
-    (b'{"rev":41,"all":true', 41), (b'{ "rev" : 41 }', 41), (b'{"all":true,"rev":4', 0),
-    (b'{"targets":[', 0)])
+@pytest.mark.parametrize(
+    "part, version",
+    [
+        (b'{"rev":41,"all":true', 41),
+        (b'{ "rev" : 41 }', 41),
+        (b'{"all":true,"rev":4', 0),
+        (b'{"targets":[', 0),
+    ],
+)
 def test_the_version_of_a_part_is_known_once_all_its_figures_have_come(part, version):
     # taken for 4, an older list would have settled the loss of 41
     assert version_of(part) == version
 
 
 def test_what_only_the_whole_list_can_tell_is_settled_by_no_later_update():
-    found = after((0.0, UpdateLost(1, WHOLE_LIST)), (1.0, CallBegan(2)), (1.0, UpdateRead(1, 10_000, False)),
-                  (1.0, UpdateRead(2, 10_000, False)))
+    found = after(
+        (0.0, UpdateLost(1, WHOLE_LIST)),
+        (1.0, CallBegan(2)),
+        (1.0, UpdateRead(1, 10_000, False)),
+        (1.0, UpdateRead(2, 10_000, False)),
+    )
     assert found.withholds(1_000.0)
     found.take(2.0, UpdateRead(2, 5, True))
     assert not found.withholds(1_000.0)
 
 
 def test_of_two_losses_the_later_one_is_not_settled_by_a_call_between_them():
-    found = after((1_000.0, UpdateLost(1, 4)), (1_100.0, CallBegan(2)), (1_200.0, UpdateLost(1)),
-                  (1_300.0, UpdateRead(2, 5, True)))
+    found = after(
+        (1_000.0, UpdateLost(1, 4)),
+        (1_100.0, CallBegan(2)),
+        (1_200.0, UpdateLost(1)),
+        (1_300.0, UpdateRead(2, 5, True)),
+    )
     assert found.withholds(2_000.0)
     found.take(1_400.0, CallBegan(3))
     found.take(1_500.0, UpdateRead(3, 5, False))
     assert not found.withholds(2_000.0)
 
 
-@pytest.mark.parametrize("since", [
-    [], [EndedInForm(2)], [EndedInForm(2), EndedInForm(3)], [ConnectionRefused(2)], [NothingArrived(2)],
-    [FormerServiceRead(1)], [UpdateRead(1, 9, True)]],
-    ids=["time", "turned away", "twice", "refused", "not asked", "former address", "an earlier call"])
+@pytest.mark.parametrize(
+    "since",
+    [
+        [],
+        [EndedInForm(2)],
+        [EndedInForm(2), EndedInForm(3)],
+        [ConnectionRefused(2)],
+        [NothingArrived(2)],
+        [FormerServiceRead(1)],
+        [UpdateRead(1, 9, True)],
+    ],
+    ids=["time", "turned away", "twice", "refused", "not asked", "former address", "an earlier call"],
+)
 def test_nothing_but_the_answer_to_a_later_call_settles_a_loss(since):
     found = after((1_000.0, UpdateLost(1)))
     for at, message in enumerate(since):
@@ -228,21 +259,29 @@
 
 
 def test_a_call_that_is_answered_in_time_leaves_nothing_of_the_silence_before():
-    found = after((1_000.0, CallBegan(2)), (3_500.0, CallSilent(2, 2.5)), (3_600.0, CallBegan(3)),
-                  (4_000.0, UpdateRead(3, 4, False)))
+    found = after(
+        (1_000.0, CallBegan(2)),
+        (3_500.0, CallSilent(2, 2.5)),
+        (3_600.0, CallBegan(3)),
+        (4_000.0, UpdateRead(3, 4, False)),
+    )
     assert expires_at(found, 4_000.0 + TOLD_AT_LAST)
 
 
-@pytest.mark.parametrize("steps, told", [
-    ([], 0.0),
-    ([(4_000.0, EndedInForm(2))], 0.0),
-    ([(4_000.0, EndedInForm(2)), (5_900.0, EndedInForm(3))], 0.0),
-    ([(1_000.0, UpdateRead(1, 3, False)), (4_000.0, EndedInForm(1))], 1_000.0),
-    # what changed while nobody listened there counts from when somebody does again
-    ([(4_000.0, ConnectionRefused(2)), (5_000.0, EndedInForm(3))], 4_000.0),
-    # a call whose request never left, or that never connected, says nothing of the service
-    ([(4_000.0, NothingArrived(2))], 0.0),
-    ([(4_000.0, FormerServiceRead(1)), (5_000.0, EndedInForm(2))], 0.0)])
+@pytest.mark.parametrize(
+    "steps, told",
+    [
+        ([], 0.0),
+        ([(4_000.0, EndedInForm(2))], 0.0),
+        ([(4_000.0, EndedInForm(2)), (5_900.0, EndedInForm(3))], 0.0),
+        ([(1_000.0, UpdateRead(1, 3, False)), (4_000.0, EndedInForm(1))], 1_000.0),
+        # what changed while nobody listened there counts from when somebody does again
+        ([(4_000.0, ConnectionRefused(2)), (5_000.0, EndedInForm(3))], 4_000.0),
+        # a call whose request never left, or that never connected, says nothing of the service
+        ([(4_000.0, NothingArrived(2))], 0.0),
+        ([(4_000.0, FormerServiceRead(1)), (5_000.0, EndedInForm(2))], 0.0),
+    ],
+)
 def test_a_list_that_is_not_proven_anew_is_out_of_date_6_s_later_whatever_becomes_of_calls(steps, told):
     found = after(*steps)
     assert expires_at(found, told + TOLD_AT_LAST)
@@ -257,9 +296,11 @@
     assert found.withholds(told + LONGEST * ASKING - 1) and not found.withholds(told + LONGEST * ASKING)
 
 
-@pytest.mark.parametrize("steps", [
-    [], [EndedInForm(1)], [UpdateLost(1)], [NothingArrived(1)], [CallSilent(1, 2.5)]],
-    ids=["no call yet", "turned away", "reset", "not asked", "silent"])
+@pytest.mark.parametrize(
+    "steps",
+    [[], [EndedInForm(1)], [UpdateLost(1)], [NothingArrived(1)], [CallSilent(1, 2.5)]],
+    ids=["no call yet", "turned away", "reset", "not asked", "silent"],
+)
 def test_a_process_that_has_not_heard_from_the_list_service_sends_nothing(steps):
     found = ListLease()
     found.fit(GRACE, ASKING, False)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -53,8 +53,13 @@
 
 
 def asked(path: str, **fields: str) -> bytes:
-    return request(path, "GET" if path == "/read" else "POST", b"" if path == "/read" else b"x",
-                   **(KEY if path == "/tag" else {}), **fields)
+    return request(
+        path,
+        "GET" if path == "/read" else "POST",
+        b"" if path == "/read" else b"x",
+        **(KEY if path == "/tag" else {}),
+        **fields,
+    )
 
 
 def leave(client: Caller, how: str) -> None:
@@ -67,8 +72,7 @@
 @asynccontextmanager
 async def gated(monkeypatch: pytest.MonkeyPatch, cancel: bool) -> AsyncIterator[tuple[object, Gate]]:
     gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
-    async with running(known=[target("u0", gate.port)], Cancel=cancel,
-                       ConnectTimeoutUs=4_000_000) as service:
+    async with running(known=[target("u0", gate.port)], Cancel=cancel, ConnectTimeoutUs=4_000_000) as service:
         yield service, gate
 
 
@@ -97,8 +101,10 @@
             client.writer.write(request(trace="next"))
             while b"next" not in gate.got:
                 await asyncio.sleep(0)
-            assert gate.got.count(b"X-Trace-Id") == 1 and service.turn.counts["unsent"] + (
-                service.turn.counts["cancelled"]) == 1
+            assert (
+                gate.got.count(b"X-Trace-Id") == 1
+                and service.turn.counts["unsent"] + (service.turn.counts["cancelled"]) == 1
+            )
 
     play(story)
 
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -162,18 +162,25 @@
 
 
 @asynccontextmanager
-async def process(folder: Path, number: int, known: list[dict[str, Any]],
-                  service: ListService, shim: str = "") -> AsyncIterator[Running]:
+async def process(
+    folder: Path, number: int, known: list[dict[str, Any]], service: ListService, shim: str = ""
+) -> AsyncIterator[Running]:
     """`serve` in a process of its own; `shim`: a program that runs it in its place."""
     told = configuration(known, service.port)
     told["name"] = f"n{number}"
-    told["settings"] |= {"Balancers": PROCESSES, "Me": number,
-                         "Invariants": {"DrainGraceUs": 1e6 * GRACE, "MustAskInUs": 10_000_000}}
+    told["settings"] |= {
+        "Balancers": PROCESSES,
+        "Me": number,
+        "Invariants": {"DrainGraceUs": 1e6 * GRACE, "MustAskInUs": 10_000_000},
+    }
     file = folder / f"n{number}.json"
     file.write_text(json.dumps(told))
     child = await asyncio.create_subprocess_exec(
-        sys.executable, *(["-c", shim] if shim else ["-m", "ospreyline", "serve"]), str(file),
-        stdout=asyncio.subprocess.PIPE)
+        sys.executable,
+        *(["-c", shim] if shim else ["-m", "ospreyline", "serve"]),
+        str(file),
+        stdout=asyncio.subprocess.PIPE,
+    )
     one = Running(child, file)
     reading = asyncio.ensure_future(one.read())
     try:
@@ -211,8 +218,9 @@
 class Story:
     """Processes with clients, two servers and a list service; whatever fails, their logs are printed."""
 
-    def __init__(self, serve: Callable[[Call], Any], folder: Path, processes: int = PROCESSES,
-                 shim: str = "") -> None:
+    def __init__(
+        self, serve: Callable[[Call], Any], folder: Path, processes: int = PROCESSES, shim: str = ""
+    ) -> None:
         self.shim = shim
         self.services = [ListService(number, serve) for number in range(processes)]
         self.folder = folder
@@ -310,7 +318,7 @@
             elif call.balancer not in told:
                 told[call.balancer] = time.monotonic()
                 line = words(day, call)
-                call.write(HEAD + b"%x\r\n" % len(line) + line[:max(1, int(part * len(line)))])
+                call.write(HEAD + b"%x\r\n" % len(line) + line[: max(1, int(part * len(line)))])
                 await call.writer.drain()
                 await asyncio.sleep(0.02)  # the bytes are on their way before what follows them
                 if then == "reset":
--- a/tests/test_list_losses.py
+++ b/tests/test_list_losses.py
@@ -33,8 +33,12 @@
 )
 
 STANDS, WAITS, NEW, MOVED, RESTARTED = (
-    "a watch that stands", "a call that waits", "the first call of a process", "a call after a move",
-    "a call after a restart")
+    "a watch that stands",
+    "a call that waits",
+    "the first call of a process",
+    "a call after a move",
+    "a call after a restart",
+)
 SPAN = 3.0  # s after the change counts as told for which the steps go on
 
 
@@ -123,8 +127,10 @@
             self.written = self.written or time.monotonic()
             call.write(step.arrives(answer, stands))
         call.write(step.plain)
-        self.note(f"call {self.calls} {'stands' if stands else 'new'}: written={step.arrives is not None} "
-                  f"then {step.then}")
+        self.note(
+            f"call {self.calls} {'stands' if stands else 'new'}: written={step.arrives is not None} "
+            f"then {step.then}"
+        )
         await self._end(call, step, stands)
 
     async def _end(self, call: Call, step: Step, stands: bool) -> None:
@@ -192,8 +198,13 @@
             print(f"{at - told:+.3f} {text}")
         ages = [round(at - told, 3) for at in self.draining.times(0)]
         late = self.late(told)
-        print("late:", len(late), *(late[:1] + late[-1:]), "last before:", max(
-            (age for age in ages if age <= 0.55), default=None))
+        print(
+            "late:",
+            len(late),
+            *(late[:1] + late[-1:]),
+            "last before:",
+            max((age for age in ages if age <= 0.55), default=None),
+        )
 
 
 def plays(start: str, steps: tuple[Step, ...], folder: Path) -> None:
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -43,7 +43,8 @@
 
 @pytest.mark.parametrize(("stopped", "times"), [(0.3, 4), (0.7, 6), (1.0, 6), (4.5, 1)])
 def test_a_process_that_was_stopped_sends_nothing_to_a_server_that_began_to_drain_meanwhile(
-        stopped, times, tmp_path):
+    stopped, times, tmp_path
+):
     async def story() -> None:
         def serve(call: Call) -> None:
             call.write(HEAD + chunk(call.list(version, day.known)))
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -86,8 +86,15 @@
         registry = Registry()
         await registry.start()
         steps: list[LeaseMessage] = []
-        lists = Discovery(asyncio.get_running_loop(), ("127.0.0.1", registry.port), 3, structlog.get_logger(),
-                          lambda news: None, lambda failure: None, steps.append)
+        lists = Discovery(
+            asyncio.get_running_loop(),
+            ("127.0.0.1", registry.port),
+            3,
+            structlog.get_logger(),
+            lambda news: None,
+            lambda failure: None,
+            steps.append,
+        )
         lists.watch(True)
         await registry.tell(4, target("u0", 1))
         registry.writers[-1].write(END)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -98,8 +98,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("what", [
-    b'{"rev":9,"all":false,', b"x", b" ", b"head", b'{\n"rev":9,\n"targets":[\n'])
+@pytest.mark.parametrize(
+    "what", [b'{"rev":9,"all":false,', b"x", b" ", b"head", b'{\n"rev":9,\n"targets":[\n']
+)
 def test_a_watch_that_trickles_without_a_whole_line_is_as_good_as_silent(what, monkeypatch):
     # any byte counted as a sign of life: a watch could stay open for good and tell nothing
     async def story():
@@ -128,7 +129,7 @@
     async def story():
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry, known=[]) as service:
-            odd = target('{"[', 1, state="left", model="a } \\ \" ]")
+            odd = target('{"[', 1, state="left", model='a } \\ " ]')
             zero, one = (target(f"u{i}", peer.port) for i, peer in enumerate(peers))
             await registry.say(listing(5, odd, zero, whole=True, indent=indent) + b"\n", piece)
             await served_by(service, {b"0"})
@@ -170,8 +171,10 @@
                 watch.write(chunk(listing(3)))
                 while service.turn.discovery.rev != 3:
                     await asyncio.sleep(0)
-                plain.write(chunk(listing(2, *(target(f"u{i}", p.port) for i, p in enumerate(peers)),
-                                          whole=True)) + END)
+                plain.write(
+                    chunk(listing(2, *(target(f"u{i}", p.port) for i, p in enumerate(peers)), whole=True))
+                    + END
+                )
             await new.until(lambda: len(new.requests) > 2)  # asked again, as the decisions pace it
             while not new.writers or new.writers[-1] in (watch, plain):
                 await asyncio.sleep(0)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -140,8 +140,11 @@
     net.world.run(net.world.now + 100.0)
     new = net.start("n6")
     net.world.run(net.world.now + 6_000.0)
-    assert all(net.nodes[n].members.members["n6"].entry.start == new.members.me.start
-               and state(net, n, "n6") == ALIVE for n in others(net, "n6"))
+    assert all(
+        net.nodes[n].members.members["n6"].entry.start == new.members.me.start
+        and state(net, n, "n6") == ALIVE
+        for n in others(net, "n6")
+    )
 
 
 def test_of_two_processes_under_one_name_the_older_stops_speaking():
@@ -188,7 +191,7 @@
     one = net.nodes["n0"].members
     flood = [Entry(f"x{i}", "h:1", "z", 5, 0, ALIVE) for i in range(members.MOST_MEMBERS + 500)]
     for i in range(0, len(flood), 100):
-        one.heard(net.world.now, "n1", frames.Tell(news=flood[i:i + 100]))
+        one.heard(net.world.now, "n1", frames.Tell(news=flood[i : i + 100]))
     assert len(one.members) <= members.MOST_MEMBERS
 
 
@@ -273,8 +276,14 @@
     a, b, c = three()
     a.told(100.0, 5, True, [entry("s1"), entry("s2")])
     b.sources = [a.name]
-    assert b.heard(110.0, a.name, Passed(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))],
-                                         age=0.0)) is not None
+    assert (
+        b.heard(
+            110.0,
+            a.name,
+            Passed(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
+        )
+        is not None
+    )
     b.told(200.0, 5, False, [])
     c.tick(300.0)
     news = exchange(310.0, b, c)[-1]
@@ -377,15 +386,18 @@
 
 MESSAGES: list[frames.Message] = [
     frames.Hello(bank="b", me=Entry("n", "h:1", "z", 1, 2, ALIVE), to="m"),
-    frames.Ask(number=7, news=[Entry("x", "h:2", "z", 1, 0, DEAD)]), frames.Hint(body=b"\0\1"),
-    Passed(rev=4, since=-1, targets=[b"{}"], age=1.5), Deaf()]
+    frames.Ask(number=7, news=[Entry("x", "h:2", "z", 1, 0, DEAD)]),
+    frames.Hint(body=b"\0\1"),
+    Passed(rev=4, since=-1, targets=[b"{}"], age=1.5),
+    Deaf(),
+]
 
 
 @pytest.mark.parametrize("piece", [1, 5, 10_000])
 def test_frames_come_back_however_they_are_split(piece):
     wire = b"".join(map(frames.encode, MESSAGES))
     reader = Reader()
-    assert [m for i in range(0, len(wire), piece) for m in reader.feed(wire[i:i + piece])] == MESSAGES
+    assert [m for i in range(0, len(wire), piece) for m in reader.feed(wire[i : i + piece])] == MESSAGES
 
 
 def framed(body: bytes, version: int = frames.VERSION, length: int | None = None) -> bytes:
@@ -393,10 +405,17 @@
     return frames.HEAD.pack(frames.MARK, version, size, frames.crc32(body)) + body
 
 
-@pytest.mark.parametrize(("wire", "why"), [
-    (framed(b"x", length=1 << 30), "is the most"), (b"GET / HTTP/1.1\r\n\r\n", "no frame"),
-    (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum"), (framed(b"\x93\x01"), "unreadable"),
-    (framed(b"\x81\xa1k\xa1z"), "unreadable"), (framed(b"", version=9), "version 9")])
+@pytest.mark.parametrize(
+    ("wire", "why"),
+    [
+        (framed(b"x", length=1 << 30), "is the most"),
+        (b"GET / HTTP/1.1\r\n\r\n", "no frame"),
+        (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum"),
+        (framed(b"\x93\x01"), "unreadable"),
+        (framed(b"\x81\xa1k\xa1z"), "unreadable"),
+        (framed(b"", version=9), "version 9"),
+    ],
+)
 def test_what_is_no_frame_of_ours_is_refused(wire, why):
     with pytest.raises(FrameError, match=why):
         Reader().feed(wire)
@@ -407,15 +426,19 @@
     unknown = frames.msgspec.msgpack.encode({"k": "later", "what": 1})
     later = frames.VERSION + 1
     assert Reader().feed(framed(newer, later) + framed(unknown, later) + framed(newer)) == [
-        frames.Ask(number=3), frames.Ask(number=3)]
+        frames.Ask(number=3),
+        frames.Ask(number=3),
+    ]
 
 
 def test_bytes_of_any_kind_never_do_more_than_refuse():
     draw = Random(5)
     good = b"".join(map(frames.encode, MESSAGES))
     makes: list[Callable[[], bytes]] = [
-        lambda: draw.randbytes(60), lambda: framed(draw.randbytes(30)),
-        lambda: good[:draw.randrange(len(good))] + draw.randbytes(20)]
+        lambda: draw.randbytes(60),
+        lambda: framed(draw.randbytes(30)),
+        lambda: good[: draw.randrange(len(good))] + draw.randbytes(20),
+    ]
     for _ in range(600):
         try:
             Reader().feed(draw.choice(makes)())
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -25,12 +25,15 @@
 """
 
 
-@pytest.mark.parametrize(("old", "new", "verdict"), [
-    ((0.69, 0.68, 0.70, 0.69), (0.64, 0.64, 0.65, 0.65), "below"),
-    ((0.69, 0.65, 0.70, 0.62), (0.68, 0.69, 0.64, 0.66), "no difference shown"),
-    ((0.60, 0.61), (0.70, 0.71), "above"),
-    ((0.69,), (0.64,), "too few"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "verdict"),
+    [
+        ((0.69, 0.68, 0.70, 0.69), (0.64, 0.64, 0.65, 0.65), "below"),
+        ((0.69, 0.65, 0.70, 0.62), (0.68, 0.69, 0.64, 0.66), "no difference shown"),
+        ((0.60, 0.61), (0.70, 0.71), "above"),
+        ((0.69,), (0.64,), "too few"),
+    ],
+)
 def test_a_difference_counts_only_outside_its_interval(old, new, verdict):
     assert Compared("all", old, new).verdict == verdict
 
@@ -38,7 +41,7 @@
 def test_the_interval_is_students_of_the_paired_differences():
     found = Compared("all", (0.5, 0.6, 0.7), (0.6, 0.8, 0.8))
     assert found.difference == pytest.approx(0.4 / 3)
-    assert found.half_width == pytest.approx(4.303 * 0.057735 / 3 ** 0.5, rel=1e-3)
+    assert found.half_width == pytest.approx(4.303 * 0.057735 / 3**0.5, rel=1e-3)
 
 
 def test_a_day_that_one_run_left_out_is_not_compared():
@@ -53,8 +56,9 @@
     monkeypatch.chdir(root)
 
     def git(*args):
-        subprocess.run(["git", "-c", "user.name=n", "-c", "user.email=e", *args], check=True,
-                       capture_output=True)
+        subprocess.run(
+            ["git", "-c", "user.name=n", "-c", "user.email=e", *args], check=True, capture_output=True
+        )
 
     git("init", "-q")
     for text in ("0.6", "0.7"):
@@ -70,8 +74,21 @@
 
 def call(root, *more):
     at = root.parent
-    return CliRunner().invoke(main, ["pairs", "HEAD~1", "HEAD", "--bench", str(at / "bench"), "--site",
-                                     str(at / "bench"), "--work", str(at / "work"), *more])
+    return CliRunner().invoke(
+        main,
+        [
+            "pairs",
+            "HEAD~1",
+            "HEAD",
+            "--bench",
+            str(at / "bench"),
+            "--site",
+            str(at / "bench"),
+            "--work",
+            str(at / "work"),
+            *more,
+        ],
+    )
 
 
 def test_texts_are_played_in_turns_and_a_second_call_goes_on(project):
@@ -84,10 +101,22 @@
     assert len(kept) == 6
 
 
-@pytest.mark.parametrize(("args", "said"), [
-    (["nothing", "HEAD"], "git rev-parse"), (["HEAD", "HEAD"], "the same revision")])
+@pytest.mark.parametrize(
+    ("args", "said"), [(["nothing", "HEAD"], "git rev-parse"), (["HEAD", "HEAD"], "the same revision")]
+)
 def test_what_cannot_be_compared_is_one_line(project, args, said):
     at = project.parent
-    found = CliRunner().invoke(main, ["pairs", *args, "--bench", str(at / "bench"), "--site",
-                                      str(at / "bench"), "--work", str(at / "work")])
+    found = CliRunner().invoke(
+        main,
+        [
+            "pairs",
+            *args,
+            "--bench",
+            str(at / "bench"),
+            "--site",
+            str(at / "bench"),
+            "--work",
+            str(at / "work"),
+        ],
+    )
     assert found.exit_code == 2 and said in found.output and len(found.output.splitlines()) == 1
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -104,8 +104,10 @@
 
 
 def test_a_level_without_room_passes_visits_on_while_crossing_pays():
-    cheap, dear = FakeHost([listed(0), listed(1, zone=1)], cross_fee=0.1), FakeHost(
-        [listed(0), listed(1, zone=1)], cross_fee=2.0)
+    cheap, dear = (
+        FakeHost([listed(0), listed(1, zone=1)], cross_fee=0.1),
+        FakeHost([listed(0), listed(1, zone=1)], cross_fee=2.0),
+    )
     for host in (cheap, dear):
         host.serve(30)
         for _ in range(25):
@@ -207,8 +209,13 @@
 def test_a_path_prefix_of_heavy_visits_is_the_first_to_cross():
     # met on busy days: a third of the visits of the highest gain timed out at home, one in fifty elsewhere
     light, heavy = prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE)
-    host = FakeHost([listed(i, zone=i // 2) for i in range(4)], zones=2, balancers=1, prefixes=(light, heavy),
-                    cross_fee=0.1)
+    host = FakeHost(
+        [listed(i, zone=i // 2) for i in range(4)],
+        zones=2,
+        balancers=1,
+        prefixes=(light, heavy),
+        cross_fee=0.1,
+    )
     for _ in range(200):
         for lane, spent in ((0, 100.0), (1, 400.0)):
             visit = host.take(lane)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -48,11 +48,14 @@
     return running(peer, registry=agent, known=[target("u0", peer.port)], Discovery="push")
 
 
-@pytest.mark.parametrize("said", [
-    SILENT,  # it connects and says nothing
-    HEAD,  # or a head
-    HEAD + b'6\r\n{"rev"\r\n',  # or half a line
-])
+@pytest.mark.parametrize(
+    "said",
+    [
+        SILENT,  # it connects and says nothing
+        HEAD,  # or a head
+        HEAD + b'6\r\n{"rev"\r\n',  # or half a line
+    ],
+)
 def test_an_agent_that_hangs_is_awaited_for_its_silence_and_no_longer(said, monkeypatch):
     async def story():
         agent = Peer(said)
@@ -67,16 +70,19 @@
     play(story)
 
 
-@pytest.mark.parametrize("said", [
-    RESET,
-    ok(status=b"503 Service Unavailable", fields=b"Retry-After: 30\r\n"),  # whatever it asks for
-    ("end", HEAD),
-    ("end", b""),
-    ok(b""),
-    b"HTTP/1.1 100 Continue\r\n\r\n",
-    b"nonsense\r\n\r\n",
-    listing(b'{"rev": 4, "targets": [\n\n'),
-])
+@pytest.mark.parametrize(
+    "said",
+    [
+        RESET,
+        ok(status=b"503 Service Unavailable", fields=b"Retry-After: 30\r\n"),  # whatever it asks for
+        ("end", HEAD),
+        ("end", b""),
+        ok(b""),
+        b"HTTP/1.1 100 Continue\r\n\r\n",
+        b"nonsense\r\n\r\n",
+        listing(b'{"rev": 4, "targets": [\n\n'),
+    ],
+)
 def test_an_agent_that_turns_away_or_breaks_off_is_awaited_no_longer(said, monkeypatch):
     async def story():
         agent = Peer(said)
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -16,9 +16,18 @@
 
 def entry(folder, name, at, figure=0.7, **more):
     row = {
-        "id": name, "at": [at, at], "cmd": "real-score", "site": "s", "panel": "real:s:1:calm+mass,roll+mass",
-        "ok": True, "figures": {"real_score": figure}, "digest": GATE.format("passed"), "unknown": 1,
-        "policy": [{"path": "a.py", "sha256": sha256(b"text").hexdigest()}], **more}
+        "id": name,
+        "at": [at, at],
+        "cmd": "real-score",
+        "site": "s",
+        "panel": "real:s:1:calm+mass,roll+mass",
+        "ok": True,
+        "figures": {"real_score": figure},
+        "digest": GATE.format("passed"),
+        "unknown": 1,
+        "policy": [{"path": "a.py", "sha256": sha256(b"text").hexdigest()}],
+        **more,
+    }
     (folder / f"{name}.json").write_text(json.dumps(row))
 
 
@@ -35,14 +44,17 @@
     return standings(run, texts(journal.parent, run))
 
 
-@pytest.mark.parametrize(("more", "trouble"), [
-    ({}, ""),
-    ({"figure": 0.66}, "fell by 0.040"),
-    ({"figure": 0.68}, ""),
-    ({"ok": False, "error": "n0 crashed"}, "n0 crashed"),
-    ({"digest": GATE.format("failed: lost on roll+mass")}, "gate failed: lost on roll+mass"),
-    ({"days": [{"name": "roll", "rules": {"drain": 2, "dup": 0}}]}, "rule broken, roll: drain"),
-])
+@pytest.mark.parametrize(
+    ("more", "trouble"),
+    [
+        ({}, ""),
+        ({"figure": 0.66}, "fell by 0.040"),
+        ({"figure": 0.68}, ""),
+        ({"ok": False, "error": "n0 crashed"}, "n0 crashed"),
+        ({"digest": GATE.format("failed: lost on roll+mass")}, "gate failed: lost on roll+mass"),
+        ({"days": [{"name": "roll", "rules": {"drain": 2, "dup": 0}}]}, "rule broken, roll: drain"),
+    ],
+)
 def test_what_has_to_be_seen_to_first_is_said(journal, more, trouble):
     entry(journal, "b", "2026-01-01T00:00:00Z")
     entry(journal, "a", "2026-01-02T00:00:00Z", **{"figure": 0.7, **more})
@@ -62,8 +74,11 @@
     entry(journal, "g", "2026-01-07T00:00:00Z", cmd="replay")
     entry(journal, "h", "2026-01-08T00:00:00Z", site="quito-registro")
     assert [(s.call, s.last.id) for s in state_of(journal)] == [
-        ("in service, s, full", "c"), ("simulated, s, quick", "d"), ("standing, s, full", "a"),
-        ("standing, s, quick", "b")]
+        ("in service, s, full", "c"),
+        ("simulated, s, quick", "d"),
+        ("standing, s, full", "a"),
+        ("standing, s, quick", "b"),
+    ]
 
 
 def test_brink_is_no_standing_test_and_other_seeds_are_other_days(journal):
@@ -75,8 +90,14 @@
     found = {s.call: s for s in state_of(journal)}
     assert set(found) == {"standing, s, full", "brink, s"} and found["standing, s, full"].last.id == "a"
     assert found["brink, s"].change == pytest.approx(-0.1) and not found["brink, s"].trouble
-    entry(journal, "c", "2026-01-03T00:00:00Z", panel=brink.format(3), figure=0.1,
-          digest=GATE.format("failed: lost on roll+brink"))
+    entry(
+        journal,
+        "c",
+        "2026-01-03T00:00:00Z",
+        panel=brink.format(3),
+        figure=0.1,
+        digest=GATE.format("failed: lost on roll+brink"),
+    )
     found = {s.call: s for s in state_of(journal)}
     assert found["brink, s"].change is None and found["brink, s"].trouble.startswith("gate failed")
 
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -119,8 +119,9 @@
         registry = Registry()
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
         new = await Peer(ok(b"new")).start()
-        async with running(registry=registry, known=[target("u0", gate.port)],
-                           ConnectTimeoutUs=4_000_000) as service:
+        async with running(
+            registry=registry, known=[target("u0", gate.port)], ConnectTimeoutUs=4_000_000
+        ) as service:
             await registry.tell(4)
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x"))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,19 +15,23 @@
 from ospreyline.rig.registry import Listing
 from ospreyline.rig.wire import Reading
 
-REQUEST = (b"POST /change/x?y=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 7a\r\nContent-Length: 4\r\n\r\nbody"
-           b"GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 7b\r\n\r\n")
-ANSWER = (b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-          b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+REQUEST = (
+    b"POST /change/x?y=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 7a\r\nContent-Length: 4\r\n\r\nbody"
+    b"GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 7b\r\n\r\n"
+)
+ANSWER = (
+    b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+    b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+)
 
 
 @pytest.mark.parametrize("piece", [1, 3, 1_000])
 def test_whole_requests_and_answers_are_read_however_they_are_split(piece):
     reading = Reading()
-    asked = [a for i in range(0, len(REQUEST), piece) for a in reading.sent(float(i), REQUEST[i:i + piece])]
+    asked = [a for i in range(0, len(REQUEST), piece) for a in reading.sent(float(i), REQUEST[i : i + piece])]
     assert [(a.id, a.prefix, a.method) for a in asked] == [("7a", "change", "POST"), ("7b", "read", "GET")]
     assert asked[0].first == 0.0 and asked[0].last >= asked[0].first
-    said = [a for i in range(0, len(ANSWER), piece) for a in reading.came(float(i), ANSWER[i:i + piece])]
+    said = [a for i in range(0, len(ANSWER), piece) for a in reading.came(float(i), ANSWER[i : i + piece])]
     assert [(a.status, a.never_ran) for a in said] == [(503, True), (200, False)]
 
 
@@ -69,44 +73,55 @@
     return {"load": {"rate": 5.0}, "faults": [{"kind": "stop", "who": "b0", **values}]}
 
 
-@pytest.mark.parametrize(("tree", "said"), [
-    (fault(kind="stopp"), "faults[0].kind: unknown 'stopp', 'stop'?"),
-    (fault(kind="drop", link="b9>u0"), "faults[0].link: no link is called 'b9>u0'"),
-    (fault(kind="drop"), "faults[0].link: 'drop' needs links"),
-    (fault(who="b7"), "faults[0].who: no balancer is called 'b7'"),
-    (fault(who=""), "faults[0].who: 'stop' needs who or part"),
-    (fault(on={"prefix": "reed"}), "faults[0].on.prefix: 'reed' is not a prefix"),
-    (fault(on={"nth": 0}), "faults[0].on.nth: 0 is under 1"),
-    (fault(zone="z"), "faults[0].zone: 'z' is not in zones.names"),
-    ({**fault(), "rig": {"relays": False}, "faults": [{"kind": "drop", "link": "b0>u0"}]}, "needs relays"),
-    ({"load": {"rate": 5.0}, "rig": {"quee": 3}}, "rig.quee: unknown key, 'queue'?"),
-    ({"load": {"rate": 5.0}, "bank": {"count": 4_000}}, "bank.count: 4000 is more than"),
-])
+@pytest.mark.parametrize(
+    ("tree", "said"),
+    [
+        (fault(kind="stopp"), "faults[0].kind: unknown 'stopp', 'stop'?"),
+        (fault(kind="drop", link="b9>u0"), "faults[0].link: no link is called 'b9>u0'"),
+        (fault(kind="drop"), "faults[0].link: 'drop' needs links"),
+        (fault(who="b7"), "faults[0].who: no balancer is called 'b7'"),
+        (fault(who=""), "faults[0].who: 'stop' needs who or part"),
+        (fault(on={"prefix": "reed"}), "faults[0].on.prefix: 'reed' is not a prefix"),
+        (fault(on={"nth": 0}), "faults[0].on.nth: 0 is under 1"),
+        (fault(zone="z"), "faults[0].zone: 'z' is not in zones.names"),
+        (
+            {**fault(), "rig": {"relays": False}, "faults": [{"kind": "drop", "link": "b0>u0"}]},
+            "needs relays",
+        ),
+        ({"load": {"rate": 5.0}, "rig": {"quee": 3}}, "rig.quee: unknown key, 'queue'?"),
+        ({"load": {"rate": 5.0}, "bank": {"count": 4_000}}, "bank.count: 4000 is more than"),
+    ],
+)
 def test_what_is_wrong_with_a_scenario_is_one_line_that_names_it(tree, said):
     with pytest.raises(ScenarioError) as error:
         scenario.build(tree)
     assert said in str(error.value) and "\n" not in str(error.value)
 
 
-@pytest.mark.parametrize("args", [["run", "quite"], ["run", "nowhere.toml"],
-                                  ["run", "quiet", "--out", "/proc/nothing"]])
+@pytest.mark.parametrize(
+    "args", [["run", "quite"], ["run", "nowhere.toml"], ["run", "quiet", "--out", "/proc/nothing"]]
+)
 def test_bad_input_is_one_line_and_status_2(args):
     found = CliRunner().invoke(main, ["rig", *args])
     assert found.exit_code == 2 and len(found.output.splitlines()) == 1, found.output
 
 
 def test_serving_with_everything_off_imports_nothing_of_it():
-    script = ("import sys; from ospreyline.net import service; "
-              "print([n for n in sys.modules if n.startswith(('ospreyline.fleet', 'ospreyline.rig', "
-              "'ospreyline.operator', 'ospreyline.lab', 'tomllib'))])")
+    script = (
+        "import sys; from ospreyline.net import service; "
+        "print([n for n in sys.modules if n.startswith(('ospreyline.fleet', 'ospreyline.rig', "
+        "'ospreyline.operator', 'ospreyline.lab', 'tomllib'))])"
+    )
     done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
 
 def test_the_rig_imports_nothing_of_what_it_judges():
-    script = ("import sys; from ospreyline.rig import clients, command, keeper, referee, registry, relays, "
-              "results, run, script, upstreams, worker; "
-              "print([n for n in sys.modules if n.startswith(('ospreyline.net', 'ospreyline.fleet', "
-              "'ospreyline.decide', 'ospreyline.operator'))])")
+    script = (
+        "import sys; from ospreyline.rig import clients, command, keeper, referee, registry, relays, "
+        "results, run, script, upstreams, worker; "
+        "print([n for n in sys.modules if n.startswith(('ospreyline.net', 'ospreyline.fleet', "
+        "'ospreyline.decide', 'ospreyline.operator'))])"
+    )
     done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_rig_clients.py
+++ b/tests/test_rig_clients.py
@@ -20,9 +20,17 @@
         self.tries: list[dict[str, Any]] = []
         self.seed, self.clock = 1, SimpleNamespace(now=1_000.0, tick=lambda: None, after=lambda *more: None)
         found = msgspec.to_builtins(scenario.build(tree()))
-        self.clients = Clients(self, {  # type: ignore[arg-type]
-            "scenario": found, "number": 0, "of": 1, "at": [("127.0.0.1", 1)] * 3, "zones": [0, 1, 0],
-            "bank_seed": 1})
+        self.clients = Clients(
+            self,
+            {  # type: ignore[arg-type]
+                "scenario": found,
+                "number": 0,
+                "of": 1,
+                "at": [("127.0.0.1", 1)] * 3,
+                "zones": [0, 1, 0],
+                "bank_seed": 1,
+            },
+        )
 
     def row(self, kind: str, /, **values: Any) -> None:
         if kind == "try":
--- a/tests/test_rig_losses.py
+++ b/tests/test_rig_losses.py
@@ -36,16 +36,35 @@
 
 
 async def service(worker: Worker) -> Service:
-    found = Service(worker, {  # type: ignore[arg-type]
-        "named": {"127.0.0.1": "b0"}, "entries": ENTRIES, "endpoints": {}, "listen": "127.0.0.1",
-        "calls_per_s": 0, "queue": 50, "retry_after_s": 0, "period_ms": 1.0})
+    found = Service(
+        worker,
+        {  # type: ignore[arg-type]
+            "named": {"127.0.0.1": "b0"},
+            "entries": ENTRIES,
+            "endpoints": {},
+            "listen": "127.0.0.1",
+            "calls_per_s": 0,
+            "queue": 50,
+            "retry_after_s": 0,
+            "period_ms": 1.0,
+        },
+    )
     await found.begin()
     return found
 
 
 async def lose(found: Service, end: str, size: int, extra: float = 0.0, silent: bool = False) -> None:
-    await found.told({"do": "fault", "kind": f"registry-lost-{end}", "on": 1, "size": size, "extra": extra,
-                      "silent": silent, "order": 1})
+    await found.told(
+        {
+            "do": "fault",
+            "kind": f"registry-lost-{end}",
+            "on": 1,
+            "size": size,
+            "extra": extra,
+            "silent": silent,
+            "order": 1,
+        }
+    )
 
 
 async def drain(found: Service) -> None:
@@ -99,7 +118,7 @@
             body = got.removeprefix(head).removesuffix(LAST_CHUNK)
             assert got.startswith(head) and (not body or body.startswith(b"%x\r\n" % size))
         else:
-            assert len(got) == size and (stands or HEAD.startswith(got[:len(HEAD)]))
+            assert len(got) == size and (stands or HEAD.startswith(got[: len(HEAD)]))
         writer.close()
         await found.end()
 
@@ -123,8 +142,17 @@
         await lose(found, "fin", 0, extra=0.3)
         await drain(found)
         assert await read(reader) == (b"", "fin")
-        await found.told({"do": "fault", "kind": "registry-lost-fin", "on": -1, "size": 0, "extra": 0.3,
-                          "silent": False, "order": 3})
+        await found.told(
+            {
+                "do": "fault",
+                "kind": "registry-lost-fin",
+                "on": -1,
+                "size": 0,
+                "extra": 0.3,
+                "silent": False,
+                "order": 3,
+            }
+        )
         answers = []
         while not answers or answers[-1] == b"HTTP/1.1 503":
             reader, writer = await asyncio.open_connection(*worker.said["listening"]["at"])
@@ -143,13 +171,29 @@
     async def story() -> None:
         worker = Worker()
         found = await service(worker)
-        relays = Relays(worker, {"links": [  # type: ignore[arg-type]
-            {"name": "b0>list", "listen": "127.0.0.1", "source": "127.0.0.1", "reads": False}]})
+        relays = Relays(
+            worker,
+            {
+                "links": [  # type: ignore[arg-type]
+                    {"name": "b0>list", "listen": "127.0.0.1", "source": "127.0.0.1", "reads": False}
+                ]
+            },
+        )
         await relays.begin()
         await relays.told({"do": "targets", "at": {"b0>list": worker.said["listening"]["at"]}, "order": 1})
         if in_order:
-            await relays.told({"do": "fault", "kind": "fin-for-reset", "on": 1, "way": "both", "size": 0,
-                               "extra": 0, "links": ["b0>list"], "order": 2})
+            await relays.told(
+                {
+                    "do": "fault",
+                    "kind": "fin-for-reset",
+                    "on": 1,
+                    "way": "both",
+                    "size": 0,
+                    "extra": 0,
+                    "links": ["b0>list"],
+                    "order": 2,
+                }
+            )
         reader, writer = await asyncio.open_connection(*worker.said["linked"]["at"]["b0>list"])
         writer.write(CALL)
         await first_chunk(reader)
@@ -163,13 +207,29 @@
 
 @pytest.mark.parametrize(("told", "late"), [({}, True), ({"heard": 400.0}, True), ({"heard": 800.0}, False)])
 def test_what_a_silent_call_misses_counts_six_seconds_after_its_last_word(told, late):
-    found = build({"bank": {"count": 1}, "servers": [{"count": 2}], "load": {"rate": 10.0},
-                   "rules": {"slack_ms": 50.0}, "prefixes": [{"name": "read"}]})
+    found = build(
+        {
+            "bank": {"count": 1},
+            "servers": [{"count": 2}],
+            "load": {"rate": 10.0},
+            "rules": {"slack_ms": 50.0},
+            "prefixes": [{"name": "read"}],
+        }
+    )
     sent = 7_100.0
-    rows = [{"k": "spawned", "t": 0.0, "name": "b0", "pid": 1},
-            {"k": "told", "t": 900.0, "b": "b0", "rev": 2, "whole": False, "states": [("s-0-1", "leaving")],
-             **told},
-            {"k": "asked", "t": sent + 1, "link": "b0>u0", "id": "v", "prefix": "read", "first": sent},
-            {"k": "answered", "t": sent + 50, "link": "b0>u0", "id": "v", "status": 200, "never": False}]
+    rows = [
+        {"k": "spawned", "t": 0.0, "name": "b0", "pid": 1},
+        {
+            "k": "told",
+            "t": 900.0,
+            "b": "b0",
+            "rev": 2,
+            "whole": False,
+            "states": [("s-0-1", "leaving")],
+            **told,
+        },
+        {"k": "asked", "t": sent + 1, "link": "b0>u0", "id": "v", "prefix": "read", "first": sent},
+        {"k": "answered", "t": sent + 50, "link": "b0>u0", "id": "v", "status": 200, "never": False},
+    ]
     breaches = Referee(found, [1.0, 1.0]).judge(rows)
     assert any(b.rule == "drain" for b in breaches) is late
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -21,27 +21,45 @@
 from ospreyline.rig.run import ROOT
 
 READ = {"name": "read", "share": 0.5, "work_ms": 10.0, "target_ms": 400.0, "timeout_ms": 1_500.0}
-CHANGE = {"name": "change", "kind": "mutating", "share": 0.5, "work_ms": 10.0, "target_ms": 400.0,
-          "timeout_ms": 1_500.0, "gain": 4.0}
-
-REGISTRY = {"mode": "ask", "calls_per_s": 250.0, "notice_ms": [100.0, 200.0], "silent_ms": [500.0, 800.0],
-            "period_ms": 50.0}
+CHANGE = {
+    "name": "change",
+    "kind": "mutating",
+    "share": 0.5,
+    "work_ms": 10.0,
+    "target_ms": 400.0,
+    "timeout_ms": 1_500.0,
+    "gain": 4.0,
+}
+
+REGISTRY = {
+    "mode": "ask",
+    "calls_per_s": 250.0,
+    "notice_ms": [100.0, 200.0],
+    "silent_ms": [500.0, 800.0],
+    "period_ms": 50.0,
+}
 SLOW = 6.0  # calls a second of a service that is crowded soon
 
 
 def tree(seconds: float = 4.0, **more: Any) -> dict[str, Any]:
     """Three balancers, four upstreams in two zones, eighty visits a second."""
     return {
-        "name": "story", "day": {"seconds": seconds}, "bank": {"count": 3, "notice_ms": [300.0, 600.0]},
+        "name": "story",
+        "day": {"seconds": seconds},
+        "bank": {"count": 3, "notice_ms": [300.0, 600.0]},
         "zones": {"names": ["a", "b"]},
         "servers": [{"count": 4, "cores": 2, "slots_per_core": 4, "cold_from": 0.5, "warm_ms": 2_000.0}],
         "registry": REGISTRY,
-        "load": {"rate": 80.0}, "clients": {"retries": 2, "patience": 0.7},
-        "prefixes": [READ, CHANGE], "rules": {"overload_factor": 4.0, "slack_ms": 150.0},
-        "goal": {"cross_fee": 0.2}, **more,
+        "load": {"rate": 80.0},
+        "clients": {"retries": 2, "patience": 0.7},
+        "prefixes": [READ, CHANGE],
+        "rules": {"overload_factor": 4.0, "slack_ms": 150.0},
+        "goal": {"cross_fee": 0.2},
+        **more,
         # one of each: what a fault waits for is counted over all links. It may come as late as two thirds
         # of the slack that its referee allows, or it would be judging itself
-        "rig": {"relay_processes": 1, "upstream_processes": 1, "lag_ms": 100.0, **more.get("rig", {})}}
+        "rig": {"relay_processes": 1, "upstream_processes": 1, "lag_ms": 100.0, **more.get("rig", {})},
+    }
 
 
 class Played:
@@ -51,8 +69,11 @@
         self.out = out
         self.said: list[str] = []
         self.figures = played(scenario.build(tree(**more)), 1, out, self.said.append)
-        self.rows = [json.loads(line) for path in sorted((out / "rows").glob("*.jsonl"))
-                     for line in path.read_text().splitlines()]
+        self.rows = [
+            json.loads(line)
+            for path in sorted((out / "rows").glob("*.jsonl"))
+            for line in path.read_text().splitlines()
+        ]
 
     def of(self, kind: str, **values: Any) -> list[dict[str, Any]]:
         return [r for r in self.rows if r["k"] == kind and all(r.get(k) == v for k, v in values.items())]
@@ -87,23 +108,30 @@
     assert [path.name for path in plot(tmp_path)][-1] == "index.html"
 
 
-@pytest.mark.parametrize("fault", [
-    {"kind": "kill", "who": "b0", "for_s": 0.5},
-    {"kind": "reset", "link": "b0>u*", "for_s": 0.5},
-    {"kind": "stop", "who": "b0", "for_s": 2.0},
-    {"kind": "drop", "link": "b0>u*", "for_s": 2.0, "extra": 0.5},
-    {"kind": "drop", "link": "c>b0", "way": "from", "for_s": 2.0, "extra": 1.0},
-    {"kind": "stall", "link": "b0>u*", "way": "from", "for_s": 2.0},
-    {"kind": "crash", "part": 1.0, "zone": "a", "for_s": 1.0, "silent": True},
-], ids=lambda fault: " ".join(str(fault[key]) for key in ("kind", "who", "link", "zone") if key in fault))
+@pytest.mark.parametrize(
+    "fault",
+    [
+        {"kind": "kill", "who": "b0", "for_s": 0.5},
+        {"kind": "reset", "link": "b0>u*", "for_s": 0.5},
+        {"kind": "stop", "who": "b0", "for_s": 2.0},
+        {"kind": "drop", "link": "b0>u*", "for_s": 2.0, "extra": 0.5},
+        {"kind": "drop", "link": "c>b0", "way": "from", "for_s": 2.0, "extra": 1.0},
+        {"kind": "stall", "link": "b0>u*", "way": "from", "for_s": 2.0},
+        {"kind": "crash", "part": 1.0, "zone": "a", "for_s": 1.0, "silent": True},
+    ],
+    ids=lambda fault: " ".join(str(fault[key]) for key in ("kind", "who", "link", "zone") if key in fault),
+)
 def test_what_breaks_between_the_last_byte_of_a_mutating_request_and_its_answer_runs_it_once(fault, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 5}
     day = Played(tmp_path, faults=[{**fault, "on": on}])
     day.kept()
     (seen,) = day.of("seen")
     # the one that was seen: nothing of its visit was sent to anyone after it
-    asked = [row for row in day.of("asked", prefix="change") if row["link"].startswith("b0>u")
-             and row["t"] <= seen["at"]]
+    asked = [
+        row
+        for row in day.of("asked", prefix="change")
+        if row["link"].startswith("b0>u") and row["t"] <= seen["at"]
+    ]
     visit = max(asked, key=lambda row: row["t"])["id"]
     assert len(day.of("asked", id=visit)) == 1 and len(day.of("ran", id=visit)) <= 1
     (end,) = day.of("try", id=visit)
@@ -122,7 +150,8 @@
         {"kind": "half-close", "link": "b1>u*", "way": "from", "at_s": 2.6, "for_s": 0.1},
         {"kind": "cut-at", "link": "b2>u1", "way": "from", "size": 40.0, "at_s": 2.5, "for_s": 1.0},
         {"kind": "cut-at", "link": "b2>u0", "way": "to", "size": 60.0, "at_s": 2.5, "for_s": 1.0},
-        {"kind": "cut", "zone": "a", "at_s": 3.2, "for_s": 1.0}]
+        {"kind": "cut", "zone": "a", "at_s": 3.2, "for_s": 1.0},
+    ]
     day = Played(tmp_path, seconds=5.0, faults=faults)
     day.kept()
     assert day.figures["gain"] > 0.6
@@ -130,10 +159,15 @@
 
 
 def test_a_drain_is_kept_by_balancers_that_hear_of_it_late_or_not_at_all(tmp_path):
-    day = Played(tmp_path, seconds=6.0, faults=[
-        {"kind": "drop", "link": "b0>list", "at_s": 0.2, "for_s": 3.0, "extra": 0.5},
-        {"kind": "stop", "who": "b1", "at_s": 0.4, "for_s": 1.5},
-        {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 0.5, "extra": 4.0}])
+    day = Played(
+        tmp_path,
+        seconds=6.0,
+        faults=[
+            {"kind": "drop", "link": "b0>list", "at_s": 0.2, "for_s": 3.0, "extra": 0.5},
+            {"kind": "stop", "who": "b1", "at_s": 0.4, "for_s": 1.5},
+            {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 0.5, "extra": 4.0},
+        ],
+    )
     day.kept()
     assert day.of("told", b="b2") and len(day.of("listed")) >= 1
 
@@ -141,15 +175,21 @@
 @pytest.mark.parametrize("keep", [False, True], ids=["nothing kept", "lists kept"])
 def test_a_bank_that_crash_loops_while_the_list_service_fails_in_every_way(keep, tmp_path):
     operator = {"list": {"calls_per_s": 250.0, **({"keep": "{out}/config/{b}.list"} if keep else {})}}
-    day = Played(tmp_path, seconds=9.0, rig={"known": "none", "operator": operator}, faults=[
-        {"kind": "crash-loop", "who": "b*", "size": 400.0, "at_s": 1.5, "for_s": 2.5},
-        {"kind": "registry-half", "at_s": 1.6, "for_s": 0.7},
-        {"kind": "registry-hang", "at_s": 2.3, "for_s": 0.7},
-        {"kind": "registry-full", "at_s": 3.0, "for_s": 0.7},
-        {"kind": "registry-down", "at_s": 3.7, "for_s": 2.0},
-        {"kind": "refuse", "link": "b*>list", "at_s": 3.7, "for_s": 2.0},
-        {"kind": "registry-back", "at_s": 5.7, "for_s": 1.0},
-        {"kind": "hup", "who": "b*", "at_s": 6.0}])
+    day = Played(
+        tmp_path,
+        seconds=9.0,
+        rig={"known": "none", "operator": operator},
+        faults=[
+            {"kind": "crash-loop", "who": "b*", "size": 400.0, "at_s": 1.5, "for_s": 2.5},
+            {"kind": "registry-half", "at_s": 1.6, "for_s": 0.7},
+            {"kind": "registry-hang", "at_s": 2.3, "for_s": 0.7},
+            {"kind": "registry-full", "at_s": 3.0, "for_s": 0.7},
+            {"kind": "registry-down", "at_s": 3.7, "for_s": 2.0},
+            {"kind": "refuse", "link": "b*>list", "at_s": 3.7, "for_s": 2.0},
+            {"kind": "registry-back", "at_s": 5.7, "for_s": 1.0},
+            {"kind": "hup", "who": "b*", "at_s": 6.0},
+        ],
+    )
     day.kept()
     events = [line["event"] for b in range(3) for line in day.log(b)]
     assert events.count("serving") > 6 and "reloaded" in events
@@ -161,20 +201,31 @@
     assert bool(meanwhile) is keep
 
 
-@pytest.mark.parametrize(("fault", "served"), [
-    ({"kind": "registry-down", "at_s": 0.0, "for_s": 2.5}, 12),
-    ({"kind": "registry-full", "at_s": 0.0, "for_s": 2.0}, 12),
-    ({"kind": "registry-hang", "at_s": 0.0, "for_s": 1.0}, 12),
-    ({"kind": "drop", "link": "b[02468]>list", "at_s": 0.0, "for_s": 20.0}, 7),
-], ids=lambda value: str(value["kind"]) if isinstance(value, dict) else "")
+@pytest.mark.parametrize(
+    ("fault", "served"),
+    [
+        ({"kind": "registry-down", "at_s": 0.0, "for_s": 2.5}, 12),
+        ({"kind": "registry-full", "at_s": 0.0, "for_s": 2.0}, 12),
+        ({"kind": "registry-hang", "at_s": 0.0, "for_s": 1.0}, 12),
+        ({"kind": "drop", "link": "b[02468]>list", "at_s": 0.0, "for_s": 20.0}, 7),
+    ],
+    ids=lambda value: str(value["kind"]) if isinstance(value, dict) else "",
+)
 def test_a_bank_starts_at_once_and_the_list_service_is_spared(fault, served, tmp_path):
     # a slow service, of 167 ms a call: a queue there is a crowd of calls, and not how late a process was. At
     # 4 ms a call more than three came by chance now and then, and a bank without its pace had none
-    day = Played(tmp_path, seconds=9.0, bank={"count": 12, "notice_ms": [300.0, 600.0]}, faults=[
-        fault, {"kind": "hup", "who": "b1", "at_s": 1.2},
-        {"kind": "restart", "who": "b3", "at_s": 1.5, "for_s": 0}],
+    day = Played(
+        tmp_path,
+        seconds=9.0,
+        bank={"count": 12, "notice_ms": [300.0, 600.0]},
+        faults=[
+            fault,
+            {"kind": "hup", "who": "b1", "at_s": 1.2},
+            {"kind": "restart", "who": "b3", "at_s": 1.5, "for_s": 0},
+        ],
         registry={**REGISTRY, "calls_per_s": SLOW},
-        rig={"start": "at once", "known": "none", "operator": {"list": {"calls_per_s": SLOW}}})
+        rig={"start": "at once", "known": "none", "operator": {"list": {"calls_per_s": SLOW}}},
+    )
     day.kept()
     start = day.figures["start"]
     assert start["listed"] == served and start["longest_queue"] <= 3 and start["calls_each"] <= 4, start
@@ -183,12 +234,17 @@
 
 
 def test_a_kept_list_whose_servers_have_gone_or_moved_costs_no_rule(tmp_path):
-    day = Played(tmp_path, seconds=8.0, rig={"operator": {"list": {
-        "calls_per_s": 250.0, "keep": "{out}/config/{b}.list"}}}, faults=[
-        {"kind": "registry-swap", "part": 0.5, "at_s": 0.3, "for_s": 6.0},
-        {"kind": "registry-down", "at_s": 1.5, "for_s": 3.0},
-        {"kind": "crash", "part": 0.5, "zone": "a", "at_s": 1.8, "for_s": 4.0},
-        {"kind": "kill", "who": "b*", "at_s": 2.0, "for_s": 0.2}])
+    day = Played(
+        tmp_path,
+        seconds=8.0,
+        rig={"operator": {"list": {"calls_per_s": 250.0, "keep": "{out}/config/{b}.list"}}},
+        faults=[
+            {"kind": "registry-swap", "part": 0.5, "at_s": 0.3, "for_s": 6.0},
+            {"kind": "registry-down", "at_s": 1.5, "for_s": 3.0},
+            {"kind": "crash", "part": 0.5, "zone": "a", "at_s": 1.8, "for_s": 4.0},
+            {"kind": "kill", "who": "b*", "at_s": 2.0, "for_s": 0.2},
+        ],
+    )
     day.kept()
     assert sum(line["event"] == "kept list taken" for b in range(3) for line in day.log(b)) == 3
     assert day.figures["gain"] > 0.5
@@ -196,32 +252,53 @@
 
 def test_a_breach_by_a_real_process_is_found(tmp_path):
     """A text whose rule on effects is taken out: a reset after the last byte has it sent again."""
-    shutil.copytree(ROOT / "ospreyline", tmp_path / "broken" / "ospreyline",
-                    ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        ROOT / "ospreyline", tmp_path / "broken" / "ospreyline", ignore=shutil.ignore_patterns("__pycache__")
+    )
     path = tmp_path / "broken" / "ospreyline" / "decide.py"
     text = path.read_text()
     rule = "if lane.kind is not Kind.READ_LIKE and (ran := visit.may_have_run()) is not None:"
     assert text.count(rule) == 1
     path.write_text(text.replace(rule, "if False and (ran := visit.may_have_run()) is not None:"))
-    day = Played(tmp_path / "out", rig={"program": str(tmp_path / "broken")}, faults=[
-        {"kind": "reset", "link": "b0>u0", "for_s": 0.1,
-         "on": {"link": "b0>u0", "prefix": "change", "nth": 3}}])
+    day = Played(
+        tmp_path / "out",
+        rig={"program": str(tmp_path / "broken")},
+        faults=[
+            {
+                "kind": "reset",
+                "link": "b0>u0",
+                "for_s": 0.1,
+                "on": {"link": "b0>u0", "prefix": "change", "nth": 3},
+            }
+        ],
+    )
     assert day.figures["breaches"]["twice"] >= 1, day.said
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_whatever_ends_the_rig_ends_all_that_it_started(how, tmp_path):
     file = tmp_path / "long.toml"
-    file.write_text((ROOT / "ospreyline" / "rig" / "scenarios" / "quiet.toml").read_text().replace(
-        "seconds = 8", "seconds = 60"))
+    file.write_text(
+        (ROOT / "ospreyline" / "rig" / "scenarios" / "quiet.toml")
+        .read_text()
+        .replace("seconds = 8", "seconds = 60")
+    )
     out = tmp_path / "out"
-    rig = subprocess.Popen([sys.executable, "-m", "ospreyline", "rig", "run", str(file), "--out", str(out)],
-                           stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True, cwd=ROOT,
-                           env={**os.environ, "PYTHONUNBUFFERED": "1"})
+    rig = subprocess.Popen(
+        [sys.executable, "-m", "ospreyline", "rig", "run", str(file), "--out", str(out)],
+        stderr=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+        cwd=ROOT,
+        env={**os.environ, "PYTHONUNBUFFERED": "1"},
+    )
     assert rig.stderr is not None
     assert "the day begins" in rig.stderr.readline()
-    pids = [json.loads(line)["pid"] for line in (out / "rows" / "keeper-0.jsonl").read_text().splitlines()
-            if '"spawned"' in line]
+    pids = [
+        json.loads(line)["pid"]
+        for line in (out / "rows" / "keeper-0.jsonl").read_text().splitlines()
+        if '"spawned"' in line
+    ]
     assert len(pids) == 3 and all(alive(pid) for pid in pids)
     rig.send_signal(how)
     said = rig.communicate(timeout=20)[1]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -109,8 +109,9 @@
     sizes = [len(scale.listing(size)) for size in SIZES]
     assert all(100 <= size / count <= 115 for size, count in zip(sizes, SIZES, strict=True))
     stopped = []
-    owner = SimpleNamespace(loop=SimpleNamespace(time=lambda: 0.0), log=None,
-                            ended=lambda call, why: stopped.append(why))
+    owner = SimpleNamespace(
+        loop=SimpleNamespace(time=lambda: 0.0), log=None, ended=lambda call, why: stopped.append(why)
+    )
     call = ListCall(owner, 1, ("h", 1), 0, watching=True)
     call.on_body(b"x" * MOST_LINE)
     assert stopped == []
@@ -176,7 +177,7 @@
     members = Members(me, [], lambda: 0.5, 0.0)
     entries = [Entry(f"m{i}", "h:2", "a", 1, 0, ALIVE) for i in range(told)]
     for at in range(0, told, 1_000):
-        members.heard(0.0, "m0", Whole(news=entries[at:at + 1_000]))
+        members.heard(0.0, "m0", Whole(news=entries[at : at + 1_000]))
     assert members.hears() == (1 + min(told, MOST_MEMBERS),) * 2
 
 
@@ -194,14 +195,39 @@
 def test_slopes_are_measured_by_a_command_and_what_is_not_measured_stays(tmp_path):
     data, picture = tmp_path / "slopes.toml", tmp_path / "slopes.png"
     data.write_text('[scoped_memory_mb]\nby = "x"\nunit = "MB"\nabout = "later"\npoints = []\n', "utf-8")
-    result = CliRunner().invoke(main, [
-        "rig", "scale", "slopes", "--part", "rank", "--part", "pass",
-        "--upstreams", "100", "--upstreams", "400", "--listeners", "10",
-        "--data", str(data), "--plot", str(picture)])
+    result = CliRunner().invoke(
+        main,
+        [
+            "rig",
+            "scale",
+            "slopes",
+            "--part",
+            "rank",
+            "--part",
+            "pass",
+            "--upstreams",
+            "100",
+            "--upstreams",
+            "400",
+            "--listeners",
+            "10",
+            "--data",
+            str(data),
+            "--plot",
+            str(picture),
+        ],
+    )
     assert result.exit_code == 0, result.output
     found = tomllib.loads(data.read_text("utf-8"))
-    assert found["scoped_memory_mb"] == {"by": "x", "unit": "MB", "about": "later", "date": "", "command": "",
-                                         "machine": "", "points": []}
+    assert found["scoped_memory_mb"] == {
+        "by": "x",
+        "unit": "MB",
+        "about": "later",
+        "date": "",
+        "command": "",
+        "machine": "",
+        "points": [],
+    }
     assert [size for size, _ in found["rank_ms"]["points"]] == [100, 400]
     assert found["rank_ms"]["command"] == "ospreyline rig scale slopes --part rank --part pass"
     assert picture.read_bytes().startswith(b"\x89PNG")
@@ -223,7 +249,9 @@
 
 
 def test_serve_imports_nothing_of_it():
-    code = ("import sys, ospreyline.__main__, ospreyline.net.service, ospreyline.operator;"
-            "print([m for m in sys.modules if 'capacity' in m or 'rig' in m.split('.')])")
+    code = (
+        "import sys, ospreyline.__main__, ospreyline.net.service, ospreyline.operator;"
+        "print([m for m in sys.modules if 'capacity' in m or 'rig' in m.split('.')])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -98,8 +98,9 @@
 
 def test_a_seed_replays():
     one, other = (noisy(3) for _ in range(2))
-    assert [(s.taken, s.moves, s.fresh) for s in one.subs.values()] == \
-        [(s.taken, s.moves, s.fresh) for s in other.subs.values()]
+    assert [(s.taken, s.moves, s.fresh) for s in one.subs.values()] == [
+        (s.taken, s.moves, s.fresh) for s in other.subs.values()
+    ]
 
 
 # planted mistakes: each takes one guard away, and a sentence has to break
@@ -200,11 +201,20 @@
 
 
 PLANTED = {
-    _older_is_taken: noisy, _age_without_the_way: noisy, _age_whatever_is_wanted: hot,
-    _drain_begins_when_heard: noisy, _drain_is_taken_back: hot, _dropped_at_once: noisy,
-    _never_sent_again: noisy, _silence_is_borne: quiet, _flow_without_bounds: flood,
-    _clock_set_back: noisy, _gone_before_all_is_there: noisy, _late_acknowledgement: noisy,
-    _fresh_while_behind: noisy}
+    _older_is_taken: noisy,
+    _age_without_the_way: noisy,
+    _age_whatever_is_wanted: hot,
+    _drain_begins_when_heard: noisy,
+    _drain_is_taken_back: hot,
+    _dropped_at_once: noisy,
+    _never_sent_again: noisy,
+    _silence_is_borne: quiet,
+    _flow_without_bounds: flood,
+    _clock_set_back: noisy,
+    _gone_before_all_is_there: noisy,
+    _late_acknowledgement: noisy,
+    _fresh_while_behind: noisy,
+}
 FIRST_SEED = {_age_whatever_is_wanted: 219}  # rare: it takes a word, a wish and a change in one order
 
 
@@ -226,8 +236,19 @@
         self.now = 1_000.0
         self.source = Source(1_000, Random(0).random)
         draw = Random(1).random
-        self.fan = Fanout(Subscriber("f", 5_000, [("source", "")], draw, self.now, everything=True,
-                                     rate=2 << 20, most_bytes=64 << 20, beat=500.0))
+        self.fan = Fanout(
+            Subscriber(
+                "f",
+                5_000,
+                [("source", "")],
+                draw,
+                self.now,
+                everything=True,
+                rate=2 << 20,
+                most_bytes=64 << 20,
+                beat=500.0,
+            )
+        )
         self.sub = Subscriber("b", 7_000, [("f", "")], draw, self.now, **wanted)
         self.said = []  # by the fan-out machine to the balancer
         self.deaf = False
@@ -422,43 +443,91 @@
     draw = Random(seed)
     session, epoch = pair.sub._sessions["f"].number, pair.source.epoch
     for n in range(100, 3_100):
-        items = [Item(f"k{draw.randrange(10**6)}", draw.randrange(n), draw.randrange(3),
-                      bytes(draw.randrange(2_000))) for _ in range(draw.randrange(60))]
-        pair.sub.heard(pair.now, "f", Change(
-            session=session, scope=draw.choice(["s0", "s1", "s2", "s9", "x" * 300]),
-            epoch=draw.choice([epoch, epoch + 9]), n=n, part=draw.randrange(4),
-            since=draw.choice([(0, 0), (epoch, 5), (epoch + 9, 7)]), parts=draw.choice([1, 3, 900]),
-            drains=draw.random() < 0.2, gone=draw.random() < 0.05, items=items))
+        items = [
+            Item(
+                f"k{draw.randrange(10**6)}",
+                draw.randrange(n),
+                draw.randrange(3),
+                bytes(draw.randrange(2_000)),
+            )
+            for _ in range(draw.randrange(60))
+        ]
+        pair.sub.heard(
+            pair.now,
+            "f",
+            Change(
+                session=session,
+                scope=draw.choice(["s0", "s1", "s2", "s9", "x" * 300]),
+                epoch=draw.choice([epoch, epoch + 9]),
+                n=n,
+                part=draw.randrange(4),
+                since=draw.choice([(0, 0), (epoch, 5), (epoch + 9, 7)]),
+                parts=draw.choice([1, 3, 900]),
+                drains=draw.random() < 0.2,
+                gone=draw.random() < 0.05,
+                items=items,
+            ),
+        )
         assert pair.sub.bytes + pair.sub._parted <= 200_000 + scopes.COST * len(pair.sub.scopes)
         assert pair.sub.bytes == sum(held.size for held in pair.sub.scopes.values())
     assert pair.sub.refused
     fan = pair.fan.down
     for i in range(2 * publishers.MOST_SUBSCRIBERS):
-        fan.heard(pair.now, f"x{i}", Subscribe(session=1, edition=1, at=0.0, rate=10**9, whole=True, scopes=[
-            (f"t{draw.randrange(10**6)}", draw.randrange(9), 1, 1) for _ in range(3)]))
+        fan.heard(
+            pair.now,
+            f"x{i}",
+            Subscribe(
+                session=1,
+                edition=1,
+                at=0.0,
+                rate=10**9,
+                whole=True,
+                scopes=[(f"t{draw.randrange(10**6)}", draw.randrange(9), 1, 1) for _ in range(3)],
+            ),
+        )
         fan.heard(pair.now, f"x{i}", Got(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
     assert len(fan) == publishers.MOST_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
     pair.turn(ms=1_000.0, times=14)
     assert len(fan) <= 1
 
 
-@pytest.mark.parametrize("wrong", [
-    {"echo": nan}, {"echo": inf}, {"epoch": 0}, {"epoch": 1 << 62 | 1}, {"part": 3}, {"part": -1},
-    {"parts": 1 << 20}, {"scope": "x" * 257}, {"items": [Item("k", 1, 7)]},
-    {"items": [Item("k", 1, LEAVING, b"", nan)]},
-    {"items": [Item("k", 1 << 60, HERE)]}, {"items": [Item("k", 1, HERE, bytes(1 << 17))]}, {"session": 1}])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"echo": nan},
+        {"echo": inf},
+        {"epoch": 0},
+        {"epoch": 1 << 62 | 1},
+        {"part": 3},
+        {"part": -1},
+        {"parts": 1 << 20},
+        {"scope": "x" * 257},
+        {"items": [Item("k", 1, 7)]},
+        {"items": [Item("k", 1, LEAVING, b"", nan)]},
+        {"items": [Item("k", 1 << 60, HERE)]},
+        {"items": [Item("k", 1, HERE, bytes(1 << 17))]},
+        {"session": 1},
+    ],
+)
 def test_a_change_that_cannot_be_changes_nothing(wrong):
     pair = stood()
     held = pair.sub.scopes["s1"]
     before = (dict(held.records), pair.sub.bytes, pair.sub.taken, held.version)
-    right = {"session": pair.sub._sessions["f"].number, "scope": "s1", "epoch": pair.source.epoch, "n": 1_000,
-             "items": [Item("k", 1_000, HERE, b"")], "echo": pair.now - 50.0}
+    right = {
+        "session": pair.sub._sessions["f"].number,
+        "scope": "s1",
+        "epoch": pair.source.epoch,
+        "n": 1_000,
+        "items": [Item("k", 1_000, HERE, b"")],
+        "echo": pair.now - 50.0,
+    }
     pair.sub.heard(pair.now, "f", Change(**(right | wrong)))
     assert pair.sub.scopes["s1"] is held
     assert (held.records, pair.sub.bytes, pair.sub.taken, held.version) == before
     pair.turn(times=60)
-    pair.sub.heard(pair.now, "f", Told(session=right["session"], edition=pair.sub._edition,
-                                       echo=nan, age=nan))
+    pair.sub.heard(
+        pair.now, "f", Told(session=right["session"], edition=pair.sub._edition, echo=nan, age=nan)
+    )
     assert pair.sub.age(pair.now, "s1") < 2_500.0
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -72,7 +72,10 @@
 @pytest.mark.parametrize(
     "line",
     [
-        b"no JSON\n", b'{"rev":9}\n', b"\xff\xfe\n", b"[]\n",
+        b"no JSON\n",
+        b'{"rev":9}\n',
+        b"\xff\xfe\n",
+        b"[]\n",
         b'{"rev":1,"all":false,"targets":[{"uid":"u0","endpoint":"","state":"left"}]}\n',  # older than known
         b'{"rev":9,"all":false,"targets":[{"uid":7},{"endpoint":"x"},{"uid":"z","endpoint":"nowhere"}]}\n',
         b'{"rev":9,"all":false,"targets":[{"uid":"z","endpoint":"127.0.0.1:99999"}]}\n',
@@ -314,8 +317,12 @@
             await old.until(lambda: not old.writers)
             # the new one counts otherwise, and the old one's later numbers mean nothing there
             assert b"after=0 " in new.requests[0][0]
-            await new.tell(2, target("u1", peers[1].port, state="leaving"), target("u2", peers[2].port),
-                           whole=first == "whole")
+            await new.tell(
+                2,
+                target("u1", peers[1].port, state="leaving"),
+                target("u2", peers[2].port),
+                whole=first == "whole",
+            )
             while {(await client.ask(request()))[2] for _ in range(20)} != {b"2"}:
                 pass
             if first == "changes":  # who is gone need not be among them: the whole list is asked for
@@ -482,10 +489,12 @@
     assert post.listen == ("127.0.0.2", 80) and post.name == "n7" and post.seed == 0x8C1F
 
 
-@pytest.mark.parametrize(("stood", "after", "sent"), [
-    (900.0, 0.0, False), (900.0, 300.0, True), (300.0, 0.0, True)])
+@pytest.mark.parametrize(
+    ("stood", "after", "sent"), [(900.0, 0.0, False), (900.0, 300.0, True), (300.0, 0.0, True)]
+)
 def test_what_waited_while_the_process_stood_still_is_not_sent_for_a_client_that_has_gone(
-        stood, after, sent, monkeypatch):
+    stood, after, sent, monkeypatch
+):
     # met on the rig: a process that was stopped went on with requests whose clients had long given up
     async def story():
         peer = Peer()
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -99,8 +99,15 @@
         async def never(*_: object) -> None:
             await asyncio.sleep(PATIENT)
 
-        lists = Discovery(loop, ("127.0.0.1", 1), 3, structlog.get_logger(), lambda news: None,
-                          lambda failure: None, messages.append)
+        lists = Discovery(
+            loop,
+            ("127.0.0.1", 1),
+            3,
+            structlog.get_logger(),
+            lambda news: None,
+            lambda failure: None,
+            messages.append,
+        )
         monkeypatch.setattr(lists, "_open", never)
         lists.watch(True)
         (call,) = lists._calls
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -31,8 +31,9 @@
 
 
 def test_a_text_that_takes_no_update_for_lost_is_found(tmp_path):
-    shutil.copytree(ROOT / "ospreyline", tmp_path / "broken" / "ospreyline",
-                    ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        ROOT / "ospreyline", tmp_path / "broken" / "ospreyline", ignore=shutil.ignore_patterns("__pycache__")
+    )
     path = tmp_path / "broken" / "ospreyline" / "lease.py"
     text = path.read_text()
     assert text.count(GUARD) == 1
--- a/tests/test_soak_ends.py
+++ b/tests/test_soak_ends.py
@@ -20,8 +20,15 @@
 KILL = Fault("kill", 0.3, 0.3, who="b0")
 
 
-def lost(end: str, *, arrives: int = 0, at: float = 0.9, for_s: float = 1.2, away: float = 2.0,
-         after_2_s: bool = False) -> Fault:
+def lost(
+    end: str,
+    *,
+    arrives: int = 0,
+    at: float = 0.9,
+    for_s: float = 1.2,
+    away: float = 2.0,
+    after_2_s: bool = False,
+) -> Fault:
     return Fault(f"registry-lost-{end}", at, for_s, size=arrives, extra=away, silent=after_2_s)
 
 
@@ -41,9 +48,12 @@
     """One balancer, one server that drains, an undisturbed list service but for the faults."""
     base = scenarios.load("soak")
     return msgspec.structs.replace(
-        base, faults=faults, bank=msgspec.structs.replace(base.bank, count=1),
+        base,
+        faults=faults,
+        bank=msgspec.structs.replace(base.bank, count=1),
         registry=msgspec.structs.replace(base.registry, calls_per_s=250.0, notice_ms=(100, 100)),
-        day=msgspec.structs.replace(base.day, seconds=SECONDS))
+        day=msgspec.structs.replace(base.day, seconds=SECONDS),
+    )
 
 
 def keeps_all_rules(found: Scenario, seed: int, out: Path) -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -52,8 +52,11 @@
                 self.changed.set()
                 await asyncio.sleep(0.003)
                 await self.gate.wait()
-                if self.spoilt and len(self.requests) % self.spoilt == 0 \
-                        and self.broken[trace(head)] < FETCHES - 1:
+                if (
+                    self.spoilt
+                    and len(self.requests) % self.spoilt == 0
+                    and self.broken[trace(head)] < FETCHES - 1
+                ):
                     self.broken[trace(head)] += 1
                     return writer.transport.abort()
                 writer.write(ok())
@@ -75,9 +78,14 @@
     if not old:
         settings = told["settings"]
         read, tag, change = settings["PathPrefixes"]
-        settings |= {"Dcs": ["a"], "Discovery": "push", "Balancers": 300, "Me": 7,
-                     "PathPrefixes": [change, {**read, "Name": "fresh"}, {**read, "Gain": 3.0}],
-                     "Goal": {"Whole": 0.7, "Availability": 0.3, "FullAtNines": 3}}
+        settings |= {
+            "Dcs": ["a"],
+            "Discovery": "push",
+            "Balancers": 300,
+            "Me": 7,
+            "PathPrefixes": [change, {**read, "Name": "fresh"}, {**read, "Gain": 3.0}],
+            "Goal": {"Whole": 0.7, "Availability": 0.3, "FullAtNines": 3},
+        }
         assert tag
     return json.dumps(told).encode()
 
@@ -100,8 +108,10 @@
         async with running(*peers, registry=registry) as service:
             await heard(service, registry)
             stop, statuses = asyncio.Event(), Counter[tuple[str, int]]()
-            tasks = [asyncio.create_task(load(service, path, stop, statuses))
-                     for path in ("/read/a", "/change/b", "/read/c", "/change/d")]
+            tasks = [
+                asyncio.create_task(load(service, path, stop, statuses))
+                for path in ("/read/a", "/change/b", "/read/c", "/change/d")
+            ]
             for old in (False, True, False, True, False):
                 before = sum(len(p.requests) for p in peers)
                 await peers[0].until(lambda before=before: sum(len(p.requests) for p in peers) > before + 100)
@@ -241,6 +251,7 @@
 
 def retold(host: FakeHost, lines: list, **terms: object) -> None:
     from dataclasses import replace
+
     host.balancer.set_terms(host.now, replace(host.balancer._terms, **terms))
     host.balancer.told_changes(host.now, lines, first=True)
 
@@ -319,8 +330,12 @@
     terms = (prefix(Kind.TAGGED, Scope.ZONE),)
     host = FakeHost(lines, prefixes=terms, zones=2, zone_names=("a", "b"))
     visit = host.take()
-    host.balancer.set_terms(host.now, host.balancer._terms.__class__(
-        zone=0, zones=1, balancers=3, number=0, prefixes=terms, zone_names=("c",), ask_for_list=False))
+    host.balancer.set_terms(
+        host.now,
+        host.balancer._terms.__class__(
+            zone=0, zones=1, balancers=3, number=0, prefixes=terms, zone_names=("c",), ask_for_list=False
+        ),
+    )
     host.balancer.told_changes(host.now, [listed(i) for i in range(4)], first=True)
     host.end(visit, End.RESET)
     assert len(visit.fetches) == 1 and visit.tag in host.failed
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -78,8 +78,9 @@
         return self.news(name)
 
     def guards(self, id_: str = "v") -> list[str]:
-        return [n for n, one in self.at.items() if id_ in one.guardian.works
-                and one.guardian.works[id_].guards]
+        return [
+            n for n, one in self.at.items() if id_ in one.guardian.works and one.guardian.works[id_].guards
+        ]
 
 
 def sent(net: Net, name: str, kind: Kind, number: int = 0) -> bool:
@@ -365,11 +366,15 @@
     assert len(encode(Pulse())) < 25
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("[takeover]\non = true\n", "takeover.on: needs fleet.bank"),
-    ("[takeover]\nuncovered = \"maybe\"\n", "takeover.uncovered: "),
-    ("[takeover]\nwait_ms = 0\n", "takeover.wait_ms: "),
-    ("[takeover]\nwait = 5\n", "takeover.wait: unknown key")])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("[takeover]\non = true\n", "takeover.on: needs fleet.bank"),
+        ('[takeover]\nuncovered = "maybe"\n', "takeover.uncovered: "),
+        ("[takeover]\nwait_ms = 0\n", "takeover.wait_ms: "),
+        ("[takeover]\nwait = 5\n", "takeover.wait: unknown key"),
+    ],
+)
 def test_what_is_wrong_with_the_table_is_one_line_that_names_the_key(text, said):
     with pytest.raises(FactError) as error:
         operator.parse(text)
@@ -383,13 +388,22 @@
     """Six balancers that guard each other's work, for clients that ask again."""
     read = {"name": "read", "share": 0.34, "work_ms": 20.0, "target_ms": 900.0, "timeout_ms": 3_000.0}
     return {
-        "bank": {"count": 6, "notice_ms": [300.0, 600.0]}, "load": {"rate": 120.0},
+        "bank": {"count": 6, "notice_ms": [300.0, 600.0]},
+        "load": {"rate": 120.0},
         "zones": {"names": ["a", "b", "c"]},
-        "prefixes": [read, {**read, "name": "pay", "kind": "tagged", "window_ms": 20_000.0, "share": 0.33},
-                     {**read, "name": "change", "kind": "mutating", "share": 0.33, "gain": 4.0}],
+        "prefixes": [
+            read,
+            {**read, "name": "pay", "kind": "tagged", "window_ms": 20_000.0, "share": 0.33},
+            {**read, "name": "change", "kind": "mutating", "share": 0.33, "gain": 4.0},
+        ],
         **more,
-        "rig": {"fleet": {"on": True}, "asks_again": True, "operator": {"takeover": {"on": True}},
-                **more.get("rig", {})}}
+        "rig": {
+            "fleet": {"on": True},
+            "asks_again": True,
+            "operator": {"takeover": {"on": True}},
+            **more.get("rig", {}),
+        },
+    }
 
 
 def tries(day: Played, id_: str) -> list[dict[str, Any]]:
@@ -414,8 +428,9 @@
 @pytest.mark.parametrize("kind", ["read", "pay", "change"])
 def test_what_is_in_hand_at_a_kill_is_answered_or_its_client_is_told_the_truth(kind, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 12}
-    day = Played(tmp_path, seconds=6.0, faults=[{"kind": "kill", "who": "b0", "for_s": 1.0, "on": on}],
-                 **guarded())
+    day = Played(
+        tmp_path, seconds=6.0, faults=[{"kind": "kill", "who": "b0", "for_s": 1.0, "on": on}], **guarded()
+    )
     day.kept()
     id_ = met(day, kind)
     first, *again = tries(day, id_)
@@ -436,9 +451,14 @@
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 6}
     plan = guarded()
     slow = [{**p, "work_ms": 150.0} for p in plan["prefixes"]]
-    day = Played(tmp_path, seconds=8.0, load={"rate": 36.0}, faults=[
-        {"kind": "reset", "link": "c>b0", "for_s": 0.4, "on": on}],
-        **{k: v for k, v in plan.items() if k not in ("prefixes", "load")}, prefixes=slow)
+    day = Played(
+        tmp_path,
+        seconds=8.0,
+        load={"rate": 36.0},
+        faults=[{"kind": "reset", "link": "c>b0", "for_s": 0.4, "on": on}],
+        **{k: v for k, v in plan.items() if k not in ("prefixes", "load")},
+        prefixes=slow,
+    )
     day.kept()
     id_ = met(day, kind)
     first, *again = tries(day, id_)
@@ -451,9 +471,15 @@
 def test_a_visit_that_had_not_been_sent_runs_elsewhere_once(tmp_path):
     # its owner reaches its upstream's machines no more, so it waits for a connection when it is killed
     on = {"seen": "request", "link": "c>b0", "prefix": "change", "nth": 12}
-    day = Played(tmp_path, seconds=6.0, faults=[
-        {"kind": "stop", "who": "b0", "for_s": 0.4, "on": on},
-        {"kind": "kill", "who": "b0", "at_s": 4.0, "for_s": 1.0}], **guarded())
+    day = Played(
+        tmp_path,
+        seconds=6.0,
+        faults=[
+            {"kind": "stop", "who": "b0", "for_s": 0.4, "on": on},
+            {"kind": "kill", "who": "b0", "at_s": 4.0, "for_s": 1.0},
+        ],
+        **guarded(),
+    )
     day.kept()
     for row in day.of("try", prefix="change", asks=True):
         assert row["status"] in (0, 200, 502), row
@@ -465,42 +491,61 @@
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 5}
     long = {"timeout_ms": 9_000.0, "target_ms": 4_000.0}
     plan = guarded()
-    day = Played(tmp_path, seconds=10.0, faults=[
-        {"kind": "stop", "who": "b0", "for_s": 5.0, "on": on}],
-        **{**plan, "prefixes": [{**p, **long} for p in plan["prefixes"]]})
+    day = Played(
+        tmp_path,
+        seconds=10.0,
+        faults=[{"kind": "stop", "who": "b0", "for_s": 5.0, "on": on}],
+        **{**plan, "prefixes": [{**p, **long} for p in plan["prefixes"]]},
+    )
     day.kept()
     states = [line["state"] for line in day.log(1) if line["event"] == "member" and line["peer"] == "b0"]
     assert states[:2] == ["suspected", "dead"]
 
 
 def test_links_between_guardians_cut_one_way_break_no_rule(tmp_path):
-    day = Played(tmp_path, seconds=7.0, faults=[
-        {"kind": "stall", "link": "b0>b*", "way": "to", "at_s": 1.0, "for_s": 3.0},
-        {"kind": "drop", "link": "b*>b3", "way": "from", "at_s": 2.0, "for_s": 3.0, "extra": 0.5},
-        {"kind": "kill", "who": "b0", "at_s": 2.5, "for_s": 0.3},
-        {"kind": "narrow", "link": "b1>b2", "size": 60.0, "at_s": 3.0, "for_s": 2.0},
-        {"kind": "stop", "who": "b4", "at_s": 3.0, "for_s": 1.5}], **guarded())
+    day = Played(
+        tmp_path,
+        seconds=7.0,
+        faults=[
+            {"kind": "stall", "link": "b0>b*", "way": "to", "at_s": 1.0, "for_s": 3.0},
+            {"kind": "drop", "link": "b*>b3", "way": "from", "at_s": 2.0, "for_s": 3.0, "extra": 0.5},
+            {"kind": "kill", "who": "b0", "at_s": 2.5, "for_s": 0.3},
+            {"kind": "narrow", "link": "b1>b2", "size": 60.0, "at_s": 3.0, "for_s": 2.0},
+            {"kind": "stop", "who": "b4", "at_s": 3.0, "for_s": 1.5},
+        ],
+        **guarded(),
+    )
     day.kept()
     assert day.figures["in_time"] > 0.7
 
 
 def test_owner_and_guardians_lost_together_break_no_rule(tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 6}
-    day = Played(tmp_path, seconds=6.0, faults=[
-        {"kind": "kill", "who": "b[0123]", "for_s": 0.8, "on": on}], **guarded())
+    day = Played(
+        tmp_path,
+        seconds=6.0,
+        faults=[{"kind": "kill", "who": "b[0123]", "for_s": 0.8, "on": on}],
+        **guarded(),
+    )
     day.kept()
 
 
 def test_the_whole_bank_is_rolled_under_load(tmp_path):
-    day = Played(tmp_path, seconds=9.0, faults=[
-        {"kind": "restart", "who": "b*", "at_s": 1.5, "for_s": 6.0, "size": 0.17, "extra": 0.1}], **guarded())
+    day = Played(
+        tmp_path,
+        seconds=9.0,
+        faults=[{"kind": "restart", "who": "b*", "at_s": 1.5, "for_s": 6.0, "size": 0.17, "extra": 0.1}],
+        **guarded(),
+    )
     day.kept()
     assert day.figures["in_time"] > 0.9, day.figures
 
 
 def test_without_cover_what_must_not_run_twice_is_refused_where_the_operator_wants_that(tmp_path):
-    alone = guarded(bank={"count": 1, "notice_ms": [300.0, 600.0]}, rig={
-        "operator": {"takeover": {"on": True, "uncovered": "refuse"}}})
+    alone = guarded(
+        bank={"count": 1, "notice_ms": [300.0, 600.0]},
+        rig={"operator": {"takeover": {"on": True, "uncovered": "refuse"}}},
+    )
     day = Played(tmp_path, seconds=3.0, **alone)
     assert not any(day.figures["breaches"].values()), day.said
     assert {row["status"] for row in day.of("try", prefix="change")} == {503}
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -78,8 +78,17 @@
 class World(FakeHost):
     """The decisions, their calls and a service that cannot be reached until some time after the last fate."""
 
-    def __init__(self, fates: tuple[str, ...], phase: float, answer: float, lost: int, place: float,
-                 beat: float, paced: bool, **terms: object) -> None:
+    def __init__(
+        self,
+        fates: tuple[str, ...],
+        phase: float,
+        answer: float,
+        lost: int,
+        place: float,
+        beat: float,
+        paced: bool,
+        **terms: object,
+    ) -> None:
         super().__init__([listed(0)], ask_for_list=True, **terms)
         self.wakes = [(self.now + beat, call) for _, call in self.wakes]
         self.fates, self.phase, self.answer, self.lost = fates, phase, answer, lost
@@ -200,15 +209,22 @@
         yield from product(FATES, repeat=n)
 
 
-def longest(fates: Iterable[tuple[str, ...]], balancers: int, paced: bool, answer: float, lost: int,
-            stop: float = TOLD) -> tuple[float, tuple[str, ...], float]:
+def longest(
+    fates: Iterable[tuple[str, ...]],
+    balancers: int,
+    paced: bool,
+    answer: float,
+    lost: int,
+    stop: float = TOLD,
+) -> tuple[float, tuple[str, ...], float]:
     """The longest time to the list over all chains, phases, places and beats, its chain and phase; or the
     first one over `stop`."""
     found: tuple[float, tuple[str, ...], float] = (0.0, (), 0.0)
     for chain, place, beat in product(fates, (0.0, 0.5, 0.999), (1.0, 199.0)):
         for phase in count(1.0, STEP):
-            world = World(chain, phase, answer, lost, place, beat, paced, balancers=balancers,
-                          must_ask_in=30_000.0)
+            world = World(
+                chain, phase, answer, lost, place, beat, paced, balancers=balancers, must_ask_in=30_000.0
+            )
             took = world.play()
             if world.changed or phase > 2 * TOLD:  # the next call begins before; or far too late
                 break
@@ -357,8 +373,9 @@
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: bool(registry.writers))
             assert len(registry.mute) == 1  # the first is out yet
-            registry.plain = listing(40, target("u0", peers[0].port, state="leaving"),
-                                     target("u1", peers[1].port), whole=True)
+            registry.plain = listing(
+                40, target("u0", peers[0].port, state="leaving"), target("u1", peers[1].port), whole=True
+            )
             await registry.tell(40, target("u0", peers[0].port, state="leaving"))
             await served_by(service, {b"1"})
             await registry.until(lambda: not registry.mute)  # who spoke first stays
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -34,7 +34,7 @@
 
     def _note(self, answers: int) -> int:
         """What has been sent, and turned away, since answers were so many."""
-        for tag, upstream, _, at in self.host.sends[self._sends:]:
+        for tag, upstream, _, at in self.host.sends[self._sends :]:
             takes = SERVING if self.reached(upstream) else CONNECTING
             self.out.append((at + takes, tag, upstream))
         self._sends = len(self.host.sends)
@@ -58,8 +58,14 @@
                 visit = self.visits[due[1]]
                 number = len(visit.fetches) - 1
                 end_is = End.DELIVERED if self.reached(due[2]) else End.UNREACHED
-                visit.ended(host.now, number, end_is, host.now - visit.fetches[number].sent,
-                            end_is is End.DELIVERED, ())
+                visit.ended(
+                    host.now,
+                    number,
+                    end_is,
+                    host.now - visit.fetches[number].sent,
+                    end_is is End.DELIVERED,
+                    (),
+                )
             answers = self._note(answers)
             each()
         return self
@@ -81,8 +87,13 @@
 
 
 def balancer(balancers: int, zones: int = 3, upstreams: int = 30, **terms: object) -> FakeHost:
-    return FakeHost([listed(i, zone=i % zones) for i in range(upstreams)], balancers=balancers, zones=zones,
-                    may_cancel=True, **terms)
+    return FakeHost(
+        [listed(i, zone=i % zones) for i in range(upstreams)],
+        balancers=balancers,
+        zones=zones,
+        may_cancel=True,
+        **terms,
+    )
 
 
 @pytest.mark.parametrize("balancers", [3, 30, 200])
@@ -117,10 +128,18 @@
         assert day.play(10).longest(since) < MOST and max(day.attempts()) > since + 9_000
 
 
-@pytest.mark.parametrize(("stop", "told"), [
-    (700.0, End.DELIVERED), (1_500.0, End.DELIVERED),  # its answer lay in the socket
-    (700.0, End.CANCELLED), (2_500.0, End.CANCELLED), (10_000.0, End.CANCELLED), (30_000.0, End.CANCELLED),
-], ids=str)
+@pytest.mark.parametrize(
+    ("stop", "told"),
+    [
+        (700.0, End.DELIVERED),
+        (1_500.0, End.DELIVERED),  # its answer lay in the socket
+        (700.0, End.CANCELLED),
+        (2_500.0, End.CANCELLED),
+        (10_000.0, End.CANCELLED),
+        (30_000.0, End.CANCELLED),
+    ],
+    ids=str,
+)
 def test_one_that_was_stopped_goes_on(stop, told):
     # as the front tells it: a time-out as called off
     for balancers, per_s, out in product((30, 200), (10, 60), (5, 20)):
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -79,21 +79,44 @@
         (b"no HTTP at all\r\n\r\n", "/change", 502, 1),
         (b"no HTTP at all\r\n\r\n", "/read", 200, 2),
         (ok(b"whole" + b"x" * 400_000), "/change", 200, 1),  # met on the busiest days, one answer in six
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"30d40\r\n" + b"x" * 200_000
-         + b"\r\n0\r\n\r\n", "/change", 200, 1),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + b"30d40\r\n"
+            + b"x" * 200_000
+            + b"\r\n0\r\n\r\n",
+            "/change",
+            200,
+            1,
+        ),
         (ok(b"x" * 1_100_000), "/change", 502, 1),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"186a00\r\n" + b"x" * 1_600_000
-         + b"\r\n0\r\n\r\n", "/change", 502, 1),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 60_000
-         + b"0\r\n\r\n", "/read", 200, 1),  # small chunks: five times its body
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + b"186a00\r\n"
+            + b"x" * 1_600_000
+            + b"\r\n0\r\n\r\n",
+            "/change",
+            502,
+            1,
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 60_000 + b"0\r\n\r\n",
+            "/read",
+            200,
+            1,
+        ),  # small chunks: five times its body
         (("cut", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole"), "/read", 200, 1),  # ends with it
         (("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), "/read", 200, 2),  # its length is lost, or never was
         (("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), "/change", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "/read", 200, 2),  # and no time-out
         (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "/read", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nwhole", "/read", 200, 2),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
-         "/read", 200, 2),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
+            b"5\r\nwhole\r\n0\r\n\r\n",
+            "/read",
+            200,
+            2,
+        ),
         (b"HTTP/1.1 101 Switching Protocols\r\n\r\n" + ok(b"no"), "/change", 502, 1),
         (b"HTTP/1.1 102 Processing\r\n\r\n" * 30_000 + ok(b"no"), "/change", 502, 1),
         (ok(b"whole") + ok(b"copy"), "/change", 200, 1),
@@ -107,8 +130,9 @@
         peers = Peer(first, ok(b"whole")), Peer()
         peers[1].answers = peers[0].answers  # whichever is asked first fails
         async with running(*peers) as service:
-            got = await (await caller(service)).ask(request(
-                path, "GET" if path == "/read" else "POST", **(KEY if path == "/tag" else {})))
+            got = await (await caller(service)).ask(
+                request(path, "GET" if path == "/read" else "POST", **(KEY if path == "/tag" else {}))
+            )
             assert got[0] == status and (status != 200 or got[2][:5] in (b"whole", b"xxxxx"))
             assert sum(len(peer.requests) for peer in peers) == fetches
 
@@ -157,9 +181,16 @@
     play(story)
 
 
-@pytest.mark.parametrize("answer", [
-    ("cut", ok()), ok() + b"more", ok() + ok(b"first"), ok() + ok(b"first")[:20],
-    ok(b"hello", b"Connection: close\r\n")])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        ("cut", ok()),
+        ok() + b"more",
+        ok() + ok(b"first"),
+        ok() + ok(b"first")[:20],
+        ok(b"hello", b"Connection: close\r\n"),
+    ],
+)
 def test_a_connection_that_is_ended_or_out_of_step_is_not_used_again(answer):
     async def story():
         peer = Peer(answer, ok(b"second"))
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -66,8 +66,10 @@
     assert told and net.now - begun <= max(50.0, left - 50.0), (told, net.now - begun)
 
 
-@pytest.mark.parametrize(("peers", "what", "path"), [
-    (1, "answered", "/read/a"), (1, "answered", "/change/a"), (0, "refuse", "/change/a")])
+@pytest.mark.parametrize(
+    ("peers", "what", "path"),
+    [(1, "answered", "/read/a"), (1, "answered", "/change/a"), (0, "refuse", "/change/a")],
+)
 def test_a_word_that_never_comes_leaves_no_client_without_an_answer(peers, what, path):
     # what waited for a word counted as answered, so the backstop passed it over
     async def story() -> None:
@@ -101,8 +103,11 @@
 UNREACHED = (Stage.CONNECTING, True, End.UNREACHED)
 
 
-@pytest.mark.parametrize("further", [[], [(Stage.CONNECTING, False, None)], [None]],
-                         ids=["nothing", "connecting", "waits for its permit"])
+@pytest.mark.parametrize(
+    "further",
+    [[], [(Stage.CONNECTING, False, None)], [None]],
+    ids=["nothing", "connecting", "waits for its permit"],
+)
 def test_a_mutating_visit_whose_client_left_before_it_ran_is_run_for_who_asks_again(further):
     # a permit for it stood, so the next balancer waited for an answer until its client's time was over
     net = Net()
