--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -23,7 +23,7 @@
 from time import perf_counter
 
 from ospreyline.fleet.frames import Say
-from ospreyline.fleet.guard import Guardian, Work
+from ospreyline.fleet.guard import Acceptor, Proposer
 
 WORK = "v"
 GUARDS = ("g0", "g1", "g2")
@@ -33,8 +33,8 @@
 class State:
     """One moment of the small world."""
 
-    guards: list[Guardian]
-    works: dict[str, Work]
+    guards: list[Acceptor]
+    works: dict[str, Proposer]
     net: list[Say] = field(default_factory=list)
     written: list[str] = field(default_factory=list)  # who wrote the fetch, in order
     refused: list[str] = field(default_factory=list)  # who told its client that it never ran
@@ -80,23 +80,23 @@
         self.covered, self.at_once, self.answers, self.for_client = covered, at_once, answers, anew
 
     def begin(self) -> State:
-        guards = [Guardian(name, 1e9, 1) for name in GUARDS]
+        guards = [Acceptor(name, 1e9, 1) for name in GUARDS]
         state = State(guards, {}, doublings=self.bounds[0], restarts=self.bounds[1], forgets=self.bounds[2])
         for guard in guards:
             for member in ("o", *self.takers):
-                guard.linked(member)
-        owner = state.works["o"] = Work(
+                guard.start_session(member)
+        owner = state.works["o"] = Proposer(
             WORK, "o", GUARDS, self.sessions(state, "o"), b"request", serials=dict.fromkeys(GUARDS, 1)
         )
         if self.at_once:
             state.asked["o"] = 1
-            owner.permit()
+            owner.request_grant()
         else:
             owner.register()
         self.said(state, "o")
         if self.covered:
             for say in state.net:
-                state.works["o"].heard(guards[GUARDS.index(say.to)].heard(0.0, say))
+                state.works["o"].receive(guards[GUARDS.index(say.to)].receive(0.0, say))
             state.net.clear()
         return state
 
@@ -123,21 +123,21 @@
                 if state.doublings:
                     out.append(("double", i))
         for name, work in sorted(state.works.items()):
-            if work.mine and not work.lost and work.answer is None:
-                if not work.permitted and not state.asked.get(name) and not work.may_have_run:
+            if work.owned and not work.lost and work.answer is None:
+                if not work.granted and not state.asked.get(name) and not work.may_have_run:
                     out.append(("permit", name))
                 if (
                     self.may_refuse
-                    and not work.permitted
+                    and not work.granted
                     and not work.may_have_run
                     and name not in state.refused
                 ):
                     out.append(("refuse", name))
-            if work.permitted and name not in state.written:
+            if work.granted and name not in state.written:
                 out.append(("write", name))
             if self.answers and name in state.written and name not in state.answered:
                 out.append(("answer", name))
-            if work.refused and name not in state.refused:
+            if work.refusal_recorded and name not in state.refused:
                 out.append(("tell", name))
         for name in self.takers:
             if name not in state.works:
@@ -159,12 +159,12 @@
         """Whether an answer can still change anything."""
         work = state.works.get(say.to)
         if work is not None and say.ballot == work.ballot and say.about == "claim" and say.answered:
-            return work.answer is None or (work._asked == "claim" and not work.mine)
-        if work is None or say.ballot != work.ballot or say.about != work._asked or work.lost:
+            return work.answer is None or (work._requested == "claim" and not work.owned)
+        if work is None or say.ballot != work.ballot or say.about != work._requested or work.lost:
             return False
-        if say.about == "register" or (say.about == "claim" and work.mine):
+        if say.about == "register" or (say.about == "claim" and work.owned):
             return False  # what it tells is told already, or is nobody's to act on
-        return say.by not in (work._yeses if say.what == "yes" else work._noes)
+        return say.by not in (work._accepts if say.what == "yes" else work._rejects)
 
     def _step(self, state: State, kind: str, whom: int | str) -> str:
         if kind in ("deliver", "double"):
@@ -176,13 +176,13 @@
                 state.doublings -= 1
             if say.to in GUARDS:
                 guard = state.guards[GUARDS.index(say.to)]
-                answer = guard.heard(0.0, say)
+                answer = guard.receive(0.0, say)
                 state.net += [answer, *guard.out]
                 guard.out.clear()
                 return f"{say.by} to {say.to}: {say.what} {say.ballot}, {answer.what}"
             work = state.works.get(say.to)
             if work is not None:
-                work.heard(say)
+                work.receive(say)
                 self.said(state, say.to)
             return f"{say.by} to {say.to}: {say.what} to {say.about} {say.ballot}"
         if kind in ("restart", "forget"):
@@ -190,23 +190,23 @@
             self.anew(state, whom, kind)
             return f"{GUARDS[whom]} {kind}s"
         assert isinstance(whom, str)
-        work = state.works.get(whom) or Work(
-            WORK, whom, GUARDS, self.sessions(state, whom), anew=self.for_client
+        work = state.works.get(whom) or Proposer(
+            WORK, whom, GUARDS, self.sessions(state, whom), client_retried=self.for_client
         )
         if kind == "claim":
             state.works[whom] = work
             work.claim((self.takers.index(whom), "o"))
         elif kind == "permit":
             state.asked[whom] = 1
-            work.permit()
+            work.request_grant()
         elif kind == "refuse":
             work.refuse()
-            state.refused += [whom] if work.refused else []
+            state.refused += [whom] if work.refusal_recorded else []
         elif kind == "write":
             state.written.append(whom)
         elif kind == "answer":
             state.answered.append(whom)
-            work.answered(b"answer")
+            work.record_answer(b"answer")
         elif kind == "tell":
             state.refused.append(whom)
         self.said(state, whom)
@@ -219,9 +219,9 @@
             state.forgets -= 1
             old.works.clear()
             return
-        guard = state.guards[place] = Guardian(old.name, old.keep_for, 2)
+        guard = state.guards[place] = Acceptor(old.name, old.retention_ms, 2)
         for member in ("o", *self.takers):
-            guard.linked(member)
+            guard.start_session(member)
         state.restarts -= 1
 
     # what must hold
@@ -277,11 +277,11 @@
             kept = guard.works.get(WORK)
             record = kept and (
                 kept.promised,
-                kept.guards,
+                kept.acceptors,
                 kept.answer,
                 kept.answered,
                 kept.closed,
-                tuple(sorted(kept.permits)),
+                tuple(sorted(kept.grants)),
             )
             serials = tuple(sorted(guard._serials.items()))
             wire = sorted(
@@ -307,8 +307,8 @@
             )
             heard = tuple(
                 (
-                    guard.name in state.works[n]._noes,
-                    (y := state.works[n]._yeses.get(guard.name))
+                    guard.name in state.works[n]._rejects,
+                    (y := state.works[n]._accepts.get(guard.name))
                     and (y.permits, bool(y.guards), y.answered, y.body, y.closed),
                 )
                 for n in names
@@ -321,16 +321,16 @@
             (
                 n,
                 w.ballot,
-                w.mine,
+                w.owned,
                 w.lost,
-                w.covered,
-                w.permitted,
-                w.refused,
+                w.has_quorum,
+                w.granted,
+                w.refusal_recorded,
                 w.may_have_run,
                 w.answer,
                 w.closed,
-                w._asked,
-                w._closing,
+                w._requested,
+                w._refusing,
                 w._registered,
             )
             for n in names
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/guard.py
@@ -1,27 +1,28 @@
-"""Work in hand that survives its balancer: who may send a fetch, once. Pure.
+"""Takeover of visits whose balancer has failed: which balancer may send a fetch. Pure, Paxos-like.
 
-The sentences, shared with the exhaustive check (`check/guards.py`) and the rig's referee:
+The invariants, also checked by the exhaustive explorer (`check/guards.py`) and by the test rig's referee:
 
 1. A visit whose balancer is lost is finished by at most one other at a time, the one with the highest ballot.
 2. A mutating visit is never sent a second time if it may have run.
-3. A balancer from which a visit was taken sends nothing for it any more.
-4. Whoever asks for the outcome is told the answer, that it never ran, or that it may have run: never a guess.
-
-How. Each visit has three guardians, other balancers that its owner names when it takes it. Before a fetch
-that must not be repeated is written, a majority of them must have recorded a *permit* under the owner's
-ballot. Taking over is a higher ballot, promised by a majority: from then on permits under lower ones are
-refused, and each guardian tells what it had recorded. Any two majorities share a guardian, so either the one
-who takes over learns of the permit (it may have run, and is not sent again), or the owner does not get it (it
-never ran). No clock is needed for that: a process stopped between a check and a write had its permit recorded
-before. Who tells a client that its visit never ran has that recorded first: its ballot is closed, it sends
-nothing under it any more, and nobody takes it over; it runs only if the client asks again, under a higher
-ballot. The answer of an upstream is a fact and no decision: it is recorded under any ballot.
-
-A guardian forgets, to stay bounded or since it was restarted, so words of the past must not meet one that
-forgot: each names the session in which its visit was taken, a number that a guardian gives out when a link
-begins and never again, and a registration has a place in its session, so that it counts once. Who takes over
-counts only guardians that know the visit, and takes their list of guardians for its own; where a majority of
-them no longer knows it, it may have run.
+3. A balancer from which a visit was taken over sends nothing more for it.
+4. A client that asks for the outcome gets the answer, "never ran" or "may have run": never a guess.
+
+Protocol. Each visit has three acceptors, other balancers that its owner names when it accepts the visit.
+Before a fetch that must not be repeated is written, a quorum of them must have recorded a *grant* under the
+owner's ballot. Taking over is a claim with a higher ballot, promised by a quorum: from then on grants under
+lower ballots are refused, and each acceptor reports the grants that it had recorded. Any two quorums share an
+acceptor, so either the claimant learns of the grant (the fetch may have run and is not sent again), or the
+owner does not get it (the fetch never ran). No clock is needed: a process that is stopped between the check
+and the write had its grant recorded before. A balancer that tells a client that its visit never ran has that
+recorded first: this closes its ballot, nothing more is sent under it, and nobody takes the visit over; it
+runs only if the client asks again, under a higher ballot. An upstream's answer is a fact, not a decision: it
+is recorded under any ballot.
+
+An acceptor loses records when it expires or evicts them and when it restarts, so an old message must not be
+accepted by an acceptor that no longer has the record. Each message therefore names the session in which the
+visit was accepted, a number that an acceptor issues once per link, and a registration has a serial within its
+session, so that it counts once. A claimant counts only acceptors that know the visit and adopts the visit's
+list of acceptors as its own; if a quorum of them no longer knows the visit, it may have run.
 """
 
 from __future__ import annotations
@@ -34,21 +35,23 @@
 
 from ospreyline.fleet.frames import NOBODY, Ballot, Permit, Say
 
-GUARDS = 3  # of a visit
-NEVER_RAN = b"\0never ran"  # in place of an answer: the ballot is closed, nothing of it may have run
-MAY_HAVE_RUN = b"\0may have run"  # likewise: its balancer has given it up
-MOST_WORKS = 4_096  # that a guardian holds
-MOST_BYTES = 16 << 20  # of requests and answers that it holds
+ACCEPTORS_PER_VISIT = 3  # of a visit
+NEVER_RAN = b"\0never ran"  # answer value: the ballot is closed and nothing of it may have run
+MAY_HAVE_RUN = b"\0may have run"  # answer value: the owner has given the visit up
+MAX_RECORDS = 4_096  # that an acceptor stores
+MAX_STORED_BYTES = 16 << 20  # of requests and answers that an acceptor stores
 
 
-def guardians(work: str, members: Iterable[tuple[str, str]], count: int = GUARDS) -> list[str]:
-    """Who guards a visit: members as (name, zone), spread by a hash, of as many zones as there are."""
+def choose_acceptors(
+    visit_id: str, members: Iterable[tuple[str, str]], count: int = ACCEPTORS_PER_VISIT
+) -> list[str]:
+    """The acceptors of a visit: drawn by hash from `members` (name, zone), in as many zones as possible."""
 
-    def place(member: tuple[str, str]) -> bytes:
-        return blake2b(member[0].encode(), digest_size=8, key=work.encode()[:64]).digest()
+    def hash_key(member: tuple[str, str]) -> bytes:
+        return blake2b(member[0].encode(), digest_size=8, key=visit_id.encode()[:64]).digest()
 
-    # guards: two of three in one zone would be lost with it, and a majority with them
-    ordered = sorted(members, key=place)
+    # Prefers distinct zones: losing a zone with two of the three acceptors would lose the quorum.
+    ordered = sorted(members, key=hash_key)
     seen: dict[str, int] = {}
     ranked = []
     for i, (name, zone) in enumerate(ordered):
@@ -58,178 +61,186 @@
 
 
 @dataclass(slots=True)
-class Kept:
-    """What a guardian has recorded of one visit."""
+class TakeoverRecord:
+    """What an acceptor has recorded of one visit. `body`: the encoded request; empty once it is answered."""
 
     promised: Ballot
-    guards: tuple[str, ...] = ()
+    acceptors: tuple[str, ...] = ()
     body: bytes = b""
     answer: bytes = b""
     answered: bool = False
     closed: Ballot = NOBODY
-    permits: dict[tuple[Ballot, int], tuple[str, int, float]] = field(default_factory=dict)
-    session: int = 0  # of the link on which it was registered, or claimed last
-    until: float = 0.0
-    ends: float = 0.0  # ms; its client waits no longer
-
-    def holder(self) -> str:
-        """Who may have a fetch of it out; empty: nobody."""
-        last = max(self.permits)[0] if self.permits else NOBODY
+    grants: dict[tuple[Ballot, int], tuple[str, int, float]] = field(default_factory=dict)
+    session: int = 0  # of the link on which it was registered or last claimed
+    expires_at: float = 0.0
+    client_deadline: float = 0.0  # ms; when the client stops waiting
+
+    def grant_holder(self) -> str:
+        """The balancer that may have a fetch of the visit in progress; empty: none."""
+        last = max(self.grants)[0] if self.grants else NOBODY
         return last[1] if last > self.closed else ""
 
     @property
-    def over(self) -> bool:
-        """Nothing more is to come of it, or it was only asked about: it may make room."""
-        return self.answered or self.closed >= self.promised or not self.guards
+    def finished(self) -> bool:
+        """Whether the record may be evicted: the visit ended, or was only claimed and never registered."""
+        return self.answered or self.closed >= self.promised or not self.acceptors
 
 
-class Guardian:
-    """One balancer's records for the others. Every word is answered at once, yes or no.
+class Acceptor:
+    """One balancer's records of the visits of others. Every message is answered at once, yes or no.
 
-    `out` holds what is said unasked: that a visit has its answer, or that who had a permit is gone, to who
-    claimed it last.
+    `out` holds unsolicited messages to the latest claimant: the visit has its answer, or the link to the
+    balancer that had a grant has ended.
     """
 
-    def __init__(self, name: str, keep_for: float, start: int) -> None:
-        """`keep_for` in ms, well over the longest client timeout; `start`: of this process, Unix ms."""
+    def __init__(self, name: str, retention_ms: float, start: int) -> None:
+        """`retention_ms` should be well over the longest client timeout; `start`: process start, Unix ms."""
         self.name = name
-        self.keep_for = keep_for
-        self.works: OrderedDict[str, Kept] = OrderedDict()  # oldest first
-        self.sessions: dict[str, int] = {}  # by member: of its link
+        self.retention_ms = retention_ms
+        self.works: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
+        self.sessions: dict[str, int] = {}  # by member: session of its current link
         self.out: list[Say] = []
-        self.bytes = 0
-        self.refused = 0
-        self._serials: dict[str, int] = {}  # by member: of its last registration on that link
-        self._next = start << 20
-
-    def linked(self, member: str) -> int:
-        """A link to a member begins: its session, never given out before; former ones are over."""
-        self._next += 1
-        self.sessions[member] = self._next
+        self.stored_bytes = 0
+        self.rejections = 0
+        self._serials: dict[str, int] = {}  # by member: serial of its last registration on that link
+        self._last_session = start << 20
+
+    def start_session(self, member: str) -> int:
+        """Begin a session on a new link to a member; returns its number, never used before; older ones are
+        void."""
+        self._last_session += 1
+        self.sessions[member] = self._last_session
         self._serials[member] = 0
-        return self._next
+        return self._last_session
 
-    def unlinked(self, now: float, member: str) -> None:
-        """The link to a member has ended: who waits for the end of its fetch is told."""
+    def end_session(self, now: float, member: str) -> None:
+        """The link to a member has ended: notify claimants that wait for its fetch to end."""
         self.sessions.pop(member, None)
-        for work, kept in self.works.items():
-            if not kept.over and kept.holder() == member:
-                self._tell(now, work, kept, member)
-
-    def heard(self, now: float, say: Say) -> Say:
-        """Record what is said, if it may be; the answer."""
-        self.forget(now)
-        kept = self.works.get(say.work)
+        for visit_id, record in self.works.items():
+            if not record.finished and record.grant_holder() == member:
+                self._notify_claimant(now, visit_id, record, member)
+
+    def receive(self, now: float, say: Say) -> Say:
+        """Record a message if its session and ballot allow; returns the reply."""
+        self.expire(now)
+        record = self.works.get(say.work)
         if self.sessions.get(say.by) != say.session:
-            return self._no(say, kept)
+            return self._reject(say, record)
         if say.what == "claim":
-            return self._claim(now, say, kept)
+            return self._promise(now, say, record)
         if say.guards:
-            kept = self._registered(now, say, kept)
-            if kept is None:
-                return self._no(say, self.works.get(say.work))
-        if kept is None:
-            return self._no(say, kept)
+            record = self._register(now, say, record)
+            if record is None:
+                return self._reject(say, self.works.get(say.work))
+        if record is None:
+            return self._reject(say, record)
         if say.what == "answer" and say.body != NEVER_RAN:
-            return self._answered(now, say, kept)
-        if say.ballot < kept.promised:
-            return self._no(say, kept)
-        kept.promised = say.ballot
+            return self._record_answer(now, say, record)
+        if say.ballot < record.promised:
+            return self._reject(say, record)
+        record.promised = say.ballot
         if say.what == "permit":
-            kept.permits[say.ballot, say.number] = (say.zone, say.cell, now)
+            record.grants[say.ballot, say.number] = (say.zone, say.cell, now)
         elif say.what == "answer":
-            kept.closed = say.ballot
-        return self._yes(now, say, kept)
-
-    def _registered(self, now: float, say: Say, kept: Kept | None) -> Kept | None:
-        """The visit as its owner names it; None if it cannot be."""
-        if kept is not None:
-            return kept if kept.promised == say.ballot else None  # it was claimed, or is another's
-        # guards: a registration that comes again would bring back a visit that was taken and forgotten
+            record.closed = say.ballot
+        return self._accept(now, say, record)
+
+    def _register(self, now: float, say: Say, record: TakeoverRecord | None) -> TakeoverRecord | None:
+        """The record of a registered visit; None if the registration is refused."""
+        if record is not None:
+            return record if record.promised == say.ballot else None  # claimed, or owned by another
+        # Without this, a duplicated registration would bring back a visit that was claimed and evicted.
         if say.serial <= self._serials[say.by]:
             return None
-        self._serials[say.by] = say.serial  # one that is refused is not taken later, either
-        if not self._room(len(say.body)):
+        self._serials[say.by] = say.serial  # a refused one must not succeed later either
+        if not self._make_room(len(say.body)):
             return None
-        self.bytes += len(say.body)
-        kept = self.works[say.work] = Kept(
+        self.stored_bytes += len(say.body)
+        record = self.works[say.work] = TakeoverRecord(
             say.ballot,
             say.guards,
             say.body,
             session=say.session,
-            until=now + self.keep_for,
-            ends=now + say.left,
+            expires_at=now + self.retention_ms,
+            client_deadline=now + say.left,
         )
-        return kept
-
-    def _answered(self, now: float, say: Say, kept: Kept) -> Say:
-        """It has run and this came back, or its balancer has given it up."""
-        if not kept.answered:
-            if say.body == MAY_HAVE_RUN and say.ballot < kept.promised:
-                return self._no(say, kept)  # it is another's to give up
-            if not self._room(len(say.body), but=say.work):
-                return self._no(say, kept)
-            self.bytes += len(say.body) - len(kept.body)
-            kept.answer, kept.answered, kept.body = say.body, True, b""
-            self._tell(now, say.work, kept, say.by)
-        return self._yes(now, say, kept)
-
-    def _claim(self, now: float, say: Say, kept: Kept | None) -> Say:
-        if kept is None:
-            # guards: a register that comes after it must not bring the owner's ballot back
-            if not self._room(0):
-                return self._no(say, kept)
-            kept = self.works[say.work] = Kept(say.ballot, until=now + self.keep_for)
-        elif say.ballot < kept.promised:
-            return self._no(say, kept)
-        kept.promised, kept.session = say.ballot, say.session
-        kept.until = max(kept.until, now + self.keep_for)
+        return record
+
+    def _record_answer(self, now: float, say: Say, record: TakeoverRecord) -> Say:
+        """Record the visit's answer, or that its balancer has given it up (MAY_HAVE_RUN)."""
+        if not record.answered:
+            if say.body == MAY_HAVE_RUN and say.ballot < record.promised:
+                return self._reject(say, record)  # only the current owner may give it up
+            if not self._make_room(len(say.body), excluding=say.work):
+                return self._reject(say, record)
+            self.stored_bytes += len(say.body) - len(record.body)
+            record.answer, record.answered, record.body = say.body, True, b""
+            self._notify_claimant(now, say.work, record, say.by)
+        return self._accept(now, say, record)
+
+    def _promise(self, now: float, say: Say, record: TakeoverRecord | None) -> Say:
+        if record is None:
+            # Recorded even if unknown, so that a late registration cannot restore the owner's ballot.
+            if not self._make_room(0):
+                return self._reject(say, record)
+            record = self.works[say.work] = TakeoverRecord(say.ballot, expires_at=now + self.retention_ms)
+        elif say.ballot < record.promised:
+            return self._reject(say, record)
+        record.promised, record.session = say.ballot, say.session
+        record.expires_at = max(record.expires_at, now + self.retention_ms)
         self.works.move_to_end(say.work)
-        return self._yes(now, say, kept)
+        return self._accept(now, say, record)
 
-    def _room(self, more: int, but: str = "") -> bool:
-        """Whether so many bytes of one more visit can be kept; answered ones make room, oldest first."""
+    def _make_room(self, added_bytes: int, excluding: str = "") -> bool:
+        """Evict finished records, oldest first, until one more of this size fits; False if it cannot.
+        `excluding`: a record to keep, which is being updated."""
 
         def full() -> bool:
-            return len(self.works) >= MOST_WORKS + bool(but) or self.bytes + more > MOST_BYTES
+            return (
+                len(self.works) >= MAX_RECORDS + bool(excluding)
+                or self.stored_bytes + added_bytes > MAX_STORED_BYTES
+            )
 
-        # guards: whatever others send, what is kept for them is bounded
+        # Bounds the memory used for other balancers, whatever they send.
         while full():
-            done = next((w for w, kept in self.works.items() if kept.over and w != but), None)
+            done = next((w for w, record in self.works.items() if record.finished and w != excluding), None)
             if done is None:
                 return False
-            self._drop(done)
+            self._discard(done)
         return True
 
-    def _drop(self, work: str) -> None:
-        kept = self.works.pop(work)
-        self.bytes -= len(kept.body) + len(kept.answer)
+    def _discard(self, visit_id: str) -> None:
+        record = self.works.pop(visit_id)
+        self.stored_bytes -= len(record.body) + len(record.answer)
 
-    def forget(self, now: float) -> None:
-        """What is over is dropped, oldest first."""
+    def expire(self, now: float) -> None:
+        """Remove expired records, oldest first."""
         while self.works:
-            work, kept = next(iter(self.works.items()))
-            if kept.until > now:
+            visit_id, record = next(iter(self.works.items()))
+            if record.expires_at > now:
                 return
-            self._drop(work)
+            self._discard(visit_id)
 
-    def owned(self, member: str) -> list[str]:
-        """The visits without an end that a member had in hand, over a link that has ended."""
+    def orphaned_by(self, member: str) -> list[str]:
+        """The unfinished visits that a member owned over a link that has ended."""
         session = self.sessions.get(member)
-        # guards: its next process may be here already, and has what it took since
+        # The member may have restarted already; visits of its new session are its own.
         return [
-            work
-            for work, kept in self.works.items()
-            if kept.promised[1] == member and kept.session != session and kept.guards and not kept.over
+            visit_id
+            for visit_id, record in self.works.items()
+            if record.promised[1] == member
+            and record.session != session
+            and record.acceptors
+            and not record.finished
         ]
 
-    def _tell(self, now: float, work: str, kept: Kept, by: str) -> None:
-        name = kept.promised[1]
-        if kept.promised[0] and name != by and name in self.sessions:
-            asked = Say("claim", work, kept.promised, self.sessions[name], self.name, name)
-            self.out.append(self._yes(now, asked, kept))
+    def _notify_claimant(self, now: float, visit_id: str, record: TakeoverRecord, by: str) -> None:
+        name = record.promised[1]
+        if record.promised[0] and name != by and name in self.sessions:
+            asked = Say("claim", visit_id, record.promised, self.sessions[name], self.name, name)
+            self.out.append(self._accept(now, asked, record))
 
-    def _yes(self, now: float, say: Say, kept: Kept) -> Say:
+    def _accept(self, now: float, say: Say, record: TakeoverRecord) -> Say:
         if say.what != "claim":
             return Say(
                 "yes",
@@ -238,15 +249,15 @@
                 say.session,
                 say.by,
                 self.name,
-                promised=kept.promised,
+                promised=record.promised,
                 about=say.what,
-                guards=kept.guards,
+                guards=record.acceptors,
                 number=say.number,
             )
-        permits = tuple(
+        grants = tuple(
             sorted(
                 (ballot, number, zone, cell, now - at)
-                for (ballot, number), (zone, cell, at) in kept.permits.items()
+                for (ballot, number), (zone, cell, at) in record.grants.items()
             )
         )
         return Say(
@@ -256,20 +267,20 @@
             say.session,
             say.by,
             self.name,
-            kept.answer if kept.answered else kept.body,
-            permits,
-            kept.promised,
+            record.answer if record.answered else record.body,
+            grants,
+            record.promised,
             say.what,
-            kept.guards,
-            kept.answered,
-            left=max(0.0, kept.ends - now),
-            here=kept.holder() in self.sessions,
-            closed=kept.closed,
+            record.acceptors,
+            record.answered,
+            left=max(0.0, record.client_deadline - now),
+            here=record.grant_holder() in self.sessions,
+            closed=record.closed,
         )
 
-    def _no(self, say: Say, kept: Kept | None) -> Say:
-        self.refused += 1
-        promised = kept.promised if kept is not None else (0, "")
+    def _reject(self, say: Say, record: TakeoverRecord | None) -> Say:
+        self.rejections += 1
+        promised = record.promised if record is not None else (0, "")
         return Say(
             "no",
             say.work,
@@ -283,220 +294,232 @@
         )
 
 
-class Work:
-    """One visit in the hands of one balancer, its owner or one that takes it over.
+class Proposer:
+    """One visit from the side of one balancer: its owner, or one that claims it.
 
-    `out` holds what is to be said. `covered`: a majority guards it. `mine`: it is ours under our ballot, as
-    far as we know; `lost`: it is not, another has it or too few guardians are left; `taken`: another has it.
-    `permitted`: the fetch that was asked for last may be written; `refused`: its client may be told that it
-    never ran.
+    `out` holds messages to send. `has_quorum`: a quorum of acceptors stores the visit. `owned`: it is ours
+    under our ballot, as far as we know; `lost`: another balancer has it or too few acceptors are left;
+    `superseded`: another has it. `granted`: the last requested fetch may be written; `refusal_recorded`: the
+    client may be told that the visit never ran.
     """
 
     __slots__ = (
-        "_asked",
-        "_closing",
-        "_noes",
-        "_number",
+        "_accepts",
+        "_fetch_number",
+        "_refusing",
         "_registered",
         "_registering",
-        "_yeses",
-        "again",
-        "anew",
+        "_rejects",
+        "_requested",
+        "acceptors",
         "answer",
-        "away",
         "ballot",
         "body",
+        "client_retried",
         "closed",
-        "covered",
-        "ever",
-        "guards",
-        "holder_here",
-        "id",
-        "known",
-        "left",
+        "ever_granted",
+        "grant_holder_linked",
+        "granted",
+        "grants",
+        "has_quorum",
+        "known_to_quorum",
         "lost",
         "may_have_run",
-        "me",
-        "mine",
+        "name",
         "out",
-        "permits",
-        "permitted",
+        "owned",
         "promised",
-        "refused",
+        "refusal_recorded",
+        "repeatable",
         "serials",
         "sessions",
-        "taken",
-        "unheld",
+        "superseded",
+        "time_left",
+        "unreachable",
+        "unregistered",
+        "visit_id",
     )
 
     def __init__(
         self,
-        id_: str,
-        me: str,
-        guards: Iterable[str],
+        visit_id: str,
+        name: str,
+        acceptors: Iterable[str],
         sessions: dict[str, int],
         body: bytes = b"",
-        left: float = 0.0,
+        time_left: float = 0.0,
         serials: dict[str, int] | None = None,
-        again: bool = False,
-        anew: bool = False,
+        repeatable: bool = False,
+        client_retried: bool = False,
     ) -> None:
-        """`guards`: who guards it, as its owner names them; who takes it over may guess, and is told.
-        `sessions`: that of our link to each member when the visit was taken, or is claimed; `serials`: the
-        place of its registration in each. `left`: ms that its client waits. `again`: its kind may be sent
-        though it may have run, within what the decisions know of that. `anew`: its client asks again, so that
-        it may run though its ballots so far are closed."""
-        self.id, self.me, self.body, self.left, self.again = id_, me, body, left, again
-        self.guards = tuple(guards)
+        """`acceptors`: as the owner named them; a claimant may guess, and learns the list from the replies.
+        `sessions`: our session at each member when the visit was accepted or claimed; `serials`: the serial
+        of its registration in each. `time_left`: ms that the client still waits. `repeatable`: this kind may
+        be sent although it may have run, within what the decision module allows. `client_retried`: the client
+        asks again, so the visit may run although its earlier ballots are closed.
+        """
+        self.visit_id, self.name, self.body = visit_id, name, body
+        self.time_left, self.repeatable = time_left, repeatable
+        self.acceptors = tuple(acceptors)
         self.sessions = dict(sessions)
         self.serials = dict(serials or {})
-        self.ballot: Ballot = (0, me)
-        self.promised: Ballot = (0, "")  # the highest that we heard of
+        self.ballot: Ballot = (0, name)
+        self.promised: Ballot = (0, "")  # the highest ballot seen
         self.out: list[Say] = []
-        self.covered = self.mine = self.lost = self.may_have_run = self.permitted = self.taken = False
-        self.refused = self._closing = self._registered = self._registering = False
-        self.known = False  # a majority of its guardians know the visit, once it is claimed
-        self.ever = False  # a fetch of ours was permitted
-        self.unheld = False  # a majority has refused to register it, so that nobody can take it from us
-        self.holder_here = False  # somebody who has a permit is still linked to a guardian
-        self.permits: dict[tuple[Ballot, int], Permit] = {}  # that others had, once it is claimed
-        self.anew, self.closed = anew, NOBODY
-        self.away: set[str] = set()  # guardians that cannot be asked now: a claim does not wait for them
+        self.has_quorum = self.owned = self.lost = self.may_have_run = self.granted = self.superseded = False
+        self.refusal_recorded = self._refusing = self._registered = self._registering = False
+        self.known_to_quorum = False  # after a claim: a quorum of acceptors knows the visit
+        self.ever_granted = False  # a fetch of ours was granted
+        self.unregistered = False  # a quorum refused to register it, so nobody can take it over
+        self.grant_holder_linked = False  # a balancer with a grant is still linked to an acceptor
+        self.grants: dict[tuple[Ballot, int], Permit] = {}  # after a claim: grants of other balancers
+        self.client_retried, self.closed = client_retried, NOBODY
+        self.unreachable: set[str] = set()  # acceptors without a link; a claim does not wait for them
         self.answer: bytes | None = None
-        self._asked = ""
-        self._number = 0
-        self._yeses: dict[str, Say] = {}
-        self._noes: set[str] = set()
+        self._requested = ""
+        self._fetch_number = 0
+        self._accepts: dict[str, Say] = {}
+        self._rejects: set[str] = set()
 
     @property
-    def majority(self) -> int:
-        return len(self.guards) // 2 + 1
+    def quorum(self) -> int:
+        return len(self.acceptors) // 2 + 1
 
-    def _ask(self, what: str, body: bytes = b"", number: int = 0, zone: str = "", cell: int = 0) -> None:
-        self._asked, self._number, self._yeses, self._noes = what, number, {}, set()
+    def _broadcast(
+        self, what: str, body: bytes = b"", number: int = 0, zone: str = "", cell: int = 0
+    ) -> None:
+        self._requested, self._fetch_number, self._accepts, self._rejects = what, number, {}, set()
         first = what in ("register", "permit") and not self._registered and not self.ballot[0]
         self._registered, self._registering = self._registered or first, first
         self.out += [
             Say(
                 what,
-                self.id,
+                self.visit_id,
                 self.ballot,
                 self.sessions.get(g, 0),
                 g,
-                self.me,
+                self.name,
                 self.body if first else body,
-                guards=self.guards if first else (),
+                guards=self.acceptors if first else (),
                 number=number,
                 zone=zone,
                 cell=cell,
-                left=self.left if first else 0.0,
+                left=self.time_left if first else 0.0,
                 serial=self.serials.get(g, 0) if first else 0,
             )
-            for g in self.guards
+            for g in self.acceptors
         ]
 
     def register(self) -> None:
-        """The owner has taken it, and sends nothing for it yet."""
-        self.mine = True
-        self._ask("register")
+        """Register a visit that we accepted and have not sent yet."""
+        self.owned = True
+        self._broadcast("register")
 
     def claim(self, above: Ballot) -> None:
-        """Take it over, with a ballot over one that was seen."""
-        self.ballot = (above[0] + 1, self.me)
-        self.mine = self.lost = self.taken = False
-        self._ask("claim")
-
-    def permit(self, number: int = 0, zone: str = "", cell: int = 0) -> None:
-        """A fetch is wanted: `permitted` tells when it may be written. An owner's first registers, too."""
-        self.mine = self.mine or not (self._registered or self.ballot[0])
-        barred = (self.may_have_run and not self.again) or (self.closed > NOBODY and not self.anew)
-        if self.mine and not self.lost and not self._closing and not barred:
-            self.permitted = False
-            self._ask("permit", number=number, zone=zone, cell=cell)
+        """Take the visit over, with a ballot higher than `above`."""
+        self.ballot = (above[0] + 1, self.name)
+        self.owned = self.lost = self.superseded = False
+        self._broadcast("claim")
+
+    def request_grant(self, number: int = 0, zone: str = "", cell: int = 0) -> None:
+        """Request a grant for a fetch: `granted` tells when it may be written. An owner's first also
+        registers."""
+        self.owned = self.owned or not (self._registered or self.ballot[0])
+        barred = (self.may_have_run and not self.repeatable) or (
+            self.closed > NOBODY and not self.client_retried
+        )
+        if self.owned and not self.lost and not self._refusing and not barred:
+            self.granted = False
+            self._broadcast("permit", number=number, zone=zone, cell=cell)
 
     def refuse(self) -> None:
-        """It is not to run, or no more: `refused` tells when its client may be told so. Where it may not run
-        again the caller knows that no fetch of ours may have run; from now on none is permitted."""
-        if self.mine and (self.again or not self.may_have_run):
-            self._closing, self.permitted = True, False
-            self._ask("answer", NEVER_RAN)
-
-    def answered(self, body: bytes) -> None:
-        """It has its answer: guardians keep it for who asks again."""
-        self._ask("answer", body)
-
-    def heard(self, say: Say) -> None:
-        """A guardian's answer; doubled, late and foreign ones change nothing."""
-        if say.by not in self.guards or say.ballot != self.ballot:
+        """Record that the visit does not run (any more); `refusal_recorded` tells when the client may be told
+        so. For a kind that is not repeatable the caller must know that no fetch of ours may have run. No
+        fetch is granted from now on."""
+        if self.owned and (self.repeatable or not self.may_have_run):
+            self._refusing, self.granted = True, False
+            self._broadcast("answer", NEVER_RAN)
+
+    def record_answer(self, body: bytes) -> None:
+        """Store the visit's answer at the acceptors for clients that ask again."""
+        self._broadcast("answer", body)
+
+    def receive(self, say: Say) -> None:
+        """Process an acceptor's reply; duplicated, late and foreign replies are ignored."""
+        if say.by not in self.acceptors or say.ballot != self.ballot:
             return
         if say.about == "claim" and say.what == "yes" and say.answered:
-            self.answer = say.body if self.answer is None else self.answer  # a fact, whatever we wait for
-        if say.about != self._asked or say.number != self._number:
+            # an answer counts whatever request is pending
+            self.answer = say.body if self.answer is None else self.answer
+        if say.about != self._requested or say.number != self._fetch_number:
             return
         self.promised = max(self.promised, say.promised)
         if say.what == "no":
-            self._noes.add(say.by)
-            self.taken = self.taken or say.promised > self.ballot
-            if self.taken or (len(self._noes) >= self.majority and self._asked != "answer"):
-                self.lost = True  # another has it, or too few guardians are left
-                # guards: those that refuse a later word may have registered it, and tell it to who claims it
-                self.unheld = self._registering and len(self._noes) >= self.majority
-            elif self._asked == "claim":
-                self._claimed()
+            self._rejects.add(say.by)
+            self.superseded = self.superseded or say.promised > self.ballot
+            if self.superseded or (len(self._rejects) >= self.quorum and self._requested != "answer"):
+                self.lost = True  # another has it, or too few acceptors are left
+                # Only a refused registration: acceptors that refuse a later message may have registered the
+                # visit, and report it to a claimant.
+                self.unregistered = self._registering and len(self._rejects) >= self.quorum
+            elif self._requested == "claim":
+                self._evaluate_claim()
             return
-        self._yeses[say.by] = say
-        if self._asked == "claim":
-            self._claimed()
-        elif len(self._yeses) >= self.majority and not self.lost:
-            self.covered = True
-            self.permitted = self.permitted or self._asked == "permit"
-            self.ever = self.ever or self.permitted
-            self.refused = self.refused or (self._closing and self._asked == "answer")
-
-    def looked(self) -> None:
-        """Some guardians cannot be asked: what is known may be all that there is to know."""
-        if self._asked == "claim":
-            self._claimed()
-
-    def _claimed(self) -> None:
-        """Whether a majority of the visit's guardians have promised, and what they had recorded."""
-        knowing = [say for say in self._yeses.values() if say.guards]
-        self.holder_here = any(say.here for say in self._yeses.values())
-        if self.lost or self.mine:
+        self._accepts[say.by] = say
+        if self._requested == "claim":
+            self._evaluate_claim()
+        elif len(self._accepts) >= self.quorum and not self.lost:
+            self.has_quorum = True
+            self.granted = self.granted or self._requested == "permit"
+            self.ever_granted = self.ever_granted or self.granted
+            self.refusal_recorded = self.refusal_recorded or (self._refusing and self._requested == "answer")
+
+    def recheck_claim(self) -> None:
+        """Evaluate the claim again after `unreachable` has changed."""
+        if self._requested == "claim":
+            self._evaluate_claim()
+
+    def _evaluate_claim(self) -> None:
+        """Evaluate the replies to a claim: whether a quorum has promised, and which grants were recorded."""
+        knowing = [say for say in self._accepts.values() if say.guards]
+        self.grant_holder_linked = any(say.here for say in self._accepts.values())
+        if self.lost or self.owned:
             return
-        if knowing and set(knowing[0].guards) != set(self.guards):
-            # guards: two that take over by different lists could each have a majority of their own
-            self.guards = knowing[0].guards
+        if knowing and set(knowing[0].guards) != set(self.acceptors):
+            # With different acceptor lists two claimants could each get a quorum of their own.
+            self.acceptors = knowing[0].guards
             return self.claim(self.ballot)
-        there = sum(g in self._yeses or g in self._noes or g in self.away for g in self.guards)
-        if len(knowing) < self.majority and there < len(self.guards):
-            return  # one that knows it may yet answer
-        if len(self._yeses) < self.majority:
-            self.lost = there == len(self.guards)
+        responded = sum(
+            g in self._accepts or g in self._rejects or g in self.unreachable for g in self.acceptors
+        )
+        if len(knowing) < self.quorum and responded < len(self.acceptors):
+            return  # an acceptor that knows the visit may still reply
+        if len(self._accepts) < self.quorum:
+            self.lost = responded == len(self.acceptors)
             return
-        # guards: one that has forgotten says nothing of what it may have permitted
-        self.known = len(knowing) >= self.majority
-        self.may_have_run = not self.known
-        # a ballot was closed by who sends nothing under it, nor could anybody under one before it
-        self.closed = max(say.closed for say in self._yeses.values())
-        left = inf
-        for say in self._yeses.values():
-            for permit in say.permits:
-                if self.closed < permit[0] != self.ballot:
+        # An acceptor without the record cannot tell what it had granted.
+        self.known_to_quorum = len(knowing) >= self.quorum
+        self.may_have_run = not self.known_to_quorum
+        # The balancer that closed a ballot sends nothing more under it; nor can any under an earlier one.
+        self.closed = max(say.closed for say in self._accepts.values())
+        time_left = inf
+        for say in self._accepts.values():
+            for grant in say.permits:
+                if self.closed < grant[0] != self.ballot:
                     self.may_have_run = True
-                    known = self.permits.get(permit[:2])
-                    # the oldest record of it is the nearest to what was written
-                    self.permits[permit[:2]] = permit if known is None or permit[4] > known[4] else known
+                    recorded = self.grants.get(grant[:2])
+                    # the oldest record is closest to the time of the write
+                    self.grants[grant[:2]] = grant if recorded is None or grant[4] > recorded[4] else recorded
             if say.body and not say.answered:
                 self.body = say.body
-            left = min(left, say.left) if say.guards else left
-        self.left = left if left < inf else 0.0
-        self.mine = self.covered = True
+            time_left = min(time_left, say.left) if say.guards else time_left
+        self.time_left = time_left if time_left < inf else 0.0
+        self.owned = self.has_quorum = True
 
     def outcome(self) -> str:
-        """What a client that asks may be told: answered, may have run, never ran; empty: not yet known."""
+        """What a client that asks may be told: answered, may have run, never ran; empty: not known yet."""
         if self.answer is not None:
             return "may have run" if self.answer == MAY_HAVE_RUN else "answered"
-        if not self.mine:
+        if not self.owned:
             return ""
         return "may have run" if self.may_have_run else "never ran"
--- a/ospreyline/fleet/takeover.py
+++ b/ospreyline/fleet/takeover.py
@@ -1,18 +1,19 @@
-"""Work in hand that survives its balancer, as one has a part in it: owner, guardian, successor. Pure.
-
-Time, members, links and words in; words (`out`) and what the front is to do (`news`) out. What makes "once"
-hold is in `guard.py`; here is who guards what, what a front has to wait for, and who takes over when.
-
-- **Who guards.** Of each zone the first members by a hash, as many as the root of the bank, guard for all;
-  three of them, of as many zones as there are, guard a visit, by a hash of its id. So whoever is asked again
-  for a visit knows whom to ask, and a bank of hundreds keeps few links.
-- **What waits.** A fetch of a mutating or tagged visit for its permit; of a read-like one only the last that
-  is allowed, the others are its owner's own. A bounce of a visit that others know for its closing. Each for
-  a stated time at the most.
-- **Who takes over.** The balancer at which the client asks again, at once. Where nobody asks, the first
-  living guardian once the owner is known to be dead; read-like visits are then left alone.
-
-Where too few guardians are there, a visit has no cover, which the front is told when it takes it.
+"""Takeover of visits whose balancer has failed: one balancer's part as owner, acceptor or claimant. Pure.
+
+Input: time, members, links and messages; output: messages (`out`) and events for the proxy (`news`). The
+protocol that makes a fetch run at most once is in `guard.py`; this module decides who the acceptors are, what
+the proxy must wait for, and who takes over when.
+
+- **Acceptors.** In each zone the first members by hash, the square root of the bank's size, serve as
+  acceptors; three of them, of as many zones as possible, store a visit, by a hash of its id. So whichever
+  balancer is asked for the visit again knows whom to ask, and a bank of hundreds needs few links.
+- **What waits.** A fetch of a mutating or tagged visit waits for its grant; of a read-like one only the last
+  that is allowed, the others need none. A bounce of a registered visit waits until its ballot is closed. Each
+  wait is bounded.
+- **Who takes over.** The balancer at which the client asks again, at once. If no client asks, the first
+  acceptor that is alive once the owner is known to be dead; read-like visits are then left alone.
+
+If too few acceptors are available, a visit has no quorum, and the proxy learns so when it admits the visit.
 """
 
 from __future__ import annotations
@@ -25,87 +26,93 @@
 from typing import Any
 
 from ospreyline.fleet.frames import NOBODY, Message, Pulse, Say, Sit
-from ospreyline.fleet.guard import MAY_HAVE_RUN, Guardian, Work, guardians
+from ospreyline.fleet.guard import MAY_HAVE_RUN, Acceptor, Proposer, choose_acceptors
 from ospreyline.host import Kind
 
-PER_ZONE = 4  # members that guard, at the least
-PULSE = 1_000.0  # ms between two words to those that guard
-SILENT = 2_500.0  # ms without a word after which one is not counted on
-RETRY = 75.0  # ms between two claims of one that does not hear all of its bank yet
-STEP = 400.0  # ms between one guardian's turn to take over and the next one's
-CLAIMS = 6  # tries to get a visit that others want, too
-CLAIM_WAITS = 3.0  # times the wait for a permit that a claim may take
-IN_TIME = 100.0  # ms before its client's time is over, from which on nothing waits: two looks at what is due
-MOST_ANSWER = 1 << 16  # bytes of an answer that is kept; a larger one is known to have been, and no more
+MIN_ACCEPTORS_PER_ZONE = 4
+HEARTBEAT_MS = 1_000.0  # between heartbeats to acceptors
+UNRESPONSIVE_MS = 2_500.0  # without a message, after which an acceptor is not counted on
+RECLAIM_MS = 75.0  # between two claims while not all members of the bank are known yet
+ADOPTION_STEP_MS = 400.0  # between one acceptor's turn to adopt a visit and the next one's
+MAX_CLAIMS = 6  # attempts for a visit that others claim too
+CLAIM_WAIT_FACTOR = 3.0  # a claim may wait this many times as long as a grant
+DEADLINE_MARGIN_MS = 100.0  # before the client's deadline all waiting ends: two ticks
+MAX_ANSWER_BYTES = 1 << 16  # of a larger answer only the fact that there was one is stored
 
-Ran = tuple[str, int, float]  # a fetch that may have run: zone, cell, ms since it may have been sent
+# a fetch that may have executed: zone, cell, ms since it may have been sent
+PriorFetch = tuple[str, int, float]
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other member, as a guardian of ours or one that we guard for."""
+    """One other member, as an acceptor for our visits or an owner of visits that we store."""
 
     linked: bool = False
-    session: int = 0  # as it gave it to us; 0: not yet
-    serial: int = 0  # of our last registration there
-    heard: float = -inf
-    asked: float = inf  # ms; the oldest word of ours that it has not answered
+    session: int = 0  # that it issued to us; 0: none yet
+    serial: int = 0  # of our last registration at it
+    last_heard: float = -inf
+    unanswered_since: float = inf  # when we sent the oldest message that it has not answered
 
 
-class Hand:
-    """One visit that others guard for us, or that we ask about."""
+class OwnedVisit:
+    """One visit that we registered at acceptors, or that we claim."""
 
     __slots__ = (
-        "ends",
-        "fetch",
-        "free",
-        "id",
+        "claims",
+        "client_deadline",
+        "free_fetches",
         "kind",
         "orphan",
+        "proposer",
+        "reclaim_at",
         "registered",
-        "retry_at",
         "tag",
-        "tries",
-        "until",
-        "waits",
-        "wide",
-        "work",
+        "visit_id",
+        "wait_until",
+        "waiting_fetch",
+        "waiting_for",
+        "widened",
     )
 
-    def __init__(self, tag: int, id_: str, kind: Kind, work: Work, ends: float) -> None:
-        self.tag, self.id, self.kind, self.work = tag, id_, kind, work
+    def __init__(
+        self, tag: int, visit_id: str, kind: Kind, proposer: Proposer, client_deadline: float
+    ) -> None:
+        self.tag, self.visit_id, self.kind, self.proposer = tag, visit_id, kind, proposer
         self.registered = False
-        self.free = 0  # fetches that need no permit
-        self.fetch = -1  # the one that waits for its permit
-        self.waits = ""  # for what: permit, refuse, told, claim, answer
-        self.until = inf  # ms; it waits no longer
-        self.ends = ends  # ms; nor does its client
-        self.tries = 0
-        self.orphan = False  # nobody asked: its owner is dead
-        self.wide = False  # all that are linked have been asked
-        self.retry_at = inf  # ms; it is claimed anew then
-
-
-def chosen(members: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Those of all members, as (name, zone), that guard: the same for all that know the same members."""
+        self.free_fetches = 0  # fetches that need no grant
+        self.waiting_fetch = -1  # the one that waits for its grant
+        self.waiting_for = ""  # permit, refuse, told, claim or answer; empty: it does not wait
+        self.wait_until = inf  # ms; end of the wait
+        self.client_deadline = client_deadline  # ms; when its client stops waiting
+        self.claims = 0
+        self.orphan = False  # its owner is dead and no client has asked again
+        self.widened = False  # all linked members have been asked
+        self.reclaim_at = inf  # ms; when it is claimed again
+
+
+def bank_acceptors(members: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+    """The members, as (name, zone), that serve as acceptors: the same wherever the members are the same."""
     by: dict[str, list[tuple[bytes, str]]] = {}
     count = 0
     for name, zone in members:
         count += 1
         by.setdefault(zone, []).append((blake2b(name.encode(), digest_size=8, key=b"guard").digest(), name))
-    per = max(PER_ZONE, ceil(sqrt(count)))
-    return [(name, zone) for zone in sorted(by) for _, name in sorted(by[zone])[:per]]
+    per_zone = max(MIN_ACCEPTORS_PER_ZONE, ceil(sqrt(count)))
+    return [(name, zone) for zone in sorted(by) for _, name in sorted(by[zone])[:per_zone]]
 
 
 class Takeover:
-    """One balancer's part. `out` holds (name, message); `news` holds (what, tag, more) for the front:
-
-    - go, no (fetch): a fetch that waited may be written, or may not;
-    - refused, unknown: a bounce that waited may be told, or the client is told that it may have run;
-    - told: an answer that waited may be told;
-    - lost: another balancer has it, nobody is told anything;
-    - answer (bytes), unknown, take (what may have run), bounce: what became of one that a client asks for;
-    - adopt (request, kind, what may have run, ms left): a visit whose owner is dead, and nobody asked for it.
+    """One balancer's part in takeover. `out` holds (member, message).
+
+    `news` holds events (what, tag of the visit, details) for the proxy:
+
+    - go, no (fetch number): a fetch that waited may be written, or may not;
+    - refused: a bounce that waited may be sent;
+    - told: an answer that waited may be sent;
+    - unknown: the client is told that the visit may have run;
+    - lost: another balancer has the visit, nothing is sent to the client;
+    - answer (bytes), take (prior fetches), bounce, unknown: the outcome for a client that asks again;
+    - adopt (request, kind, prior fetches, ms left): a visit whose owner is dead and that no client asks for.
     """
 
     def __init__(
@@ -114,383 +121,431 @@
         zone: str,
         start: int,
         draw: Callable[[], float],
-        wait: float,
-        keep_for: float,
-        refuses: bool,
+        wait_ms: float,
+        retention_ms: float,
+        refuse_without_quorum: bool,
         max_fetches: int,
     ) -> None:
-        """`wait`, `keep_for` in ms; `refuses`: what needs a permit is not taken without cover."""
+        """`refuse_without_quorum`: a visit whose fetches need a grant is not admitted without a quorum."""
         self.name, self.zone = name, zone
-        self.wait, self.refuses, self.max_fetches = wait, refuses, max_fetches
-        self.guardian = Guardian(name, keep_for, start)
+        self.wait_ms, self.refuse_without_quorum = wait_ms, refuse_without_quorum
+        self.max_fetches = max_fetches
+        self.guardian = Acceptor(name, retention_ms, start)
         self.out: list[tuple[str, Message]] = []
         self.news: list[tuple[str, int, Any]] = []
         self.counts: Counter[str] = Counter()
-        self.hands: dict[int, Hand] = {}
-        self.peers: dict[str, Peer] = {name: Peer(True, self.guardian.linked(name))}
-        self._guards: list[tuple[str, str]] = [(name, zone)]
-        self._by_id: dict[str, Hand] = {}
-        self._orphans: list[tuple[float, str, str]] = []  # when, visit, its owner
-        self._adopted = -1  # the tags of those follow downwards; a client without a visit has this one
+        self.visits: dict[int, OwnedVisit] = {}
+        self.peers: dict[str, Peer] = {name: Peer(True, self.guardian.start_session(name))}
+        self._acceptors: list[tuple[str, str]] = [(name, zone)]
+        self._by_id: dict[str, OwnedVisit] = {}
+        self._orphans: list[tuple[float, str, str]] = []  # (ms at which it is adopted, visit id, its owner)
+        # tags of adopted visits count down from here; -1 itself marks a client without a visit
+        self._last_adopted_tag = -1
         self._draw = draw
-        self._pulse_at = 0.0
-        self.meeting = False  # we do not hear all of our bank: what nobody knows may be known to others
+        self._heartbeat_at = 0.0
+        # we do not know all members of the bank: what no acceptor knows may be known to others
+        self.meeting = False
 
     # members and links
 
-    def members(self, now: float, living: Iterable[tuple[str, str]]) -> None:
-        """All others that are thought to live, as (name, zone)."""
-        others = list(living)
-        self._guards = chosen([*others, (self.name, self.zone)])
+    def members(self, now: float, alive_members: Iterable[tuple[str, str]]) -> None:
+        """Set the other members that are considered alive, as (name, zone)."""
+        others = list(alive_members)
+        self._acceptors = bank_acceptors([*others, (self.name, self.zone)])
         alive = {n for n, _ in others}
         for name in [n for n, p in self.peers.items() if n not in alive and not p.linked]:
             del self.peers[name]
 
     def links(self) -> list[str]:
-        """The members to which links are to be kept."""
-        return [name for name, _ in self._guards if name != self.name]
+        """The members to which links must be kept open."""
+        return [name for name, _ in self._acceptors if name != self.name]
 
     def linked(self, now: float, name: str) -> None:
         peer = self.peers.setdefault(name, Peer())
-        peer.linked, peer.session, peer.serial, peer.heard, peer.asked = True, 0, 0, now, inf
-        self.out.append((name, Sit(session=self.guardian.linked(name))))
+        peer.linked, peer.session, peer.serial, peer.last_heard, peer.unanswered_since = True, 0, 0, now, inf
+        self.out.append((name, Sit(session=self.guardian.start_session(name))))
 
     def unlinked(self, now: float, name: str) -> None:
         if (peer := self.peers.get(name)) is not None:
             peer.linked, peer.session = False, 0
-        self.guardian.unlinked(now, name)
-        self._push(now)
-        for hand in [h for h in self.hands.values() if h.waits == "claim" and name in h.work.guards]:
-            hand.work.away.add(name)
-            hand.work.looked()
-            self._flush(now, hand)
+        self.guardian.end_session(now, name)
+        self._deliver_unsolicited(now)
+        for visit in [
+            h for h in self.visits.values() if h.waiting_for == "claim" and name in h.proposer.acceptors
+        ]:
+            visit.proposer.unreachable.add(name)
+            visit.proposer.recheck_claim()
+            self._flush(now, visit)
 
     def lost(self, now: float, name: str) -> None:
-        """A member is dead, or another process has its place: what it had in hand goes to others, in turn."""
-        for id_ in self.guardian.owned(name):
-            guards = [
+        """A member is dead or was restarted: its visits go to the other acceptors, in turn."""
+        for visit_id in self.guardian.orphaned_by(name):
+            linked_acceptors = [
                 g
-                for g in self.guardian.works[id_].guards
+                for g in self.guardian.works[visit_id].acceptors
                 if g == self.name or (g in self.peers and self.peers[g].linked)
             ]
-            if self.name in guards:
-                turn = guards.index(self.name)
-                self._orphans.append((now + STEP * (turn + 0.25 * self._draw() * (turn > 0)), id_, name))
+            if self.name in linked_acceptors:
+                rank = linked_acceptors.index(self.name)
+                self._orphans.append(
+                    (now + ADOPTION_STEP_MS * (rank + 0.25 * self._draw() * (rank > 0)), visit_id, name)
+                )
 
     def covered(self, now: float) -> tuple[int, int]:
-        """Of those that guard, how many can be counted on, and how many there are."""
-        return sum(self._able(now, n) for n in self.links()), len(self.links())
+        """(acceptors of the bank that are responsive, all of them), this balancer excluded."""
+        return sum(self._responsive(now, n) for n in self.links()), len(self.links())
 
-    def _able(self, now: float, name: str) -> bool:
+    def _responsive(self, now: float, name: str) -> bool:
         peer = self.peers.get(name)
         return (
             peer is not None
             and peer.linked
             and peer.session > 0
-            and now - peer.heard < SILENT
-            and now - peer.asked < max(SILENT, self.wait)
+            and now - peer.last_heard < UNRESPONSIVE_MS
+            and now - peer.unanswered_since < max(UNRESPONSIVE_MS, self.wait_ms)
         )
 
     # time
 
     def tick(self, now: float) -> None:
-        if now >= self._pulse_at:
-            self._pulse_at = now + PULSE
+        if now >= self._heartbeat_at:
+            self._heartbeat_at = now + HEARTBEAT_MS
             for name in self.links():
                 self.out.append((name, Pulse()))
         due = [o for o in self._orphans if o[0] <= now]
         if due:
             self._orphans = [o for o in self._orphans if o[0] > now]
-            for _, id_, owner in due:
-                self._adopt(now, id_, owner)
-        for hand in list(self.hands.values()):
-            if hand.until <= now:
-                self._late(now, hand)
-            elif hand.retry_at <= now:
-                hand.retry_at, hand.wide = inf, False
-                self._ask(now, hand, guardians(hand.id, self._guards))
-
-    def _wait(self, now: float, hand: Hand, what: str, longest: float) -> None:
-        """Wait for a word, so long at the most. Guards: a client's time may be over before that."""
-        hand.waits, hand.until = what, min(now + longest, max(now, hand.ends - IN_TIME))
-
-    def _late(self, now: float, hand: Hand) -> None:
-        """Guardians have not answered in time. Guards: nothing in a visit's way waits longer."""
-        waits, hand.waits, hand.until = hand.waits, "", inf
+            for _, visit_id, owner in due:
+                self._adopt(now, visit_id, owner)
+        for visit in list(self.visits.values()):
+            if visit.wait_until <= now:
+                self._wait_timed_out(now, visit)
+            elif visit.reclaim_at <= now:
+                visit.reclaim_at, visit.widened = inf, False
+                self._reclaim(now, visit, choose_acceptors(visit.visit_id, self._acceptors))
+
+    def _wait_for(self, now: float, visit: OwnedVisit, what: str, longest: float) -> None:
+        """Wait for `what` for at most `longest` ms, and not beyond the client's deadline."""
+        visit.waiting_for = what
+        visit.wait_until = min(now + longest, max(now, visit.client_deadline - DEADLINE_MARGIN_MS))
+
+    def _wait_timed_out(self, now: float, visit: OwnedVisit) -> None:
+        """Acceptors have not answered in time. The bound keeps takeover from delaying a visit any longer."""
+        waited_for, visit.waiting_for, visit.wait_until = visit.waiting_for, "", inf
         self.counts["guards_late"] += 1
-        if waits == "permit":
-            self._say("no", hand, hand.fetch)
-        elif waits == "told":
-            self._end("told", hand)
+        if waited_for == "permit":
+            self._emit("no", visit, visit.waiting_fetch)
+        elif waited_for == "told":
+            self._finish("told", visit)
         else:
-            self._unknown(hand)
+            self._finish_unknown(visit)
 
-    def _unknown(self, hand: Hand) -> None:
-        """It cannot be told what became of it. Guards: what was sent for it cannot be counted either, so it
-        is not sent once more; where a repeat is harmless its client may begin anew."""
-        if hand.orphan:
-            self._drop(hand)
+    def _finish_unknown(self, visit: OwnedVisit) -> None:
+        """End a visit of unknown outcome. Prior fetches cannot be counted either, so it is not sent again;
+        where a repeat is harmless the client may start anew."""
+        if visit.orphan:
+            self._discard(visit)
         else:
-            self._end("unknown" if hand.kind is Kind.MUTATING else "bounce", hand)
+            self._finish("unknown" if visit.kind is Kind.MUTATING else "bounce", visit)
 
     # own visits
 
-    def take(self, now: float, tag: int, id_: str, kind: Kind, body: bytes, left: float) -> bool:
-        """A visit is taken; whether it may go on. It is told to guardians when it is held or sent."""
-        names = guardians(id_, [m for m in self._guards if m[0] != self.name])
-        able = [n for n in names if self._able(now, n)]
-        if not names or len(able) <= len(names) // 2:
+    def admit(self, now: float, tag: int, visit_id: str, kind: Kind, body: bytes, left: float) -> bool:
+        """Admit a new visit; returns whether it may proceed. It is registered when it is queued or sent."""
+        names = choose_acceptors(visit_id, [m for m in self._acceptors if m[0] != self.name])
+        responsive = [n for n in names if self._responsive(now, n)]
+        if not names or len(responsive) <= len(names) // 2:
             self.counts["uncovered"] += 1
-            if self.refuses and kind is not Kind.READ_LIKE:
+            if self.refuse_without_quorum and kind is not Kind.READ_LIKE:
                 self.counts["uncovered_refused"] += 1
                 return False
             return True
-        if id_ in self._by_id:
-            return True  # guards: two in hand under one id would speak under one ballot
-        work = Work(
-            id_,
+        if visit_id in self._by_id:
+            return True  # two visits of one id would use the same ballot
+        proposer = Proposer(
+            visit_id,
             self.name,
             names,
-            {n: self.peers[n].session for n in able},
+            {n: self.peers[n].session for n in responsive},
             body,
             left,
-            again=kind is not Kind.MUTATING,
+            repeatable=kind is not Kind.MUTATING,
         )
-        hand = self._hand(tag, id_, kind, work, now + left)
-        hand.free = max(0, self.max_fetches - 1) if kind is Kind.READ_LIKE else 0
+        visit = self._track(tag, visit_id, kind, proposer, now + left)
+        visit.free_fetches = max(0, self.max_fetches - 1) if kind is Kind.READ_LIKE else 0
         return True
 
-    def _hand(self, tag: int, id_: str, kind: Kind, work: Work, ends: float) -> Hand:
-        hand = self.hands[tag] = self._by_id[id_] = Hand(tag, id_, kind, work, ends)
-        return hand
+    def _track(
+        self, tag: int, visit_id: str, kind: Kind, proposer: Proposer, client_deadline: float
+    ) -> OwnedVisit:
+        visit = self.visits[tag] = self._by_id[visit_id] = OwnedVisit(
+            tag, visit_id, kind, proposer, client_deadline
+        )
+        return visit
 
-    def _first(self, hand: Hand) -> None:
-        """It is about to be told to its guardians."""
-        if hand.registered:
+    def _prepare_registration(self, visit: OwnedVisit) -> None:
+        """Prepare the registration: give it the next serial of each session."""
+        if visit.registered:
             return
-        hand.registered = True
+        visit.registered = True
         self.counts["covered"] += 1
-        for name in hand.work.guards:
-            if hand.work.sessions.get(name):
+        for name in visit.proposer.acceptors:
+            if visit.proposer.sessions.get(name):
                 peer = self.peers[name]
-                if peer.session == hand.work.sessions[name]:
+                if peer.session == visit.proposer.sessions[name]:
                     peer.serial += 1
-                    hand.work.serials[name] = peer.serial
-
-    def held(self, now: float, tag: int) -> None:
-        """It waits for room: others are to know of it."""
-        hand = self.hands.get(tag)
-        if hand is not None and not hand.registered:
-            self._first(hand)
-            hand.work.register()
-            self._flush(now, hand)
-
-    def send(self, now: float, tag: int, number: int, zone: str, cell: int, doubt: bool = False) -> bool:
-        """A fetch is to be written: whether it may be at once; else `go` or `no` follows. `doubt`: this
-        process stood still, so that another may have it by now."""
-        hand = self.hands.get(tag)
-        if hand is None:
+                    visit.proposer.serials[name] = peer.serial
+
+    def register_queued(self, now: float, tag: int) -> None:
+        """A visit is queued for capacity: register it, so that others can take it over."""
+        visit = self.visits.get(tag)
+        if visit is not None and not visit.registered:
+            self._prepare_registration(visit)
+            visit.proposer.register()
+            self._flush(now, visit)
+
+    def request_send(
+        self, now: float, tag: int, number: int, zone: str, cell: int, after_stall: bool = False
+    ) -> bool:
+        """Whether a fetch may be written at once; else the event `go` or `no` follows. `after_stall`: this
+        process stalled, so another balancer may have taken the visit over."""
+        visit = self.visits.get(tag)
+        if visit is None:
             return True
-        if hand.work.unheld:
-            return self._bare(hand)
-        free = number < hand.free and not doubt
-        if free and hand.registered:
+        if visit.proposer.unregistered:
+            return self._proceed_without_quorum(visit)
+        free = number < visit.free_fetches and not after_stall
+        if free and visit.registered:
             return True
-        self._first(hand)
+        self._prepare_registration(visit)
         if free:
-            hand.work.register()
+            visit.proposer.register()
         else:
-            hand.fetch = number
-            self._wait(now, hand, "permit", self.wait)
+            visit.waiting_fetch = number
+            self._wait_for(now, visit, "permit", self.wait_ms)
             self.counts["permits"] += 1
-            hand.work.permit(number, zone, cell)
-        self._flush(now, hand)
+            visit.proposer.request_grant(number, zone, cell)
+        self._flush(now, visit)
         return free
 
-    def called_off(self, tag: int, number: int) -> bool:
-        """The decisions no longer want a fetch: whether it still waited, and never goes out."""
-        hand = self.hands.get(tag)
-        if hand is None or hand.waits != "permit" or hand.fetch != number:
+    def cancel_send(self, tag: int, number: int) -> bool:
+        """Cancel a fetch; returns whether it still waited for its grant, and so is never sent."""
+        visit = self.visits.get(tag)
+        if visit is None or visit.waiting_for != "permit" or visit.waiting_fetch != number:
             return False
-        hand.waits, hand.until = "", inf
+        visit.waiting_for, visit.wait_until = "", inf
         return True
 
     def refuse(self, now: float, tag: int) -> bool:
-        """Its client is to be told that it never ran, or that a repeat is harmless: whether at once; else
-        `refused`, `unknown` or `lost` follows."""
-        hand = self._known(tag)
-        if hand is None:
+        """Whether a bounce may be sent at once; else `refused`, `unknown` or `lost` follows. A bounce tells
+        the client that the visit never ran, or that a repeat is harmless."""
+        visit = self._registered_visit(tag)
+        if visit is None:
             return True
-        hand.work.refuse()
-        if hand.kind is not Kind.MUTATING or hand.work.ever:
-            # harmless anyhow; or its permits keep all others from running it
-            self._flush(now, hand, last=True)
+        visit.proposer.refuse()
+        if visit.kind is not Kind.MUTATING or visit.proposer.ever_granted:
+            # a repeat is harmless, or our recorded grants keep all others from running it
+            self._flush(now, visit, last=True)
             return True
-        self._wait(now, hand, "refuse", self.wait)
-        self._flush(now, hand)
+        self._wait_for(now, visit, "refuse", self.wait_ms)
+        self._flush(now, visit)
         return False
 
-    def gave_up(self, now: float, tag: int, sent: bool = False) -> None:
-        """Its client has gone, or was told that nothing came back. What was `sent` stays counted, so that its
-        client may ask again and all together keep to what is allowed."""
-        hand = self.hands.get(tag)
-        if hand is not None:
-            if hand.registered and not sent:
-                hand.work.refuse()
-            self._flush(now, hand, last=True)
-
-    def failed(self, now: float, tag: int) -> None:
-        """Its client was told that nothing came back."""
-        hand = self.hands.get(tag)
-        if hand is None or hand.kind is not Kind.MUTATING or not hand.work.ever:
-            return self.gave_up(now, tag)
-        hand.work.answered(MAY_HAVE_RUN)
-        self._flush(now, hand, last=True)
-
-    def answered(self, now: float, tag: int, body: bytes, doubt: bool = False) -> bool:
-        """It has its answer: whether its client may be told at once; else `told` or `lost` follows."""
-        hand = self._known(tag)
-        if hand is None:
+    def abandon(self, now: float, tag: int, sent: bool = False) -> None:
+        """The client has left, or was told that there is no answer. Fetches that were `sent` stay recorded,
+        so that a client that asks again stays within the allowed number of fetches."""
+        visit = self.visits.get(tag)
+        if visit is not None:
+            if visit.registered and not sent:
+                visit.proposer.refuse()
+            self._flush(now, visit, last=True)
+
+    def fail(self, now: float, tag: int) -> None:
+        """The client was told that there is no answer."""
+        visit = self.visits.get(tag)
+        if visit is None or visit.kind is not Kind.MUTATING or not visit.proposer.ever_granted:
+            return self.abandon(now, tag)
+        visit.proposer.record_answer(MAY_HAVE_RUN)
+        self._flush(now, visit, last=True)
+
+    def record_answer(self, now: float, tag: int, body: bytes, after_stall: bool = False) -> bool:
+        """Store an answer; returns whether it may be sent at once; else `told` or `lost` follows."""
+        visit = self._registered_visit(tag)
+        if visit is None:
             return True
-        hand.work.answered(body if len(body) <= MOST_ANSWER else b"")
-        if doubt:
-            self._wait(now, hand, "told", self.wait)
-        self._flush(now, hand, last=not doubt)
-        return not doubt
-
-    def _known(self, tag: int) -> Hand | None:
-        """A visit that its guardians were told of; one that they were not is over without a word."""
-        hand = self.hands.get(tag)
-        if hand is None or hand.registered:
-            return hand
-        self._drop(hand)
+        visit.proposer.record_answer(body if len(body) <= MAX_ANSWER_BYTES else b"")
+        if after_stall:
+            self._wait_for(now, visit, "told", self.wait_ms)
+        self._flush(now, visit, last=not after_stall)
+        return not after_stall
+
+    def _registered_visit(self, tag: int) -> OwnedVisit | None:
+        """The visit of this tag if it is registered; one that is not is discarded without a message."""
+        visit = self.visits.get(tag)
+        if visit is None or visit.registered:
+            return visit
+        self._discard(visit)
         return None
 
-    def forget(self, tag: int) -> None:
-        """The front has forgotten it."""
-        if (hand := self.hands.get(tag)) is not None:
-            self._drop(hand)
+    def remove(self, tag: int) -> None:
+        """The proxy has removed the visit."""
+        if (visit := self.visits.get(tag)) is not None:
+            self._discard(visit)
 
-    def _drop(self, hand: Hand) -> None:
-        self.hands.pop(hand.tag, None)
-        if self._by_id.get(hand.id) is hand:
-            del self._by_id[hand.id]
+    def _discard(self, visit: OwnedVisit) -> None:
+        self.visits.pop(visit.tag, None)
+        if self._by_id.get(visit.visit_id) is visit:
+            del self._by_id[visit.visit_id]
 
-    # asked again
+    # claims for clients that ask again
 
-    def ask(self, now: float, tag: int, id_: str, kind: Kind, body: bytes, left: float) -> None:
-        """A client asks again for a visit that another balancer had: `answer`, `unknown`, `take` or `bounce`
-        follows."""
+    def claim_for_client(
+        self, now: float, tag: int, visit_id: str, kind: Kind, body: bytes, left: float
+    ) -> None:
+        """Claim another balancer's visit for a client that asks again: `answer`, `unknown`, `take` or
+        `bounce` follows."""
         self.counts["asked_again"] += 1
-        if id_ in self._by_id:
+        if visit_id in self._by_id:
             self.news.append(("unknown" if kind is Kind.MUTATING else "bounce", tag, None))
         else:
-            self._claim(now, tag, id_, kind, body, left, (0, ""))
+            self._claim(now, tag, visit_id, kind, body, left, (0, ""))
 
     def _claim(
         self,
         now: float,
         tag: int,
-        id_: str,
+        visit_id: str,
         kind: Kind,
         body: bytes,
         left: float,
         above: tuple[int, str],
         orphan: bool = False,
     ) -> None:
-        names = guardians(id_, self._guards)
+        names = choose_acceptors(visit_id, self._acceptors)
         sessions = {n: p.session for n, p in self.peers.items() if p.session}
-        work = Work(
-            id_, self.name, names, sessions, body, left, again=kind is not Kind.MUTATING, anew=not orphan
+        proposer = Proposer(
+            visit_id,
+            self.name,
+            names,
+            sessions,
+            body,
+            left,
+            repeatable=kind is not Kind.MUTATING,
+            client_retried=not orphan,
         )
-        hand = self._hand(tag, id_, kind, work, now + left)
-        hand.registered, hand.orphan = True, orphan
-        self._wait(now, hand, "claim", CLAIM_WAITS * self.wait)
-        work.away = {n for n, _ in self._guards if n not in sessions}
-        work.claim(above)
-        work.looked()
-        self._flush(now, hand)
-
-    def _adopt(self, now: float, id_: str, owner: str) -> None:
-        kept = self.guardian.works.get(id_)
-        if kept is None or kept.over or kept.promised[1] != owner or kept.ends <= now or not kept.body:
+        visit = self._track(tag, visit_id, kind, proposer, now + left)
+        visit.registered, visit.orphan = True, orphan
+        self._wait_for(now, visit, "claim", CLAIM_WAIT_FACTOR * self.wait_ms)
+        proposer.unreachable = {n for n, _ in self._acceptors if n not in sessions}
+        proposer.claim(above)
+        proposer.recheck_claim()
+        self._flush(now, visit)
+
+    def _adopt(self, now: float, visit_id: str, owner: str) -> None:
+        record = self.guardian.works.get(visit_id)
+        if (
+            record is None
+            or record.finished
+            or record.promised[1] != owner
+            or record.client_deadline <= now
+            or not record.body
+        ):
             return
-        if id_ in self._by_id:
+        if visit_id in self._by_id:
             return
-        kind = KINDS.get(kept.body[:1], Kind.MUTATING)
+        kind = KIND_BY_BYTE.get(record.body[:1], Kind.MUTATING)
         if kind is Kind.READ_LIKE:
-            return  # nobody waits for it, and who asks again has it run
-        self._adopted -= 1
-        self._claim(now, self._adopted, id_, kind, kept.body, kept.ends - now, kept.promised, True)
-
-    def _asked(self, now: float, hand: Hand) -> None:
-        """What is known by now of a visit that is claimed."""
-        work = hand.work
-        if work.answer is not None:
-            if work.outcome() == "answered":
-                self.counts["kept_answers"] += not hand.orphan
-                return self._end("answer", hand, work.answer)
-            return self._end("unknown", hand)
-        if work.lost:
-            if work.taken and hand.tries < CLAIMS and not hand.orphan:
-                # another has just claimed it, too: over it, in a moment
-                hand.tries += 1
-                work.claim(max(work.promised, work.ballot))
-                return self._flush(now, hand)
-            return self._widen(now, hand)
-        if not work.mine:
+            return  # no client waits for it, and one that asks again has it run
+        self._last_adopted_tag -= 1
+        self._claim(
+            now,
+            self._last_adopted_tag,
+            visit_id,
+            kind,
+            record.body,
+            record.client_deadline - now,
+            record.promised,
+            True,
+        )
+
+    def _advance_claim(self, now: float, visit: OwnedVisit) -> None:
+        """Advance a claimed visit by what is known so far."""
+        proposer = visit.proposer
+        if proposer.answer is not None:
+            if proposer.outcome() == "answered":
+                self.counts["kept_answers"] += not visit.orphan
+                return self._finish("answer", visit, proposer.answer)
+            return self._finish("unknown", visit)
+        if proposer.lost:
+            if proposer.superseded and visit.claims < MAX_CLAIMS and not visit.orphan:
+                # another balancer has just claimed it too: claim with a higher ballot
+                visit.claims += 1
+                proposer.claim(max(proposer.promised, proposer.ballot))
+                return self._flush(now, visit)
+            return self._widen_claim(now, visit)
+        if not proposer.owned:
             return
-        if hand.orphan and work.closed > NOBODY:
-            return self._drop(hand)
-        if not work.known:
-            return self._widen(now, hand)
-        if work.may_have_run and hand.kind is not Kind.READ_LIKE and work.holder_here and not hand.orphan:
-            # who may have sent it is there: its answer may yet come, and is passed on to us. Guards: a second
-            # fetch while the first is out
-            if hand.waits != "answer":
-                self._wait(now, hand, "answer", inf)
+        if visit.orphan and proposer.closed > NOBODY:
+            return self._discard(visit)
+        if not proposer.known_to_quorum:
+            return self._widen_claim(now, visit)
+        if (
+            proposer.may_have_run
+            and visit.kind is not Kind.READ_LIKE
+            and proposer.grant_holder_linked
+            and not visit.orphan
+        ):
+            # The balancer that may have sent it is alive: its answer may still come, and is forwarded to us.
+            # Prevents a second fetch while the first is in progress.
+            if visit.waiting_for != "answer":
+                self._wait_for(now, visit, "answer", inf)
             return
-        if work.may_have_run and hand.kind is Kind.MUTATING:
-            return self._end("unknown", hand)
-        hand.waits, hand.until = "", inf
-        ran: list[Ran] = [(zone, cell, age) for _, _, zone, cell, age in sorted(work.permits.values())]
-        if hand.kind is Kind.READ_LIKE and work.closed == NOBODY:
-            ran += [("", 0, 0.0)] * max(0, self.max_fetches - 1)  # its owner's own, which nobody counted
-        if len(ran) >= self.max_fetches:
-            return self._unknown(hand)  # guards: none is left, so it would be held for nothing
+        if proposer.may_have_run and visit.kind is Kind.MUTATING:
+            return self._finish("unknown", visit)
+        visit.waiting_for, visit.wait_until = "", inf
+        prior_fetches: list[PriorFetch] = [
+            (zone, cell, age) for _, _, zone, cell, age in sorted(proposer.grants.values())
+        ]
+        if visit.kind is Kind.READ_LIKE and proposer.closed == NOBODY:
+            # fetches that the owner may have sent without a grant
+            prior_fetches += [("", 0, 0.0)] * max(0, self.max_fetches - 1)
+        if len(prior_fetches) >= self.max_fetches:
+            return self._finish_unknown(visit)  # no fetch is left, so the visit would be queued for nothing
         self.counts["taken_over"] += 1
-        if hand.orphan:
-            self._say("adopt", hand, (work.body, hand.kind, ran, work.left))
+        if visit.orphan:
+            self._emit("adopt", visit, (proposer.body, visit.kind, prior_fetches, proposer.time_left))
         else:
-            self._say("take", hand, ran)
-
-    def _widen(self, now: float, hand: Hand) -> None:
-        """Those that we name do not know it. Guards: while a bank meets its owner may have named others; so
-        all that are linked are asked, once, and who does know it does not finish it after our answer."""
-        work, all_ = hand.work, [n for n, p in self.peers.items() if p.linked and p.session]
-        if not hand.orphan and not hand.wide and not set(all_) <= set(work.guards):
-            hand.wide = True
-            self._ask(now, hand, all_)
-        elif self.meeting and not hand.orphan and hand.waits == "claim" and now < hand.until:
-            hand.retry_at = now + RETRY
+            self._emit("take", visit, prior_fetches)
+
+    def _widen_claim(self, now: float, visit: OwnedVisit) -> None:
+        """The acceptors that we chose do not know the visit. While a bank starts up, its owner may have
+        chosen others: so all linked members are asked, once. After our claim nobody that does know
+        it can finish it."""
+        proposer = visit.proposer
+        linked_members = [n for n, p in self.peers.items() if p.linked and p.session]
+        if not visit.orphan and not visit.widened and not set(linked_members) <= set(proposer.acceptors):
+            visit.widened = True
+            self._reclaim(now, visit, linked_members)
+        elif self.meeting and not visit.orphan and visit.waiting_for == "claim" and now < visit.wait_until:
+            visit.reclaim_at = now + RECLAIM_MS
         else:
-            self._unknown(hand)
+            self._finish_unknown(visit)
 
-    def _ask(self, now: float, hand: Hand, names: list[str]) -> None:
-        """Claim it anew, at these."""
-        work = hand.work
-        work.guards = tuple(sorted(names))
-        work.sessions = {n: p.session for n, p in self.peers.items() if p.session}
-        work.away = {n for n in names if n not in work.sessions}
-        work.claim(max(work.ballot, work.promised))
-        work.looked()
-        self._flush(now, hand)
+    def _reclaim(self, now: float, visit: OwnedVisit, names: list[str]) -> None:
+        """Claim the visit again, at these acceptors."""
+        proposer = visit.proposer
+        proposer.acceptors = tuple(sorted(names))
+        proposer.sessions = {n: p.session for n, p in self.peers.items() if p.session}
+        proposer.unreachable = {n for n in names if n not in proposer.sessions}
+        proposer.claim(max(proposer.ballot, proposer.promised))
+        proposer.recheck_claim()
+        self._flush(now, visit)
 
-    # words
+    # messages
 
     def heard(self, now: float, name: str, message: Message) -> None:
         peer = self.peers.setdefault(name, Peer(True))
-        peer.heard, peer.asked = now, inf
+        peer.last_heard, peer.unanswered_since = now, inf
         if isinstance(message, Sit):
             peer.session, peer.serial = message.session, 0
         elif isinstance(message, Pulse):
@@ -498,91 +553,97 @@
                 self.out.append((name, Pulse(back=True)))
         elif isinstance(message, Say):
             if message.by != name:
-                self.counts["foreign_words"] += 1  # guards: nobody speaks for another
+                self.counts["foreign_words"] += 1  # a member may only send messages in its own name
             elif message.what in ("yes", "no"):
-                hand = self._by_id.get(message.work)
-                if hand is not None:
-                    hand.work.heard(message)
-                    self._flush(now, hand)
+                visit = self._by_id.get(message.work)
+                if visit is not None:
+                    visit.proposer.receive(message)
+                    self._flush(now, visit)
             else:
-                self.out.append((name, self.guardian.heard(now, message)))
-                self._push(now)
+                self.out.append((name, self.guardian.receive(now, message)))
+                self._deliver_unsolicited(now)
 
-    def _push(self, now: float) -> None:
-        """What the guardian says unasked; to ourselves it comes at once."""
+    def _deliver_unsolicited(self, now: float) -> None:
+        """Route the acceptor's unsolicited messages; those for ourselves are processed at once."""
         out, self.guardian.out = self.guardian.out, []
         for say in out:
             if say.to != self.name:
                 self.out.append((say.to, say))
-            elif (hand := self._by_id.get(say.work)) is not None:
-                hand.work.heard(say)
-                self._look(now, hand)
-
-    def _flush(self, now: float, hand: Hand, last: bool = False) -> None:
-        """Carry what a visit's work wants said; what we guard ourselves is answered here."""
-        work = hand.work
+            elif (visit := self._by_id.get(say.work)) is not None:
+                visit.proposer.receive(say)
+                self._check_progress(now, visit)
+
+    def _flush(self, now: float, visit: OwnedVisit, last: bool = False) -> None:
+        """Send a proposer's messages; those to our own acceptor are answered here. `last`: the visit ends
+        with them."""
+        proposer = visit.proposer
         if last:
-            self._drop(hand)
-        while work.out:
-            out, work.out = work.out, []
+            self._discard(visit)
+        while proposer.out:
+            out, proposer.out = proposer.out, []
             for say in out:
                 if say.to == self.name:
-                    work.heard(self.guardian.heard(now, say))
+                    proposer.receive(self.guardian.receive(now, say))
                 else:
                     self.out.append((say.to, say))
                     if (peer := self.peers.get(say.to)) is not None:
-                        peer.asked = min(peer.asked, now)
+                        peer.unanswered_since = min(peer.unanswered_since, now)
         if self.guardian.out:
-            self._push(now)
+            self._deliver_unsolicited(now)
         if not last:
-            self._look(now, hand)
-
-    def _look(self, now: float, hand: Hand) -> None:
-        """What has become of what a visit waits for?"""
-        work = hand.work
-        if hand.waits in ("claim", "answer"):
-            self._asked(now, hand)
-        elif work.taken or (hand.waits == "told" and work.promised > work.ballot):
-            # another that registered the same id has not taken it from us: its client used one id twice
-            self._end("lost" if work.covered or work.promised[0] else "unknown", hand)
-        elif hand.waits == "permit":
-            if work.permitted:
-                hand.waits, hand.until = "", inf
-                self._say("go", hand, hand.fetch)
-            elif work.lost:
-                hand.waits, hand.until = "", inf
-                # as far as anybody knows that it is ours, nobody else may have it, and we have no permit
-                self._say("go" if work.unheld and self._bare(hand) else "no", hand, hand.fetch)
-        elif hand.waits == "refuse":
-            if work.refused:
-                self._end("refused", hand)
-            elif work.lost:
-                # no majority has it, so nobody can hold that it is to be run; or it had one, and that is gone
-                self._end("refused" if work.unheld else "unknown", hand)
-        elif hand.waits == "told":
-            if len(work._yeses) >= work.majority:
-                self._end("told", hand)
-        elif work.unheld and hand.kind is Kind.READ_LIKE:
-            self._drop(hand)
-
-    def _bare(self, hand: Hand) -> bool:
-        """A majority has said that it will not guard it, so nobody can take it over: whether it goes on
-        without cover."""
-        self._drop(hand)
+            self._check_progress(now, visit)
+
+    def _check_progress(self, now: float, visit: OwnedVisit) -> None:
+        """Check whether what a visit waits for has happened."""
+        proposer = visit.proposer
+        if visit.waiting_for in ("claim", "answer"):
+            self._advance_claim(now, visit)
+        elif proposer.superseded or (visit.waiting_for == "told" and proposer.promised > proposer.ballot):
+            # A balancer that registered the same id has not taken it over: its client used one id twice.
+            self._finish("lost" if proposer.has_quorum or proposer.promised[0] else "unknown", visit)
+        elif visit.waiting_for == "permit":
+            if proposer.granted:
+                visit.waiting_for, visit.wait_until = "", inf
+                self._emit("go", visit, visit.waiting_fetch)
+            elif proposer.lost:
+                visit.waiting_for, visit.wait_until = "", inf
+                # Acceptors that know the visit as ours let nobody else have it, but we have no grant.
+                self._emit(
+                    "go" if proposer.unregistered and self._proceed_without_quorum(visit) else "no",
+                    visit,
+                    visit.waiting_fetch,
+                )
+        elif visit.waiting_for == "refuse":
+            if proposer.refusal_recorded:
+                self._finish("refused", visit)
+            elif proposer.lost:
+                # Unregistered: no quorum has it, so nobody can run it. Else it had one that is gone.
+                self._finish("refused" if proposer.unregistered else "unknown", visit)
+        elif visit.waiting_for == "told":
+            if len(proposer._accepts) >= proposer.quorum:
+                self._finish("told", visit)
+        elif proposer.unregistered and visit.kind is Kind.READ_LIKE:
+            self._discard(visit)
+
+    def _proceed_without_quorum(self, visit: OwnedVisit) -> bool:
+        """A quorum has refused to store the visit, so nobody can take it over; returns whether it proceeds
+        without a quorum."""
+        self._discard(visit)
         self.counts["uncovered"] += 1
-        refused = self.refuses and hand.kind is not Kind.READ_LIKE
+        refused = self.refuse_without_quorum and visit.kind is not Kind.READ_LIKE
         self.counts["uncovered_refused"] += refused
         return not refused
 
-    def _say(self, what: str, hand: Hand, more: Any = None) -> None:
-        self.news.append((what, hand.tag, more))
+    def _emit(self, what: str, visit: OwnedVisit, details: Any = None) -> None:
+        self.news.append((what, visit.tag, details))
 
-    def _end(self, what: str, hand: Hand, more: Any = None) -> None:
-        self._drop(hand)
-        if hand.orphan:
+    def _finish(self, what: str, visit: OwnedVisit, details: Any = None) -> None:
+        self._discard(visit)
+        if visit.orphan:
             return
         self.counts[what] += what in ("lost", "unknown")
-        self._say(what, hand, more)
+        self._emit(what, visit, details)
 
 
-KINDS = {b"r": Kind.READ_LIKE, b"t": Kind.TAGGED, b"m": Kind.MUTATING}  # the first byte of a request told
+# by the first byte of an encoded request
+KIND_BY_BYTE = {b"r": Kind.READ_LIKE, b"t": Kind.TAGGED, b"m": Kind.MUTATING}
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/covering.py
@@ -1,7 +1,7 @@
-"""Takeover on sockets: carries out on the visits of a turn what `fleet/takeover.py` decides, and no more.
+"""Adapter between the event dispatcher's visits and `fleet/takeover.py`, which makes all decisions.
 
-The turn asks here before it writes a fetch and before it tells a client something; what has to wait is kept
-here until the word comes.
+The dispatcher asks here before it writes a fetch and before it answers a client; an action that has to wait
+is kept here until takeover reports its event.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 import msgspec
 
-from ospreyline.fleet.takeover import KINDS, Ran, Takeover
+from ospreyline.fleet.takeover import KIND_BY_BYTE, PriorFetch, Takeover
 from ospreyline.host import Kind
 from ospreyline.net.clients import Client, Request
 from ospreyline.net.upstreams import Cut, Stage, Why
 
 if TYPE_CHECKING:
     from ospreyline.net.turn import Taken, Turn
-    from ospreyline.operator import Takeover as On
+    from ospreyline.operator import Takeover as TakeoverSettings
 
-_LETTERS = {kind: letter for letter, kind in KINDS.items()}
+_LETTERS = {kind: letter for letter, kind in KIND_BY_BYTE.items()}
 _ENCODER = msgspec.msgpack.Encoder()
-UNKNOWN = b"X-Outcome: may have run\r\n"
-ANSWERED = b"X-Outcome: answered\r\n"
+MAY_HAVE_RUN_HEADER = b"X-Outcome: may have run\r\n"
+ANSWERED_HEADER = b"X-Outcome: answered\r\n"
 
 
-class Told(msgspec.Struct, array_like=True):
-    """A request as guardians keep it."""
+class StoredRequest(msgspec.Struct, array_like=True):
+    """A request as acceptors store it; encoded by place."""
 
     method: bytes
     path: bytes
@@ -39,34 +39,41 @@
 
 
 class Covering:
-    """The turn's side of takeover."""
+    """The event dispatcher's side of takeover."""
 
     def __init__(
-        self, turn: Turn, on: On, name: str, zone: str, start: int, seed: int, max_fetches: int
+        self,
+        turn: Turn,
+        settings: TakeoverSettings,
+        name: str,
+        zone: str,
+        start: int,
+        seed: int,
+        max_fetches: int,
     ) -> None:
         self.takeover = Takeover(
             name,
             zone,
             start,
             Random(seed + 3).random,
-            on.wait_ms,
-            1e3 * on.keep_s,
-            on.uncovered == "refuse",
+            settings.wait_ms,
+            1e3 * settings.keep_s,
+            settings.uncovered == "refuse",
             max_fetches,
         )
         self._turn = turn
-        # by tag: what is done when the word comes
+        # by tag: the action, with arguments, that waits for an event of takeover
         self._waiting: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
-        self._asking: dict[int, float] = {}  # by tag: the time until which its client waits
+        self._retry_deadlines: dict[int, float] = {}  # by tag: ms, deadline of a client that asks again
 
-    # what the turn asks
+    # calls of the dispatcher
 
-    def _id(self, request: Request) -> str:
+    def _visit_id(self, request: Request) -> str:
         return f"{self._turn.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
 
-    def _told(self, request: Request, kind: Kind) -> bytes:
+    def _encode_request(self, request: Request, kind: Kind) -> bytes:
         return _LETTERS[kind] + _ENCODER.encode(
-            Told(
+            StoredRequest(
                 request.method,
                 request.path,
                 request.fields,
@@ -77,7 +84,7 @@
         )
 
     def joins(self, request: Request, client: Client) -> bool:
-        """A client asks again for a visit that we have in hand ourselves: it is joined to it."""
+        """Whether a client that asks again is joined to its visit in progress here."""
         if not request.asks:
             return False
         for taken in self._turn.visits.values():
@@ -91,142 +98,149 @@
         return False
 
     def begins(self, now: float, taken: Taken, left: float, kind: Kind) -> bool:
-        """A visit has come: whether the decisions are to have it now."""
+        """A visit has arrived; returns whether the decision module gets it now."""
         request = taken.request
         if request.asks:
-            self._asking[taken.tag] = now + left
-            self.takeover.ask(now, taken.tag, self._id(request), kind, self._told(request, kind), left)
-            self._speak()
+            self._retry_deadlines[taken.tag] = now + left
+            self.takeover.claim_for_client(
+                now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+            )
+            self._send_messages()
             return False
-        if not self.takeover.take(now, taken.tag, self._id(request), kind, self._told(request, kind), left):
+        if not self.takeover.admit(
+            now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+        ):
             self._turn.refuse(taken.tag)
             return False
         return True
 
     def decided(self, now: float, taken: Taken) -> None:
-        """The decisions have seen it: what is held is told to its guardians."""
+        """The decision module has decided on a visit: one that is queued is registered at its acceptors."""
         if not taken.answered and not taken.errands:
-            self.takeover.held(now, taken.tag)
+            self.takeover.register_queued(now, taken.tag)
 
     def may_write(
         self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
     ) -> bool:
-        """Whether a fetch may be written now; else it is when its permit comes."""
+        """Whether a fetch may be written now; else it is written when its grant arrives."""
         zone, cell = self._turn.place(upstream)
-        if self.takeover.send(now, taken.tag, number, zone, cell, now <= self._turn.stood_to):
-            self._speak()
+        if self.takeover.request_send(now, taken.tag, number, zone, cell, now <= self._turn.stood_to):
+            self._send_messages()
             return True
         self._waiting[taken.tag] = (self._turn.write, (taken, number, upstream, times, until))
-        self._speak()
+        self._send_messages()
         return False
 
     def called_off(self, taken: Taken, number: int) -> bool:
-        """Whether a fetch that is called off was still waiting here: it never goes out."""
-        act, args = self._waiting.get(taken.tag, (None, ()))
-        if act != self._turn.write or args[1] != number:
+        """Whether a cancelled fetch still waited here for its grant, and so is never sent."""
+        action, args = self._waiting.get(taken.tag, (None, ()))
+        if action != self._turn.write or args[1] != number:
             return False
         del self._waiting[taken.tag]
-        self.takeover.called_off(taken.tag, number)
+        self.takeover.cancel_send(taken.tag, number)
         return True
 
     def may_bounce(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
         if self.takeover.refuse(now, taken.tag):
-            self._speak()
+            self._send_messages()
             return True
         self._waiting[taken.tag] = (self._turn.reply, reply)
-        self._speak()
+        self._send_messages()
         return False
 
     def may_tell(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
-        """A visit is delivered: its answer is kept for who asks again; whether its client is told now."""
+        """A visit is delivered: store its answer for clients that ask again; returns whether its client is
+        answered now."""
         _, status, head, body = reply
-        at_once = self.takeover.answered(
+        at_once = self.takeover.record_answer(
             now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._turn.stood_to
         )
         if not at_once:
             self._waiting[taken.tag] = (self._turn.reply, reply)
-        self._speak()
+        self._send_messages()
         return at_once
 
     def failed(self, now: float, taken: Taken) -> None:
-        self.takeover.failed(now, taken.tag)
-        self._speak()
+        self.takeover.fail(now, taken.tag)
+        self._send_messages()
 
     def goes_on(self, now: float, taken: Taken, kind: Kind) -> bool:
-        """Its client has gone: whether it goes on without, since what was sent may be asked for again."""
+        """The client has left; returns whether the visit continues, so that its answer can be asked for."""
         fetches = taken.handle.fetches if taken.handle is not None else []
-        # guards: an end that was noted behind the leaving is not decided yet, and may be the answer
+        # An end that is still queued behind the client's leaving is not decided yet, and may be the answer.
         out = [e for e, f in zip(taken.errands, fetches, strict=False) if e is not None and f.end is None]
         if kind is not Kind.READ_LIKE and any(e.stage > Stage.CONNECTING for e in out):
-            return taken.tag in self.takeover.hands
-        # guards: who asked again for a mutating one waited for an answer until its time was over. One that
-        # may have run is over, or goes on: of what is left no fetch ran, nor will one
+            return taken.tag in self.takeover.visits
+        # Without closing a mutating visit's ballot here, a client that asked again waited for an answer until
+        # its deadline. A visit that may have run has ended or continues: of the rest no fetch ran or will
+        # run.
         sent = kind is not Kind.MUTATING and any(e is not None for e in taken.errands)
-        self.takeover.gave_up(now, taken.tag, sent)
-        self._speak()
+        self.takeover.abandon(now, taken.tag, sent)
+        self._send_messages()
         return False
 
     def forget(self, tag: int) -> None:
-        self.takeover.forget(tag)
+        self.takeover.remove(tag)
         self._waiting.pop(tag, None)
-        self._asking.pop(tag, None)
+        self._retry_deadlines.pop(tag, None)
 
-    # what takeover says
+    # events of takeover
 
-    def _speak(self) -> None:
-        """Its words on their way; its news come in a later turn."""
+    def _send_messages(self) -> None:
+        """Send takeover's messages; its events are processed in a later batch."""
         if self._turn.bank is not None:
             self._turn.bank.carry_out()
 
     def overdue(self, tag: int) -> bool:
-        """Its client's time is over: whether what it is to be told still waits here, for a word in vain."""
-        act, _ = self._waiting.get(tag, (None, ()))
-        if act != self._turn.reply:
+        """The client's deadline has passed; returns whether its answer still waited here for an event that
+        did not come."""
+        action, _ = self._waiting.get(tag, (None, ()))
+        if action != self._turn.reply:
             return False
         del self._waiting[tag]
         return True
 
     def holds(self, tag: int) -> bool:
-        """Whether a visit's client waits here for a word before it is told something."""
+        """Whether an action of the visit waits here for an event."""
         return tag in self._waiting
 
     def carry_out(self, now: float) -> None:
-        """Its news, and its words on their way."""
+        """Process takeover's events and send its messages."""
         while self.takeover.news:
             news, self.takeover.news = self.takeover.news, []
-            for what, tag, more in news:
+            for what, tag, details in news:
                 if what == "adopt":
-                    self._adopt(now, tag, *more)
+                    self._adopt(now, tag, *details)
                 elif (taken := self._turn.visits.get(tag)) is not None:
-                    self._one(now, taken, what, more)
+                    self._handle_event(now, taken, what, details)
         if self.takeover.out:
-            self._speak()
+            self._send_messages()
 
     def counts(self) -> dict[str, int]:
-        """Since the last line of counts, and what we guard for others."""
+        """Counters since the last call, and what we store for other balancers."""
         counts = {f"cover_{name}": n for name, n in sorted(self.takeover.counts.items())}
         self.takeover.counts.clear()
-        guardian = self.takeover.guardian
-        return {**counts, "cover_guards": len(guardian.works), "cover_bytes": guardian.bytes}
+        acceptor = self.takeover.guardian
+        return {**counts, "cover_guards": len(acceptor.works), "cover_bytes": acceptor.stored_bytes}
 
-    def _one(self, now: float, taken: Taken, what: str, more: Any) -> None:
+    def _handle_event(self, now: float, taken: Taken, what: str, details: Any) -> None:
         turn = self._turn
-        ends = self._asking.pop(taken.tag, 0.0)
-        act, args = self._waiting.pop(taken.tag, (None, ()))
+        deadline = self._retry_deadlines.pop(taken.tag, 0.0)
+        action, args = self._waiting.pop(taken.tag, (None, ()))
         if what in ("go", "refused", "told"):
-            if act is not None:
-                turn.note(act, *args)
+            if action is not None:
+                turn.note(action, *args)
             return
-        if act == turn.write:
-            # it was never written: the decisions may send it elsewhere, if it is still ours
+        if action == turn.write:
+            # it was never written: the decision module may send it elsewhere if the visit is still ours
             turn.note(turn.ended, taken, args[1], Cut(Stage.CONNECTING, Why.WITHDRAWN))
         if what == "answer":
-            self._kept(now, taken, more)
+            self._reply_with_stored_answer(now, taken, details)
         elif what == "unknown":
-            turn.note(turn.reply, taken, 502, UNKNOWN, b"it may have run\n")
+            turn.note(turn.reply, taken, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
             turn.close_visit(now, taken)
         elif what == "lost":
-            # another has it: nothing more is sent or told; what is out may yet be recorded
+            # another balancer has it: nothing more is sent; a fetch in progress may still be recorded
             if taken.client is not None:
                 client, taken.client = taken.client, None
                 client.out = None
@@ -234,30 +248,34 @@
             if not any(e is not None and e.done is not None for e in taken.errands):
                 turn.close_visit(now, taken)
         elif what == "take":
-            turn.decide(now, taken, max(0.0, ends - now), more)
+            turn.decide(now, taken, max(0.0, deadline - now), details)
         elif what == "bounce":
             turn.refuse(taken.tag)
 
-    def _kept(self, now: float, taken: Taken, packed: bytes) -> None:
+    def _reply_with_stored_answer(self, now: float, taken: Taken, encoded_answer: bytes) -> None:
         turn = self._turn
         reply: tuple[int, bytes, bytes] = (502, b"", b"it was answered, and its answer is not kept\n")
-        if packed:
+        if encoded_answer:
             try:
-                reply = msgspec.msgpack.decode(packed, type=tuple[int, bytes, bytes])
+                reply = msgspec.msgpack.decode(encoded_answer, type=tuple[int, bytes, bytes])
             except msgspec.MsgspecError:
-                turn.counts["unreadable_answers"] += 1  # guards: nonsense from a peer costs its visit alone
+                turn.counts["unreadable_answers"] += 1  # invalid data from a peer affects only its visit
         status, head, body = reply
-        turn.note(turn.reply, taken, status, head + ANSWERED, body)
+        turn.note(turn.reply, taken, status, head + ANSWERED_HEADER, body)
         turn.close_visit(now, taken)
 
-    def _adopt(self, now: float, tag: int, told: bytes, kind: Kind, ran: list[Ran], left: float) -> None:
-        """A visit whose owner is dead, and that nobody has asked for, is ours."""
+    def _adopt(
+        self, now: float, tag: int, encoded: bytes, kind: Kind, prior_fetches: list[PriorFetch], left: float
+    ) -> None:
+        """Adopt a visit whose owner is dead and that no client has asked for."""
         try:
-            found = msgspec.msgpack.decode(told[1:], type=Told)
+            stored = msgspec.msgpack.decode(encoded[1:], type=StoredRequest)
         except msgspec.MsgspecError:
-            return self.takeover.forget(tag)  # guards: nonsense from a peer costs nothing
-        prefix = self._turn.prefixes.get(found.prefix.encode())
+            return self.takeover.remove(tag)  # invalid data from a peer is ignored
+        prefix = self._turn.prefixes.get(stored.prefix.encode())
         if prefix is None:
-            return self.takeover.gave_up(now, tag)
-        request = Request(found.method, found.path, found.fields, found.body, prefix, found.trace, None, True)
-        self._turn.adopt_visit(now, tag, request, left, ran)
+            return self.takeover.abandon(now, tag)
+        request = Request(
+            stored.method, stored.path, stored.fields, stored.body, prefix, stored.trace, None, True
+        )
+        self._turn.adopt_visit(now, tag, request, left, prior_fetches)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -438,7 +438,7 @@
             await over(service)
             assert not peer.requests and not peer.writers
             # and it is forgotten: nobody will send a word of it
-            assert not turn._ids and not turn.covering._waiting and not guarded.own.hands
+            assert not turn._ids and not turn.covering._waiting and not guarded.own.visits
 
     play(story)
 
@@ -448,7 +448,7 @@
         peer = Peer()
         async with running(peer) as service:
             guarded, turn = Guarded(service), service.turn
-            guarded.at["m1"].take(
+            guarded.at["m1"].admit(
                 clock(),
                 1,
                 "tag 7",
@@ -456,18 +456,23 @@
                 b"tbody",
                 2_000.0,
             )
-            guarded.at["m1"].held(clock(), 1)
+            guarded.at["m1"].register_queued(clock(), 1)
             guarded.carry()
             sock = connected(service)
             sock.sendall(asked("/tag", trace="7", X_Second_Try="same"))
-            while not turn.covering._asking:
+            while not turn.covering._retry_deadlines:
                 await asyncio.sleep(0)
             assert asked_kind is not None
             leave(sock)
             guarded.carry()
             turn._turn()
             await over(service)
-            assert not peer.requests and not peer.writers and not turn._ids and not turn.covering._asking
+            assert (
+                not peer.requests
+                and not peer.writers
+                and not turn._ids
+                and not turn.covering._retry_deadlines
+            )
 
     play(story)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 from ospreyline.check.guards import GUARDS, WORK, Explorer
 from ospreyline.fleet import guard
 from ospreyline.fleet.frames import Say
-from ospreyline.fleet.guard import Guardian, Work, guardians
+from ospreyline.fleet.guard import Acceptor, Proposer, choose_acceptors
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 
 
 def permit_after_takeover(patch):
-    heard = Guardian.heard
+    heard = Acceptor.receive
 
     def wrong(self, now, say):
         kept = self.works.get(say.work)
@@ -40,65 +40,65 @@
             kept.promised = min(kept.promised, say.ballot)
         return heard(self, now, say)
 
-    patch.setattr(Guardian, "heard", wrong)
+    patch.setattr(Acceptor, "receive", wrong)
 
 
 def permits_not_told(patch):
-    yes = Guardian._yes
+    yes = Acceptor._accept
     patch.setattr(
-        Guardian, "_yes", lambda self, now, say, kept: replace(yes(self, now, say, kept), permits=())
+        Acceptor, "_accept", lambda self, now, say, kept: replace(yes(self, now, say, kept), permits=())
     )
 
 
 def one_is_enough(patch):
-    patch.setattr(Work, "majority", property(lambda self: 1))
+    patch.setattr(Proposer, "quorum", property(lambda self: 1))
 
 
 def written_without_permit(patch):
-    permit = Work.permit
+    permit = Proposer.request_grant
 
     def wrong(self, *more, **named):
         permit(self, *more, **named)
-        self.permitted = True
+        self.granted = True
 
-    patch.setattr(Work, "permit", wrong)
+    patch.setattr(Proposer, "request_grant", wrong)
 
 
 def may_have_run_ignored(patch):
-    claimed = Work._claimed
+    claimed = Proposer._evaluate_claim
 
     def wrong(self):
         claimed(self)
         self.may_have_run = False
 
-    patch.setattr(Work, "_claimed", wrong)
+    patch.setattr(Proposer, "_evaluate_claim", wrong)
 
 
 def refused_before_it_is_recorded(patch):
-    refuse = Work.refuse
+    refuse = Proposer.refuse
 
     def wrong(self):
         refuse(self)
-        self.refused = True
+        self.refusal_recorded = True
 
-    patch.setattr(Work, "refuse", wrong)
+    patch.setattr(Proposer, "refuse", wrong)
 
 
 def forgetful_counts_as_knowing(patch):
-    yes = Guardian._yes
+    yes = Acceptor._accept
     patch.setattr(
-        Guardian, "_yes", lambda self, now, say, kept: replace(yes(self, now, say, kept), guards=GUARDS)
+        Acceptor, "_accept", lambda self, now, say, kept: replace(yes(self, now, say, kept), guards=GUARDS)
     )
 
 
 def sent_after_its_refusal(patch):
-    permit = Work.permit
+    permit = Proposer.request_grant
 
     def wrong(self, *more, **named):
-        self._closing = False
+        self._refusing = False
         permit(self, *more, **named)
 
-    patch.setattr(Work, "permit", wrong)
+    patch.setattr(Proposer, "request_grant", wrong)
     steps = Explorer.steps
 
     def more(self, state):
@@ -131,10 +131,14 @@
 def test_guardians_are_the_same_for_all_and_of_as_many_zones_as_there_are():
     members = [(f"m{i}", "abc"[i % 3] if i < 6 else "a") for i in range(9)]
     zones = dict(members)
-    found = guardians("visit-1", members)
-    assert found == guardians("visit-1", reversed(members)) and {zones[n] for n in found} == {"a", "b", "c"}
-    assert len(guardians("visit-1", members[:1] + members[6:])) == 3
-    assert len({tuple(guardians(f"v{i}", members)) for i in range(40)}) > 8
+    found = choose_acceptors("visit-1", members)
+    assert found == choose_acceptors("visit-1", reversed(members)) and {zones[n] for n in found} == {
+        "a",
+        "b",
+        "c",
+    }
+    assert len(choose_acceptors("visit-1", members[:1] + members[6:])) == 3
+    assert len({tuple(choose_acceptors(f"v{i}", members)) for i in range(40)}) > 8
 
 
 def word(
@@ -154,73 +158,73 @@
 
 
 def test_what_a_guardian_keeps_is_bounded_whatever_others_send(monkeypatch):
-    monkeypatch.setattr(guard, "MOST_WORKS", 50)
-    monkeypatch.setattr(guard, "MOST_BYTES", 1_000)
-    one = Guardian("g0", 1_000.0, 1)
-    session = one.linked("o")
+    monkeypatch.setattr(guard, "MAX_RECORDS", 50)
+    monkeypatch.setattr(guard, "MAX_STORED_BYTES", 1_000)
+    one = Acceptor("g0", 1_000.0, 1)
+    session = one.start_session("o")
     said = [
-        one.heard(0.0, word("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what for i in range(100)
+        one.receive(0.0, word("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what for i in range(100)
     ]
-    assert said.count("yes") == 33 and one.bytes <= 1_000
-    assert all(one.heard(0.0, word("claim", f"c{i}", session, round_=1)).what for i in range(100))
+    assert said.count("yes") == 33 and one.stored_bytes <= 1_000
+    assert all(one.receive(0.0, word("claim", f"c{i}", session, round_=1)).what for i in range(100))
     assert len(one.works) <= 50
-    one.forget(1_001.0)
-    assert not one.works and one.bytes == 0
+    one.expire(1_001.0)
+    assert not one.works and one.stored_bytes == 0
 
 
 def test_words_of_a_former_session_are_refused():
-    one = Guardian("g0", 1_000.0, 1)
-    first = one.linked("o")
-    assert one.heard(0.0, word("register", session=first)).what == "yes"
-    second = one.linked("o")
-    assert second != first and one.heard(0.0, word("permit", session=first)).what == "no"
-    assert Guardian("g0", 1_000.0, 2).linked("o") != first
+    one = Acceptor("g0", 1_000.0, 1)
+    first = one.start_session("o")
+    assert one.receive(0.0, word("register", session=first)).what == "yes"
+    second = one.start_session("o")
+    assert second != first and one.receive(0.0, word("permit", session=first)).what == "no"
+    assert Acceptor("g0", 1_000.0, 2).start_session("o") != first
 
 
 def test_a_register_that_comes_after_a_claim_does_not_bring_the_owner_back():
-    one = Guardian("g0", 1_000.0, 1)
-    session = one.linked("o")
-    assert one.heard(0.0, word("claim", session=session, round_=1)).what == "yes"
-    assert one.heard(0.0, word("register", session=session)).what == "no"
-    assert one.heard(0.0, word("permit", session=session)).what == "no" and not one.works[WORK].permits
+    one = Acceptor("g0", 1_000.0, 1)
+    session = one.start_session("o")
+    assert one.receive(0.0, word("claim", session=session, round_=1)).what == "yes"
+    assert one.receive(0.0, word("register", session=session)).what == "no"
+    assert one.receive(0.0, word("permit", session=session)).what == "no" and not one.works[WORK].grants
 
 
 def test_one_that_asks_later_is_told_the_kept_answer():
-    guards = [Guardian(name, 1e6, 1) for name in GUARDS]
-    sessions = {g.name: g.linked("o") for g in guards}
-    later = {g.name: g.linked("s") for g in guards}
+    guards = [Acceptor(name, 1e6, 1) for name in GUARDS]
+    sessions = {g.name: g.start_session("o") for g in guards}
+    later = {g.name: g.start_session("s") for g in guards}
 
     def carry(work):
         out, work.out = work.out, []
         for say in out:
-            work.heard(guards[GUARDS.index(say.to)].heard(0.0, say))
+            work.receive(guards[GUARDS.index(say.to)].receive(0.0, say))
 
-    owner = Work(WORK, "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 1))
-    for call in (owner.register, owner.permit, lambda: owner.answered(b"the answer")):
+    owner = Proposer(WORK, "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 1))
+    for call in (owner.register, owner.request_grant, lambda: owner.record_answer(b"the answer")):
         call()
         carry(owner)
-    assert owner.permitted
-    other = Work(WORK, "s", GUARDS, later)
+    assert owner.granted
+    other = Proposer(WORK, "s", GUARDS, later)
     other.claim((0, "o"))
     carry(other)
     assert other.outcome() == "answered" and other.answer == b"the answer"
-    refused = Work("w", "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 2))
+    refused = Proposer("w", "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 2))
     for call in (refused.register, refused.refuse):
         call()
         carry(refused)
-    assert refused.refused
-    asked = Work("w", "s", GUARDS, later)
+    assert refused.refusal_recorded
+    asked = Proposer("w", "s", GUARDS, later)
     asked.claim((0, "o"))
     carry(asked)
     assert asked.outcome() == "never ran" and asked.closed == (0, "o")
     # whoever takes it over for nobody does not run it; for its client, who asks again, it may
-    asked.permit()
+    asked.request_grant()
     assert not asked.out
-    asked.anew = True
-    asked.permit()
+    asked.client_retried = True
+    asked.request_grant()
     carry(asked)
-    assert asked.permitted
-    third = Work("w", "t", GUARDS, {g.name: g.linked("t") for g in guards})
+    assert asked.granted
+    third = Proposer("w", "t", GUARDS, {g.name: g.start_session("t") for g in guards})
     third.claim((1, "s"))
     carry(third)
     assert third.outcome() == "may have run"  # what was permitted after the refusal counts
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -13,7 +13,7 @@
 from ospreyline.facts import FactError
 from ospreyline.fleet import takeover
 from ospreyline.fleet.frames import Pulse, Say, encode
-from ospreyline.fleet.takeover import Takeover, chosen
+from ospreyline.fleet.takeover import Takeover, bank_acceptors
 from ospreyline.host import Kind
 
 READ, PAY, CHANGE = Kind.READ_LIKE, Kind.TAGGED, Kind.MUTATING
@@ -66,26 +66,26 @@
                 one.lost(self.now, name)
 
     def take(self, name: str, kind: Kind, id_: str = "v", left: float = 2_000.0, tag: int = 1) -> bool:
-        return self.at[name].take(self.now, tag, id_, kind, BODY[kind], left)
+        return self.at[name].admit(self.now, tag, id_, kind, BODY[kind], left)
 
     def news(self, name: str) -> list[tuple[str, Any]]:
         out, self.at[name].news = self.at[name].news, []
         return [(what, more) for what, _, more in out]
 
     def ask(self, name: str, kind: Kind, id_: str = "v", left: float = 1_500.0) -> list[tuple[str, Any]]:
-        self.at[name].ask(self.now, 9, id_, kind, BODY[kind], left)
+        self.at[name].claim_for_client(self.now, 9, id_, kind, BODY[kind], left)
         self.run()
         return self.news(name)
 
     def guards(self, id_: str = "v") -> list[str]:
         return [
-            n for n, one in self.at.items() if id_ in one.guardian.works and one.guardian.works[id_].guards
+            n for n, one in self.at.items() if id_ in one.guardian.works and one.guardian.works[id_].acceptors
         ]
 
 
 def sent(net: Net, name: str, kind: Kind, number: int = 0) -> bool:
     """A fetch is wanted; whether it may be written, at once or when its permit has come."""
-    if net.at[name].send(net.now, 1, number, "a", 0):
+    if net.at[name].request_send(net.now, 1, number, "a", 0):
         return True
     net.run()
     return ("go", number) in net.news(name)
@@ -93,28 +93,28 @@
 
 def test_a_mutating_fetch_waits_for_its_permit_and_a_read_like_one_does_not():
     net = Net()
-    assert net.take("m0", CHANGE) and not net.at["m0"].send(0.0, 1, 0, "a", 0)
+    assert net.take("m0", CHANGE) and not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run()
     assert net.news("m0") == [("go", 0)] and len(net.guards()) == 3 and "m0" not in net.guards()
     assert {net.zones[n] for n in net.guards()} == {"a", "b", "c"}
-    assert net.take("m1", READ, "r", tag=2) and net.at["m1"].send(0.0, 2, 0, "b", 0)
+    assert net.take("m1", READ, "r", tag=2) and net.at["m1"].request_send(0.0, 2, 0, "b", 0)
     net.run()
     assert len(net.guards("r")) == 3
     # the last one that is allowed is not its owner's own
-    assert net.at["m1"].send(0.0, 2, 1, "b", 0) and not net.at["m1"].send(0.0, 2, 2, "b", 0)
+    assert net.at["m1"].request_send(0.0, 2, 1, "b", 0) and not net.at["m1"].request_send(0.0, 2, 2, "b", 0)
 
 
 @pytest.mark.parametrize("kind", [READ, PAY, CHANGE])
 def test_what_was_held_at_a_lost_balancer_is_taken_over_by_whoever_is_asked(kind):
     net = Net()
     net.take("m0", kind)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.kill("m0", noticed=False)
     ((what, ran),) = net.ask("m4", kind)
     # what a read-like one may have been sent without a word counts
     assert what == "take" and ran == ([("", 0, 0.0)] * 2 if kind is READ else [])
-    assert not net.at["m4"].send(net.now, 9, len(ran), "b", 0)
+    assert not net.at["m4"].request_send(net.now, 9, len(ran), "b", 0)
     net.run()
     assert net.news("m4") == [("go", len(ran))]
 
@@ -122,7 +122,7 @@
 def test_one_that_has_no_fetch_left_is_bounced_at_once_and_not_held():
     net = Net()
     net.take("m0", READ)
-    assert net.at["m0"].send(0.0, 1, 0, "a", 0) and net.at["m0"].send(0.0, 1, 1, "a", 0)
+    assert net.at["m0"].request_send(0.0, 1, 0, "a", 0) and net.at["m0"].request_send(0.0, 1, 1, "a", 0)
     assert sent(net, "m0", READ, 2)
     net.kill("m0", noticed=False)
     assert net.ask("m4", READ) == [("bounce", None)]
@@ -142,7 +142,7 @@
     net.take("m0", kind)
     assert sent(net, "m0", kind)
     assert net.ask("m4", kind) == []
-    net.at["m0"].answered(net.now, 1, b"the answer")
+    net.at["m0"].record_answer(net.now, 1, b"the answer")
     net.run()
     assert net.news("m4") == [("answer", b"the answer")]
     # and one that asks later has it from the guardians
@@ -173,12 +173,12 @@
 def test_an_owner_that_was_stopped_gets_no_permit_once_another_has_it():
     net = Net()
     net.take("m0", CHANGE)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.lost = lambda a, b, m: "m0" in (a, b)  # stopped
     assert net.ask("m4", CHANGE) == [("take", [])]
     net.lost = lambda a, b, m: False
-    assert not net.at["m0"].send(net.now, 1, 0, "a", 0)
+    assert not net.at["m0"].request_send(net.now, 1, 0, "a", 0)
     net.run()
     assert net.news("m0") == [("lost", None)]
 
@@ -186,7 +186,7 @@
 def test_a_bounce_is_recorded_before_it_is_told_and_then_nobody_takes_it_over():
     net = Net()
     net.take("m0", CHANGE)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     assert not net.at["m0"].refuse(0.0, 1) and net.news("m0") == []
     net.run()
     assert net.news("m0") == [("refused", None)]
@@ -200,21 +200,21 @@
 def test_one_that_was_bounced_at_once_costs_nobody_a_word():
     net = Net()
     net.take("m0", CHANGE)
-    assert net.at["m0"].refuse(0.0, 1) and not net.at["m0"].out and not net.at["m0"].hands
+    assert net.at["m0"].refuse(0.0, 1) and not net.at["m0"].out and not net.at["m0"].visits
 
 
 @pytest.mark.parametrize(("kind", "adopted"), [(READ, 0), (PAY, 1), (CHANGE, 1)])
 def test_what_nobody_asks_for_is_finished_by_one_guardian(kind, adopted):
     net = Net()
     net.take("m0", kind)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.kill("m0")
     net.run(1_500.0)
     found = [(n, what, more) for n in net.at for what, more in net.news(n)]
     assert [what for _, what, _ in found] == ["adopt"] * adopted
     # a tag that no client has by itself: whoever asks there is joined to it
-    assert all(tag < -1 for one in net.at.values() for tag in one.hands)
+    assert all(tag < -1 for one in net.at.values() for tag in one.visits)
     if adopted:
         body, got, ran, left = found[0][2]
         assert (body, got, ran) == (BODY[kind], kind, []) and 0 < left < 2_000
@@ -242,7 +242,7 @@
             fresh.linked(0.0, name)
     net.run()
     net.take("m0", CHANGE)
-    fresh.held(0.0, 1)
+    fresh.register_queued(0.0, 1)
     net.run()
     for name, one in net.at.items():
         if name != "m0":
@@ -256,7 +256,7 @@
     net = Net(1, refuses)
     assert net.take("m0", CHANGE) is not refuses and net.take("m0", READ, "r", tag=2)
     assert net.at["m0"].counts["uncovered"] == 2
-    assert net.at["m0"].send(0.0, 1, 0, "a", 0)
+    assert net.at["m0"].request_send(0.0, 1, 0, "a", 0)
 
 
 @pytest.mark.parametrize("kind", [PAY, CHANGE])
@@ -264,16 +264,16 @@
     net = Net()
     net.take("m0", kind)
     net.lost = lambda a, b, m: a == "m0"
-    assert not net.at["m0"].send(0.0, 1, 0, "a", 0)
+    assert not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run(200.0)
     assert net.news("m0") == [("no", 0)]
 
 
 def test_guardians_that_are_full_leave_a_visit_without_cover(monkeypatch):
-    monkeypatch.setattr("ospreyline.fleet.guard.MOST_WORKS", 0)
+    monkeypatch.setattr("ospreyline.fleet.guard.MAX_RECORDS", 0)
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE) and net.at["m0"].counts["uncovered"] == 1 and not net.at["m0"].hands
+    assert sent(net, "m0", CHANGE) and net.at["m0"].counts["uncovered"] == 1 and not net.at["m0"].visits
 
 
 def test_one_that_some_have_registered_is_not_sent_without_a_permit_though_they_refuse_it():
@@ -281,12 +281,12 @@
     net = Net()
     net.take("m0", CHANGE)
     net.lost = lambda a, b, m: b == "m0" and isinstance(m, Say)  # what they answer is lost
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.lost = lambda a, b, m: False
     for guard in net.guards():
-        net.at[guard].guardian.linked("m0")  # a new link: the old session is over
-    assert not net.at["m0"].send(0.0, 1, 0, "a", 0)
+        net.at[guard].guardian.start_session("m0")  # a new link: the old session is over
+    assert not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run()
     assert net.news("m0") == [("no", 0)]
     assert net.ask("m4", CHANGE) == [("take", [])]
@@ -301,15 +301,15 @@
 def test_two_that_are_asked_at_once_end_with_one_that_has_it():
     net = Net()
     net.take("m0", CHANGE)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.kill("m0", noticed=False)
     for name in ("m4", "m5"):
-        net.at[name].ask(net.now, 9, "v", CHANGE, BODY[CHANGE], 1_500.0)
+        net.at[name].claim_for_client(net.now, 9, "v", CHANGE, BODY[CHANGE], 1_500.0)
     net.run()
     won = [n for n in ("m4", "m5") if ("take", []) in net.news(n)]
     for name in won:
-        net.at[name].send(net.now, 9, 0, "a", 0)
+        net.at[name].request_send(net.now, 9, 0, "a", 0)
     net.run()
     assert won and sum(("go", 0) in net.news(name) for name in won) <= 1
 
@@ -317,7 +317,7 @@
 def test_a_word_in_anothers_name_is_passed_over():
     net = Net()
     net.take("m0", CHANGE)
-    net.at["m0"].held(0.0, 1)
+    net.at["m0"].register_queued(0.0, 1)
     net.run()
     guard = net.guards()[0]
     session = net.at[guard].guardian.sessions["m0"]
@@ -330,7 +330,7 @@
     net = Net()
     net.take("m0", CHANGE)
     assert sent(net, "m0", CHANGE)
-    net.at["m0"].answered(net.now, 1, b"x" * (takeover.MOST_ANSWER + 1))
+    net.at["m0"].record_answer(net.now, 1, b"x" * (takeover.MAX_ANSWER_BYTES + 1))
     net.run()
     assert net.ask("m4", CHANGE) == [("answer", b"")]
 
@@ -339,15 +339,15 @@
     net = Net()
     net.take("m0", CHANGE)
     assert sent(net, "m0", CHANGE)
-    assert not net.at["m0"].answered(net.now, 1, b"late", doubt=True)
+    assert not net.at["m0"].record_answer(net.now, 1, b"late", after_stall=True)
     net.run()
     assert net.news("m0") == [("told", None)]
     net.take("m1", CHANGE, "w")
-    net.at["m1"].send(net.now, 1, 0, "a", 0)
+    net.at["m1"].request_send(net.now, 1, 0, "a", 0)
     net.run()
     net.ask("m4", CHANGE, "w")
     net.news("m1")
-    net.at["m1"].answered(net.now, 1, b"late", doubt=True)
+    net.at["m1"].record_answer(net.now, 1, b"late", after_stall=True)
     net.run()
     assert net.news("m1") == [("lost", None)] and net.news("m4") == [("answer", b"late")]
 
@@ -355,13 +355,15 @@
 @pytest.mark.parametrize(("count", "most"), [(3, 3), (12, 12), (100, 30), (999, 96)])
 def test_those_that_guard_grow_with_the_root_of_the_bank(count, most):
     members = [(f"m{i}", "abc"[i % 3]) for i in range(count)]
-    assert len(chosen(members)) == most and chosen(members) == chosen(reversed(members))
+    assert len(bank_acceptors(members)) == most and bank_acceptors(members) == bank_acceptors(
+        reversed(members)
+    )
 
 
 def test_what_it_says_fits_in_few_bytes():
     net = Net()
     net.take("m0", CHANGE)
-    net.at["m0"].send(0.0, 1, 0, "a", 0)
+    net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     assert sum(len(encode(m)) for _, m in net.at["m0"].out if isinstance(m, Say)) < 600
     assert len(encode(Pulse())) < 25
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -40,7 +40,7 @@
     kind = CHANGE
     if what == "claim":
         net.lost = lambda a, b, m: isinstance(m, Say)
-        net.at["m4"].ask(net.now, 1, "v", kind, b"mchange", left)
+        net.at["m4"].claim_for_client(net.now, 1, "v", kind, b"mchange", left)
         owner = "m4"
     else:
         owner = "m0"
@@ -48,15 +48,15 @@
         if what == "told":
             assert sent(net, owner, kind)
         else:
-            net.at[owner].held(net.now, 1)
+            net.at[owner].register_queued(net.now, 1)
             net.run()
         net.lost = lambda a, b, m: isinstance(m, Say)  # from now on nobody hears a word
         if what == "permit":
-            assert not net.at[owner].send(net.now, 1, 0, "a", 0)
+            assert not net.at[owner].request_send(net.now, 1, 0, "a", 0)
         elif what == "refuse":
             assert not net.at[owner].refuse(net.now, 1)
         else:
-            assert not net.at[owner].answered(net.now, 1, b"late", doubt=True)
+            assert not net.at[owner].record_answer(net.now, 1, b"late", after_stall=True)
     begun = net.now
     net.run()
     told = net.news(owner)
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize(
     ("peers", "what", "path"),
-    [(1, "answered", "/read/a"), (1, "answered", "/change/a"), (0, "refuse", "/change/a")],
+    [(1, "record_answer", "/read/a"), (1, "record_answer", "/change/a"), (0, "refuse", "/change/a")],
 )
 def test_a_word_that_never_comes_leaves_no_client_without_an_answer(peers, what, path):
     # what waited for a word counted as answered, so the backstop passed it over
@@ -114,7 +114,7 @@
     net.take("m0", CHANGE)
     assert sent(net, "m0", CHANGE)
     if further:
-        net.at["m0"].send(net.now, 1, 1, "a", 0)
+        net.at["m0"].request_send(net.now, 1, 1, "a", 0)
         if further[0]:
             net.run()
     assert not leaves(net, UNREACHED, *further)
@@ -129,6 +129,6 @@
     net.take("m0", CHANGE)
     assert sent(net, "m0", CHANGE)
     assert leaves(net, (Stage.ANSWERING, ended, None))
-    net.at["m0"].answered(net.now, 1, b"the answer")
+    net.at["m0"].record_answer(net.now, 1, b"the answer")
     net.run()
     assert net.ask("m4", CHANGE) == [("answer", b"the answer")]
