--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -17,7 +17,7 @@
 from ospreyline.fleet.links import MOST_LINKS
 from ospreyline.fleet.lists import BEAT, SOURCES
 from ospreyline.fleet.members import MOST_MEMBERS
-from ospreyline.fleet.publisher import MOST_SUBSCRIBERS
+from ospreyline.fleet.publisher import MAX_SUBSCRIBERS
 from ospreyline.net.list_call import MOST_LINE
 
 DAY = 86_400.0
@@ -495,7 +495,7 @@
         "connections",
         "links",
         counted("subscribers", each),
-        budget=MOST_SUBSCRIBERS,
+        budget=MAX_SUBSCRIBERS,
         name="subscribers of one",
     )
     t.add(
@@ -674,7 +674,7 @@
         CONTROL,
         "machines that are needed, by links",
         "machines",
-        counted("fleet/publisher", s.balancers / MOST_SUBSCRIBERS),
+        counted("fleet/publisher", s.balancers / MAX_SUBSCRIBERS),
         budget=s.control_machines,
         name="machines set aside",
     )
--- a/tests/scope_net.py
+++ b/tests/scope_net.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ospreyline.fleet.frames import HEAD, Change, Message, encode
-from ospreyline.fleet.publisher import BURST, PART, Fanout, Source
-from ospreyline.fleet.scopes import GONE, HERE, LEAVING, MOST_EPOCH
-from ospreyline.fleet.subscriber import BYTES, Subscriber
+from ospreyline.fleet.publisher import BURST_S, PART_BYTES, Fanout, Source
+from ospreyline.fleet.scopes import GONE, LEAVING, MAX_EPOCH, PRESENT
+from ospreyline.fleet.subscriber import BYTES_PER_S, Subscriber
 
 STEP = 50.0  # ms between two ticks of a process
 IN_FORCE = 4_000.0  # ms from a change at the source to a balancer
@@ -38,7 +38,7 @@
         loss: float = 0.0,
         double: float = 0.0,
         late: float = 0.0,
-        rate: int = BYTES,
+        rate: int = BYTES_PER_S,
         body: int = 40,
     ) -> None:
         self.random = Random(seed)
@@ -66,7 +66,7 @@
         self.leaving: dict[tuple[str, str, str], tuple[int, int]] = {}  # told to go, by the version so and so
         self.longest = 0.0  # ms until one was
         for i in range(scopes):
-            self.state[f"s{i}"] = {f"u{k}": (HERE, b"x" * body, 0.0) for k in range(upstreams)}
+            self.state[f"s{i}"] = {f"u{k}": (PRESENT, b"x" * body, 0.0) for k in range(upstreams)}
         self.fans = [f"f{i}" for i in range(fanouts)]
         self.balancers = [f"b{i}" for i in range(balancers)]
         self.start_source()
@@ -104,8 +104,8 @@
             self.now,
             everything=True,
             rate=2 << 20,
-            most_bytes=64 << 20,
-            beat=500.0,
+            max_bytes=64 << 20,
+            heartbeat_ms=500.0,
         )
         self.up[name] = Fanout(up)
         self._links_end(name)
@@ -129,7 +129,7 @@
         self.leaving = {k: v for k, v in self.leaving.items() if k[0] != name}
         self._links_end(name)
         for scope in sorted(self.wants[name]):
-            self.subs[name].want(self.now, scope)
+            self.subs[name].subscribe(self.now, scope)
 
     def _links_end(self, name: str) -> None:
         """The others notice, or they do not (no reset came)."""
@@ -137,12 +137,12 @@
             return
         for other in self.up.values():
             if self.random.random() < 0.6 and other.up.name != name:
-                other.lost(self.now, name)
+                other.link_lost(self.now, name)
         for sub in self.subs.values():
             if self.random.random() < 0.6:
-                sub.lost(self.now, name)
+                sub.publisher_lost(self.now, name)
         if self.random.random() < 0.6:
-            self.source.publisher.gone(name)
+            self.source.publisher.remove_subscriber(name)
 
     # the platform
 
@@ -153,7 +153,7 @@
             self.reached.setdefault(scope.version, self.now)
             known = self.history.setdefault(name, [])
             if not known or known[-1][1] != scope.version:
-                held = None if scope.gone else {r.key: (r.state, r.body) for r in scope.whole()}
+                held = None if scope.gone else {r.key: (r.state, r.body) for r in scope.live_records()}
                 states = None if held is None else {k: v[0] for k, v in held.items()}
                 known.append((self.now, scope.version, states))
                 self.contents[(name, *scope.version)] = held
@@ -171,13 +171,13 @@
             self.source.remove(self.now, scope)
         elif what < 0.05:
             scope = f"s{draw.randrange(len(self.state) + 4)}"
-            self.put(scope, "u0", HERE)
+            self.put(scope, "u0", PRESENT)
         elif what < 0.35 and records:
             self.put(scope, draw.choice(sorted(records)), LEAVING)
         elif what < 0.6 and records:
             self.put(scope, draw.choice(sorted(records)), GONE)
         else:
-            self.put(scope, f"u{draw.randrange(2 * 5)}", HERE)
+            self.put(scope, f"u{draw.randrange(2 * 5)}", PRESENT)
         self.observe()
 
     def put(self, scope: str, key: str, state: int) -> None:
@@ -187,7 +187,7 @@
         if state == GONE:
             records.pop(key, None)
         elif state == LEAVING:
-            old = records.get(key, (HERE, body, 0.0))
+            old = records.get(key, (PRESENT, body, 0.0))
             if old[0] == LEAVING:
                 return
             body = old[1]
@@ -195,7 +195,7 @@
         else:
             records[key] = (state, body, self.now)
         self.source.put(self.now, scope, [(key, state, body)])
-        if state == HERE:
+        if state == PRESENT:
             self.drains.pop((scope, key), None)
         else:
             self.drains.setdefault((scope, key), self.now)
@@ -227,7 +227,7 @@
         while self.now - spent[0][0] > 10_000.0:
             spent.popleft()
         total = sum(s for _, s in spent)
-        most = self.rate * (BURST + 10.0) + 2 * PART
+        most = self.rate * (BURST_S + 10.0) + 2 * PART_BYTES
         if total > most:
             raise Broken(f"{pair}: {total} bytes in 10 s, {most} is the most")
 
@@ -239,16 +239,16 @@
                 continue
             message = _DECODER.decode(frame[HEAD.size :])
             if to == "source":
-                self.source.heard(self.now, me, message)
+                self.source.receive(self.now, me, message)
                 self.observe()
                 self.send(self.source.out, "source")
             elif to in self.up:
                 fan = self.up[to]
-                fan.heard(self.now, me, message)
+                fan.receive(self.now, me, message)
                 self.send(fan.take_out(), to)
             else:
                 sub = self.subs[to]
-                sub.heard(self.now, me, message)
+                sub.receive(self.now, me, message)
                 self.send(sub.out, to)
                 self.look(to, False)
 
@@ -306,19 +306,19 @@
         sub, what = self.subs[name], draw.random()
         if what < 0.4:
             scope = draw.choice(sorted(self.wants[name])) if self.wants[name] else ""
-            if scope and sub.begun(scope):
+            if scope and sub.start_request(scope):
                 self.flying[name].append(scope)
         elif what < 0.7 and self.flying[name]:
             scope = self.flying[name].pop(draw.randrange(len(self.flying[name])))
-            sub.ended(self.now, scope)
+            sub.end_request(self.now, scope)
         elif what < 0.85 and self.wants[name]:
             scope = draw.choice(sorted(self.wants[name]))
             self.wants[name].discard(scope)
-            sub.drop(self.now, scope)
+            sub.unsubscribe(self.now, scope)
         else:
             scope = f"s{draw.randrange(len(self.state) + 2)}"
             self.wants[name].add(scope)
-            sub.want(self.now, scope)
+            sub.subscribe(self.now, scope)
         for scope in self.flying[name]:
             if scope not in sub.scopes:
                 raise Broken(f"{name}: {scope} went while requests were in flight")
@@ -328,7 +328,7 @@
     def look(self, name: str, closely: bool) -> None:
         """What one balancer holds, against the truth."""
         sub = self.subs[name]
-        sub.news.clear()
+        sub.updates.clear()
         for scope, held in sub.scopes.items():
             before = self.shown.get((name, scope))
             if before is not None and held.version < before:
@@ -339,7 +339,7 @@
                 at = (held.version[0], record.n)
                 if record.state == LEAVING and record.n:
                     self.leaving[name, scope, key] = max(at, was or at)
-                elif was is not None and record.state == HERE and record.n and at < was:
+                elif was is not None and record.state == PRESENT and record.n and at < was:
                     raise Broken(f"{name}: {scope} {key} was told to leave by {was} and came back by {at}")
             if closely:
                 self._honest(name, sub, scope)
@@ -349,8 +349,8 @@
             self.leaving = {k: v for k, v in self.leaving.items() if k[:2] != key}
         if closely:
             size = sum(held.size for held in sub.scopes.values())
-            if size != sub.bytes:
-                raise Broken(f"{name}: counts {sub.bytes} bytes, holds {size}")
+            if size != sub.held_bytes:
+                raise Broken(f"{name}: counts {sub.held_bytes} bytes, holds {size}")
 
     def _honest(self, name: str, sub: Subscriber, scope: str) -> None:
         """What is held was the source's state at most so long ago."""
@@ -376,10 +376,10 @@
     def _right(self, name: str, sub: Subscriber, scope: str) -> None:
         """What is held is what the source had under that version; what leaves leaves, in its time."""
         held = sub.scopes[scope]
-        if held.gone or scope in sub.doubted:
+        if held.gone or scope in sub.mismatched:
             return
         truth = self.contents.get((scope, *held.version), None)
-        ahead = sub._ahead.get(scope, {})
+        ahead = sub._early_drains.get(scope, {})
         found = {r.key: (r.state, r.body) for r in held.records.values() if r.key not in ahead}
         if truth is None or found != {k: v for k, v in truth.items() if k not in ahead}:
             found = {k: (s, b[:4]) for k, (s, b) in found.items()}
@@ -390,24 +390,32 @@
                 raise Broken(f"{name}: {scope} {key} was told to leave and came back by something older")
         real = self.state.get(scope, {})
         for key, record in held.records.items():
-            state, body, since = real.get(key, (HERE, b"", 0.0))
-            if record.state == LEAVING == state and body == record.body and record.told_at > since + 1e-6:
-                raise Broken(f"{name}: {scope} {key} leaves since {since:.0f}, held as {record.told_at:.0f}")
+            state, body, since = real.get(key, (PRESENT, b"", 0.0))
+            if (
+                record.state == LEAVING == state
+                and body == record.body
+                and record.leaving_since > since + 1e-6
+            ):
+                raise Broken(
+                    f"{name}: {scope} {key} leaves since {since:.0f}, held as {record.leaving_since:.0f}"
+                )
 
     def bounded(self) -> None:
         """Nothing is kept for long ago or for nobody."""
         for name, fan in self.up.items():
             for sub in fan.down._subscribers.values():
-                if len(sub.behind) > len(sub.acked) or sub.unacked < 0:
+                if len(sub.behind) > len(sub.acked) or sub.unacked_bytes < 0:
                     raise Broken(f"{name}: {len(sub.behind)} behind of {len(sub.acked)}")
-                if sub.unacked != sum(s.size for s in sub.sent.values()):
-                    raise Broken(f"{name}: {sub.unacked} bytes unacknowledged, {len(sub.sent)} changes")
+                if sub.unacked_bytes != sum(s.size for s in sub.in_flight.values()):
+                    raise Broken(
+                        f"{name}: {sub.unacked_bytes} bytes unacknowledged, {len(sub.in_flight)} changes"
+                    )
             if len(fan.down) > len(self.balancers):
                 raise Broken(f"{name}: {len(fan.down)} subscribers")
         for name, sub in self.subs.items():
-            if sub.doubts:
-                raise Broken(f"{name}: what it held was not what its version had, {sub.doubts} times")
-            if len(sub._sessions) > 2 or sub.seen > MOST_EPOCH:
+            if sub.mismatches:
+                raise Broken(f"{name}: what it held was not what its version had, {sub.mismatches} times")
+            if len(sub._sessions) > 2 or sub.max_epoch > MAX_EPOCH:
                 raise Broken(f"{name}: {len(sub._sessions)} sessions")
 
     def converged(self) -> None:
@@ -442,7 +450,7 @@
                 and held is not None
                 and not held.gone
                 and key in held.records
-                and held.records[key].state == HERE
+                and held.records[key].state == PRESENT
             ):
                 return False
         return True
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,7 +13,7 @@
 from ospreyline.fleet import hollow as process
 from ospreyline.fleet.frames import Change, Got, encode
 from ospreyline.fleet.publisher import Fanout, Source
-from ospreyline.fleet.scopes import HERE, LEAVING
+from ospreyline.fleet.scopes import LEAVING, PRESENT
 from ospreyline.fleet.subscriber import Subscriber
 from ospreyline.lab import placing
 from ospreyline.rig import hollow
@@ -57,11 +57,11 @@
         self.now, draw = 1_000.0, Random(3).random
         self.source = Source(1_000, draw)
         for i in range(services):
-            found = [(f"u{k}", HERE, b"x" * 90) for k in range(upstreams // services)]
+            found = [(f"u{k}", PRESENT, b"x" * 90) for k in range(upstreams // services)]
             self.source.put(self.now, f"s{i}", found)
         self.fan = Fanout(
             Subscriber(
-                "f", 1, [("source", "")], draw, self.now, everything=True, rate=2 << 20, most_bytes=1 << 30
+                "f", 1, [("source", "")], draw, self.now, everything=True, rate=2 << 20, max_bytes=1 << 30
             )
         )
         self.subs = [
@@ -70,7 +70,7 @@
         ]
         for i, wanted in enumerate(process.assigned(services, balancers, per, 1)):
             for one in wanted:
-                self.subs[i].want(self.now, f"s{one}")
+                self.subs[i].subscribe(self.now, f"s{one}")
         self.messages = self.bytes = self.items = 0
 
     def turn(self, seconds: float) -> None:
@@ -89,7 +89,7 @@
                             self.messages += 1
                             self.items += len(message.items)
                             self.bytes += len(encode(message))
-                        ends[to].heard(self.now, name, message)
+                        ends[to].receive(self.now, name, message)
 
 
 @pytest.mark.parametrize("per", [3, 6])
@@ -152,7 +152,11 @@
 
 def test_services_are_as_many_and_as_large_as_planned():
     sizes = process.sizes(6_700, 200_000, 1)
-    assert len(sizes) == 6_700 and abs(sum(sizes) - 200_000) < 4_000 and max(sizes) <= process.MOST_OF_ONE
+    assert (
+        len(sizes) == 6_700
+        and abs(sum(sizes) - 200_000) < 4_000
+        and max(sizes) <= process.MAX_UPSTREAMS_PER_SCOPE
+    )
     found = process.assigned(670, 700, 12, 1)
     assert sum(map(len, found)) == 670 * 12 and found == process.assigned(670, 700, 12, 1)
 
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -15,8 +15,8 @@
 from ospreyline.fleet import subscriber as subscribers
 from ospreyline.fleet.frames import Change, Got, Item, Subscribe, Told
 from ospreyline.fleet.publisher import Fanout, Publisher, Source
-from ospreyline.fleet.scopes import GONE, HERE, LEAVING
-from ospreyline.fleet.subscriber import MOST_ALL, Subscriber
+from ospreyline.fleet.scopes import GONE, LEAVING, PRESENT
+from ospreyline.fleet.subscriber import MAX_SCOPES_OF_EVERYTHING, Subscriber
 
 NOISY = {"loss": 0.05, "double": 0.05, "late": 0.03}
 SLOW = {"rate": 6_000, "body": 2_000, "upstreams": 12, "loss": 0.02, "double": 0.05, "late": 0.05}
@@ -98,8 +98,8 @@
 
 def test_a_seed_replays():
     one, other = (noisy(3) for _ in range(2))
-    assert [(s.taken, s.moves, s.fresh) for s in one.subs.values()] == [
-        (s.taken, s.moves, s.fresh) for s in other.subs.values()
+    assert [(s.applied, s.moves, s.fresh_as_of) for s in one.subs.values()] == [
+        (s.applied, s.moves, s.fresh_as_of) for s in other.subs.values()
     ]
 
 
@@ -107,57 +107,57 @@
 
 
 def _older_is_taken(patch):
-    patch.setattr(Subscriber, "_newer", lambda self, name, version, since: True)
+    patch.setattr(Subscriber, "_is_newer", lambda self, name, version, since: True)
 
 
 def _age_without_the_way(patch):
     def told(self, now, session, message):
         was(self, now, session, msgspec.structs.replace(message, echo=now))
 
-    was = Subscriber._told
-    patch.setattr(Subscriber, "_told", told)
+    was = Subscriber._handle_status
+    patch.setattr(Subscriber, "_handle_status", told)
 
 
 def _age_whatever_is_wanted(patch):
     def told(self, now, session, message):
         was(self, now, session, msgspec.structs.replace(message, edition=self._edition))
 
-    was = Subscriber._told
-    patch.setattr(Subscriber, "_told", told)
+    was = Subscriber._handle_status
+    patch.setattr(Subscriber, "_handle_status", told)
 
 
 def _drain_begins_when_heard(patch):
     def put(self, now, message, held, one, changed):
         was(self, now, msgspec.structs.replace(message, echo=now), held, one, changed)
 
-    was = Subscriber._put
-    patch.setattr(Subscriber, "_put", put)
+    was = Subscriber._put_item
+    patch.setattr(Subscriber, "_put_item", put)
 
 
 def _drain_is_taken_back(patch):
     def take(self, now, message, *rest):
-        ahead, self._ahead = self._ahead, {}
+        ahead, self._early_drains = self._early_drains, {}
         was(self, now, message, *rest)
-        self._ahead = ahead
+        self._early_drains = ahead
 
-    was = Subscriber._take
-    patch.setattr(Subscriber, "_take", take)
+    was = Subscriber._apply
+    patch.setattr(Subscriber, "_apply", take)
 
 
 def _dropped_at_once(patch):
     def drop(self, now, scope):
-        if scope in self._wanted:
-            self._end(now, scope)
+        if scope in self._subscribed:
+            self._remove_subscription(now, scope)
 
-    patch.setattr(Subscriber, "drop", drop)
+    patch.setattr(Subscriber, "unsubscribe", drop)
 
 
 def _never_sent_again(patch):
-    patch.setattr(publishers, "RESEND", inf)
+    patch.setattr(publishers, "RESEND_MS", inf)
 
 
 def _silence_is_borne(patch):
-    patch.setattr(subscribers, "SILENT", inf)
+    patch.setattr(subscribers, "UNRESPONSIVE_MS", inf)
 
 
 def _flow_without_bounds(patch):
@@ -165,18 +165,20 @@
         sub.tokens = 1e9
         was(self, now, sub)
 
-    was = Publisher._pump
-    patch.setattr(Publisher, "_pump", pump)
+    was = Publisher._send_pending
+    patch.setattr(Publisher, "_send_pending", pump)
 
 
 def _clock_set_back(patch):
-    patch.setattr(Source, "heard", lambda self, now, name, message: self.publisher.heard(now, name, message))
+    patch.setattr(
+        Source, "receive", lambda self, now, name, message: self.publisher.receive(now, name, message)
+    )
 
 
 def _gone_before_all_is_there(patch):
     def init(self, up):
         was(self, up)
-        self.down._complete = lambda: max(up.complete, (max(1, up.seen), 1))
+        self.down._complete_to = lambda: max(up.complete_to, (max(1, up.max_epoch), 1))
 
     was = Fanout.__init__
     patch.setattr(Fanout, "__init__", init)
@@ -186,8 +188,8 @@
     def got(self, now, sub, message):
         was(self, now, sub, msgspec.structs.replace(message, edition=sub.edition))
 
-    was = Publisher._got
-    patch.setattr(Publisher, "_got", got)
+    was = Publisher._handle_got
+    patch.setattr(Publisher, "_handle_got", got)
 
 
 def _fresh_while_behind(patch):
@@ -196,8 +198,8 @@
         was(self, now, sub, again)
         sub.behind = behind
 
-    was = Publisher._tell
-    patch.setattr(Publisher, "_tell", tell)
+    was = Publisher._send_status
+    patch.setattr(Publisher, "_send_status", tell)
 
 
 PLANTED = {
@@ -245,8 +247,8 @@
                 self.now,
                 everything=True,
                 rate=2 << 20,
-                most_bytes=64 << 20,
-                beat=500.0,
+                max_bytes=64 << 20,
+                heartbeat_ms=500.0,
             )
         )
         self.sub = Subscriber("b", 7_000, [("f", "")], draw, self.now, **wanted)
@@ -271,7 +273,7 @@
             self.said.append(message)
         ends = {"source": self.source, "f": self.fan, "b": self.sub}
         if to in ends and not (self.deaf and "b" in (me, to)):
-            ends[to].heard(self.now, me, message)
+            ends[to].receive(self.now, me, message)
 
     def changes(self):
         found = [m for m in self.said if isinstance(m, Change) and not m.drains]
@@ -279,7 +281,7 @@
         return found
 
 
-def upstreams(count, body=b"x" * 40, state=HERE):
+def upstreams(count, body=b"x" * 40, state=PRESENT):
     return [(f"u{i}", state, body) for i in range(count)]
 
 
@@ -287,7 +289,7 @@
     pair = Pair(**wanted)
     for i in range(scopes_count):
         pair.source.put(pair.now, f"s{i}", upstreams(count))
-        pair.sub.want(pair.now, f"s{i}")
+        pair.sub.subscribe(pair.now, f"s{i}")
     pair.turn(times=120)
     assert sorted(pair.sub.scopes) == [f"s{i}" for i in range(scopes_count)]
     assert all(pair.sub.age(pair.now, s) < 2_500.0 for s in pair.sub.scopes)
@@ -308,9 +310,9 @@
 def test_a_return_costs_differences():
     pair = stood()
     pair.deaf = True
-    pair.source.put(pair.now, "s1", [("u3", GONE, b""), ("u4", HERE, b"new")])
+    pair.source.put(pair.now, "s1", [("u3", GONE, b""), ("u4", PRESENT, b"new")])
     pair.turn(times=80)  # it finds its fan-out machine silent
-    assert pair.sub.scopes["s1"].records["u3"].state == HERE  # hearing nothing leaves it as it was
+    assert pair.sub.scopes["s1"].records["u3"].state == PRESENT  # hearing nothing leaves it as it was
     pair.changes()
     pair.deaf = False
     pair.turn(times=200)
@@ -321,8 +323,8 @@
 def test_a_gap_that_is_too_wide_costs_a_snapshot_of_that_scope_alone():
     pair = stood()
     pair.deaf = True
-    for i in range(scopes.TOMBSTONES + 2):
-        pair.source.put(pair.now, "s1", [(f"v{i}", HERE, b"")])
+    for i in range(scopes.MAX_TOMBSTONES + 2):
+        pair.source.put(pair.now, "s1", [(f"v{i}", PRESENT, b"")])
         pair.source.put(pair.now, "s1", [(f"v{i}", GONE, b"")])
         pair.turn()
     pair.turn(times=80)
@@ -337,13 +339,13 @@
 def test_tombstones_end():
     pair = stood(scopes_count=1)
     for i in range(500):
-        pair.source.put(pair.now, "s0", [(f"v{i}", HERE, b"")])
+        pair.source.put(pair.now, "s0", [(f"v{i}", PRESENT, b"")])
         pair.source.put(pair.now, "s0", [(f"v{i}", GONE, b"")])
         pair.turn()
     for held in (pair.source.scopes["s0"], pair.fan.up.scopes["s0"], pair.sub.scopes["s0"]):
-        assert len(held.records) <= 20 + scopes.TOMBSTONES
+        assert len(held.records) <= 20 + scopes.MAX_TOMBSTONES
     assert len(pair.sub.scopes["s0"].records) == 20
-    pair.turn(ms=1_000.0, times=int(scopes.TOMBSTONE / 1e3) + 70)
+    pair.turn(ms=1_000.0, times=int(scopes.TOMBSTONE_TTL_MS / 1e3) + 70)
     for held in (pair.source.scopes["s0"], pair.fan.up.scopes["s0"]):
         assert len(held.records) == 20 and not held.tombstones
 
@@ -363,10 +365,10 @@
 
 def test_two_that_disagree_are_noticed_and_all_of_the_scope_is_had_anew():
     pair = stood()
-    pair.fan.up.scopes["s1"].put(pair.now, "u7", 1, HERE, b"not what the source said", 0.0, True)
-    pair.source.put(pair.now, "s1", [("u1", HERE, b"new")])
+    pair.fan.up.scopes["s1"].put(pair.now, "u7", 1, PRESENT, b"not what the source said", 0.0, True)
+    pair.source.put(pair.now, "s1", [("u1", PRESENT, b"new")])
     pair.turn(times=100)
-    assert pair.fan.up.doubts == 1
+    assert pair.fan.up.mismatches == 1
     for held in (pair.fan.up.scopes["s1"], pair.sub.scopes["s1"]):
         assert held.digest == pair.source.scopes["s1"].digest
         assert held.records["u7"].body == b"x" * 40
@@ -374,7 +376,7 @@
 
 def test_a_large_scope_comes_in_parts_and_a_drain_overtakes_it():
     pair = stood(scopes_count=1, rate=8_000)
-    big = [(f"w{i}", HERE, bytes(1_000)) for i in range(100)]
+    big = [(f"w{i}", PRESENT, bytes(1_000)) for i in range(100)]
     pair.source.put(pair.now, "s0", big)
     pair.turn(times=10)
     pair.source.put(pair.now, "s0", [("u3", LEAVING, b"x" * 40)])
@@ -385,18 +387,18 @@
     assert len(pair.sub.scopes["s0"].records) == 120
     parts = pair.changes()
     assert max(c.parts for c in parts) > 2
-    assert all(sum(scopes.size(i) for i in c.items) < 2 * publishers.PART for c in parts)
+    assert all(sum(scopes.wire_size(i) for i in c.items) < 2 * publishers.PART_BYTES for c in parts)
 
 
 def test_a_scope_that_is_dropped_finishes_its_requests_and_hears_of_drains_until_then():
     pair = stood()
-    assert pair.sub.begun("s1")
-    pair.sub.drop(pair.now, "s1")
-    assert not pair.sub.begun("s1")
+    assert pair.sub.start_request("s1")
+    pair.sub.unsubscribe(pair.now, "s1")
+    assert not pair.sub.start_request("s1")
     pair.source.put(pair.now, "s1", [("u0", LEAVING, b"")])
     pair.turn(times=10)
     assert pair.sub.scopes["s1"].records["u0"].state == LEAVING
-    pair.sub.ended(pair.now, "s1")
+    pair.sub.end_request(pair.now, "s1")
     assert "s1" not in pair.sub.scopes
     pair.turn(times=10)
     assert "s1" not in pair.fan.down._by_scope
@@ -404,32 +406,32 @@
 
 def test_a_scope_that_is_no_more_is_kept_for_the_requests_in_flight():
     pair = stood()
-    pair.sub.begun("s1")
+    pair.sub.start_request("s1")
     pair.source.remove(pair.now, "s1")
     pair.turn(times=10)
     held = pair.sub.scopes["s1"]
-    assert held.gone and len(held.records) == 20 and not pair.sub.begun("s1")
-    pair.sub.ended(pair.now, "s1")
+    assert held.gone and len(held.records) == 20 and not pair.sub.start_request("s1")
+    pair.sub.end_request(pair.now, "s1")
     assert not held.records
     pair.source.put(pair.now, "s1", upstreams(2))
     pair.turn(times=10)
-    assert pair.sub.begun("s1") and len(pair.sub.scopes["s1"].records) == 2
+    assert pair.sub.start_request("s1") and len(pair.sub.scopes["s1"].records) == 2
 
 
 def test_of_too_many_scopes_the_one_not_used_for_longest_goes():
-    pair = stood(scopes_count=3, most_scopes=3)
-    pair.sub.begun("s0")
-    pair.sub.want(pair.now, "s1")
+    pair = stood(scopes_count=3, max_scopes=3)
+    pair.sub.start_request("s0")
+    pair.sub.subscribe(pair.now, "s1")
     pair.source.put(pair.now, "t", upstreams(1))
-    assert pair.sub.want(pair.now, "t")
+    assert pair.sub.subscribe(pair.now, "t")
     pair.turn(times=10)
     assert sorted(pair.sub.scopes) == ["s0", "s1", "t"]
-    assert [n.scope for n in pair.sub.news if n.closed] == ["s2"]
+    assert [n.scope for n in pair.sub.updates if n.evicted] == ["s2"]
 
 
 def test_a_scope_that_nobody_has_is_said_to_be_no_more():
     pair = stood()
-    pair.sub.want(pair.now, "nothing")
+    pair.sub.subscribe(pair.now, "nothing")
     pair.turn(times=20)
     assert pair.sub.scopes["nothing"].gone
     pair.source.put(pair.now, "nothing", upstreams(3))
@@ -439,7 +441,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_memory_is_bounded_whatever_is_sent(seed):
-    pair = stood(most_bytes=200_000)
+    pair = stood(max_bytes=200_000)
     draw = Random(seed)
     session, epoch = pair.sub._sessions["f"].number, pair.source.epoch
     for n in range(100, 3_100):
@@ -452,7 +454,7 @@
             )
             for _ in range(draw.randrange(60))
         ]
-        pair.sub.heard(
+        pair.sub.receive(
             pair.now,
             "f",
             Change(
@@ -468,12 +470,14 @@
                 items=items,
             ),
         )
-        assert pair.sub.bytes + pair.sub._parted <= 200_000 + scopes.COST * len(pair.sub.scopes)
-        assert pair.sub.bytes == sum(held.size for held in pair.sub.scopes.values())
+        assert pair.sub.held_bytes + pair.sub._partial_bytes <= 200_000 + scopes.RECORD_OVERHEAD_BYTES * len(
+            pair.sub.scopes
+        )
+        assert pair.sub.held_bytes == sum(held.size for held in pair.sub.scopes.values())
     assert pair.sub.refused
     fan = pair.fan.down
-    for i in range(2 * publishers.MOST_SUBSCRIBERS):
-        fan.heard(
+    for i in range(2 * publishers.MAX_SUBSCRIBERS):
+        fan.receive(
             pair.now,
             f"x{i}",
             Subscribe(
@@ -485,8 +489,8 @@
                 scopes=[(f"t{draw.randrange(10**6)}", draw.randrange(9), 1, 1) for _ in range(3)],
             ),
         )
-        fan.heard(pair.now, f"x{i}", Got(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
-    assert len(fan) == publishers.MOST_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
+        fan.receive(pair.now, f"x{i}", Got(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
+    assert len(fan) == publishers.MAX_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
     pair.turn(ms=1_000.0, times=14)
     assert len(fan) <= 1
 
@@ -504,28 +508,28 @@
         {"scope": "x" * 257},
         {"items": [Item("k", 1, 7)]},
         {"items": [Item("k", 1, LEAVING, b"", nan)]},
-        {"items": [Item("k", 1 << 60, HERE)]},
-        {"items": [Item("k", 1, HERE, bytes(1 << 17))]},
+        {"items": [Item("k", 1 << 60, PRESENT)]},
+        {"items": [Item("k", 1, PRESENT, bytes(1 << 17))]},
         {"session": 1},
     ],
 )
 def test_a_change_that_cannot_be_changes_nothing(wrong):
     pair = stood()
     held = pair.sub.scopes["s1"]
-    before = (dict(held.records), pair.sub.bytes, pair.sub.taken, held.version)
+    before = (dict(held.records), pair.sub.held_bytes, pair.sub.applied, held.version)
     right = {
         "session": pair.sub._sessions["f"].number,
         "scope": "s1",
         "epoch": pair.source.epoch,
         "n": 1_000,
-        "items": [Item("k", 1_000, HERE, b"")],
+        "items": [Item("k", 1_000, PRESENT, b"")],
         "echo": pair.now - 50.0,
     }
-    pair.sub.heard(pair.now, "f", Change(**(right | wrong)))
+    pair.sub.receive(pair.now, "f", Change(**(right | wrong)))
     assert pair.sub.scopes["s1"] is held
-    assert (held.records, pair.sub.bytes, pair.sub.taken, held.version) == before
+    assert (held.records, pair.sub.held_bytes, pair.sub.applied, held.version) == before
     pair.turn(times=60)
-    pair.sub.heard(
+    pair.sub.receive(
         pair.now, "f", Told(session=right["session"], edition=pair.sub._edition, echo=nan, age=nan)
     )
     assert pair.sub.age(pair.now, "s1") < 2_500.0
@@ -534,14 +538,14 @@
 def test_a_word_that_was_said_before_a_wish_was_known_says_nothing_of_it():
     pair = stood()
     session, edition = pair.sub._sessions["f"].number, pair.sub._edition
-    pair.sub.want(pair.now, "t")
+    pair.sub.subscribe(pair.now, "t")
     pair.sub.out.clear()  # nobody has heard of it yet
     old = Change(session=session, scope="t", epoch=pair.source.epoch, n=3, echo=pair.now)
     word = {"session": session, "echo": pair.now, "age": 0.0, "own": 0.0}
-    pair.sub.heard(pair.now, "f", old)  # by another way, as it was long ago
-    pair.sub.heard(pair.now, "f", Told(edition=edition, **word))
+    pair.sub.receive(pair.now, "f", old)  # by another way, as it was long ago
+    pair.sub.receive(pair.now, "f", Told(edition=edition, **word))
     assert pair.sub.age(pair.now, "t") == inf and "t" in pair.sub.scopes
-    pair.sub.heard(pair.now, "f", Told(edition=edition + 1, **word))
+    pair.sub.receive(pair.now, "f", Told(edition=edition + 1, **word))
     assert pair.sub.age(pair.now, "t") == 0.0
 
 
@@ -553,7 +557,7 @@
         begun += [now for _, m in sub.out if isinstance(m, Subscribe)]
         sub.out.clear()
     apart = [b - a for a, b in pairwise(begun)]
-    assert len(apart) > 20 and max(apart) < subscribers.SILENT + 1_200
+    assert len(apart) > 20 and max(apart) < subscribers.UNRESPONSIVE_MS + 1_200
 
 
 def test_one_that_takes_no_more_sends_its_subscribers_on():
@@ -563,7 +567,7 @@
     sub.tick(100.0)
     session = sub._sessions[first].number
     sub.out.clear()
-    sub.heard(150.0, first, Told(session=session, edition=0, echo=100.0, full=True))
+    sub.receive(150.0, first, Told(session=session, edition=0, echo=100.0, full=True))
     for now in range(200, 4_000, 50):
         sub.tick(float(now))
     assert any(to == other and isinstance(m, Subscribe) for to, m in sub.out)
@@ -579,7 +583,7 @@
             sub.tick(float(now))
             begun += [now for _, m in sub.out if isinstance(m, Subscribe)]
             sub.out.clear()
-    rate = subscribers.CALLS * len(names)
+    rate = subscribers.SUBSCRIPTIONS_PER_S * len(names)
     for at in range(0, 30_000, 1_000):  # nobody answers: the tries keep to what the publishers can take
         assert sum(at <= b < at + 1_000 for b in begun) <= rate
     assert sum(b < 200 for b in begun) < 0.25 * count
@@ -595,4 +599,4 @@
         assert [int(n[1:]) % 2 for n in sub.order] == [0] + 10 * [1] + 9 * [0]  # a zone is lost as a whole
         first[int(sub.order[0][1:])] += 1
     assert max(first) < 2 * 2_000 / 10
-    assert MOST_ALL > 6_700 * 2
+    assert MAX_SCOPES_OF_EVERYTHING > 6_700 * 2
