--- a/tests/scope_net.py
+++ b/tests/scope_net.py
@@ -1,5 +1,6 @@
-"""A simulated network under the pure modules of scopes: messages are lost, doubled, late and out of order,
-processes restart, parts are cut off; a seed replays. It knows the truth and holds all to sentences by it."""
+"""A simulated network for the pure modules of scopes: messages are lost, doubled, late and out of order,
+processes restart, parts are cut off; a seed replays a run. It knows the truth and checks invariants by it.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +17,17 @@
 from ospreyline.fleet.subscriber import BYTES_PER_S, Subscriber
 
 STEP = 50.0  # ms between two ticks of a process
-IN_FORCE = 4_000.0  # ms from a change at the source to a balancer
+IN_FORCE = 4_000.0  # ms; bound from a change at the source until it is in force at a balancer
 EPOCH = 1_700_000_000_000
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
 class Broken(AssertionError):
-    """A sentence does not hold."""
+    """An invariant does not hold."""
 
 
 class Net:
-    """One source, fan-out machines, balancers; `run` goes on in time and checks all."""
+    """One source, fan-out machines, balancers; `run` advances time and checks all invariants."""
 
     def __init__(
         self,
@@ -48,46 +49,48 @@
         self.queue: list[tuple[float, int, str, str, bytes]] = []
         self.number = 0
         self.cut: set[frozenset[str]] = set()
-        self.life: dict[str, int] = {}  # of each process, how often it was started
-        self.state: dict[str, dict[str, tuple[int, bytes, float]]] = {}  # the platform's, and since when
+        self.starts: dict[str, int] = {}  # by process: how often it was started
+        # the true state by scope and key, and since when
+        self.state: dict[str, dict[str, tuple[int, bytes, float]]] = {}
         self.history: dict[str, list[tuple[float, tuple[int, int], dict[str, int] | None]]] = {}
-        self.reached: dict[tuple[int, int], float] = {}  # versions, and when the source came to them
+        self.reached: dict[tuple[int, int], float] = {}  # by version: when the source reached it
         self.contents: dict[tuple[str, int, int], dict[str, tuple[int, bytes]] | None] = {}
-        self.wants: dict[str, set[str]] = {}
-        self.flying: dict[str, list[str]] = {}
-        self.shown: dict[tuple[str, str], tuple[int, int]] = {}
-        self.spent: dict[str, deque[tuple[float, int]]] = {}
-        self.sent: dict[str, int] = {}  # messages of changes, by who got them
+        self.subscriptions: dict[str, set[str]] = {}
+        self.in_flight: dict[str, list[str]] = {}
+        self.last_versions: dict[tuple[str, str], tuple[int, int]] = {}
+        self.bytes_sent: dict[str, deque[tuple[float, int]]] = {}
+        self.sent: dict[str, int] = {}  # change messages, by receiver
         self.changes = 0
-        self.clock_back = False  # the next source has a clock that was set back
+        self.clock_back = False  # the next source starts with a clock that was set back
         self.made = 0
-        self.timely = False  # drains have to be in force in time: no message is lost on purpose
-        self.drains: dict[tuple[str, str], float] = {}  # that are not in force everywhere yet
-        self.leaving: dict[tuple[str, str, str], tuple[int, int]] = {}  # told to go, by the version so and so
-        self.longest = 0.0  # ms until one was
+        self.timely = False  # drains must be in force in time: no message is lost on purpose
+        self.drains: dict[tuple[str, str], float] = {}  # drains that are not in force everywhere yet
+        # by balancer, scope and key: version by which it was to leave
+        self.leaving: dict[tuple[str, str, str], tuple[int, int]] = {}
+        self.longest = 0.0  # ms; the longest time until a drain was in force
         for i in range(scopes):
             self.state[f"s{i}"] = {f"u{k}": (PRESENT, b"x" * body, 0.0) for k in range(upstreams)}
-        self.fans = [f"f{i}" for i in range(fanouts)]
+        self.fanouts = [f"f{i}" for i in range(fanouts)]
         self.balancers = [f"b{i}" for i in range(balancers)]
         self.start_source()
         self.up: dict[str, Fanout] = {}
         self.subs: dict[str, Subscriber] = {}
-        for name in self.fans:
+        for name in self.fanouts:
             self.start_fanout(name)
         for name in self.balancers:
-            self.wants[name] = set(self.random.sample(sorted(self.state), min(4, scopes)))
+            self.subscriptions[name] = set(self.random.sample(sorted(self.state), min(4, scopes)))
             self.start_balancer(name)
 
     # processes
 
-    def _born(self, name: str) -> int:
-        self.life[name] = self.life.get(name, 0) + 1
-        return EPOCH + int(self.now) + self.life[name]
+    def _next_start(self, name: str) -> int:
+        self.starts[name] = self.starts.get(name, 0) + 1
+        return EPOCH + int(self.now) + self.starts[name]
 
     def start_source(self) -> None:
-        epoch = self._born("source") - (10_000_000 if self.clock_back else 0)
+        epoch = self._next_start("source") - (10_000_000 if self.clock_back else 0)
         self.source = Source(epoch, self.random.random)
-        self._links_end("source")
+        self._end_links("source")
         for scope, records in self.state.items():
             self.source.put(self.now, scope, [])
             self.observe()
@@ -98,7 +101,7 @@
     def start_fanout(self, name: str) -> None:
         up = Subscriber(
             name,
-            self._born(name),
+            self._next_start(name),
             [("source", "")],
             self.random.random,
             self.now,
@@ -108,31 +111,31 @@
             heartbeat_ms=500.0,
         )
         self.up[name] = Fanout(up)
-        self._links_end(name)
+        self._end_links(name)
 
     def start_balancer(self, name: str) -> None:
-        start = self._born(name)
+        start = self._next_start(name)
         number = self.balancers.index(name)
         self.subs[name] = Subscriber(
             name,
             start,
-            [(f, "") for f in self.fans],
+            [(f, "") for f in self.fanouts],
             self.random.random,
             self.now,
             number=number,
             count=len(self.balancers),
             rate=self.rate,
         )
-        self.flying[name] = []
-        for key in [k for k in self.shown if k[0] == name]:
-            del self.shown[key]
+        self.in_flight[name] = []
+        for key in [k for k in self.last_versions if k[0] == name]:
+            del self.last_versions[key]
         self.leaving = {k: v for k, v in self.leaving.items() if k[0] != name}
-        self._links_end(name)
-        for scope in sorted(self.wants[name]):
+        self._end_links(name)
+        for scope in sorted(self.subscriptions[name]):
             self.subs[name].subscribe(self.now, scope)
 
-    def _links_end(self, name: str) -> None:
-        """The others notice, or they do not (no reset came)."""
+    def _end_links(self, name: str) -> None:
+        """The others notice with a probability of 0.6 (a reset may not have arrived)."""
         if not hasattr(self, "subs"):
             return
         for other in self.up.values():
@@ -144,10 +147,10 @@
         if self.random.random() < 0.6:
             self.source.publisher.remove_subscriber(name)
 
-    # the platform
+    # the true state
 
     def observe(self) -> None:
-        """Note what the source says now."""
+        """Record the source's current state."""
         self.reached.setdefault((self.source.epoch, self.source.n), self.now)
         for name, scope in self.source.scopes.items():
             self.reached.setdefault(scope.version, self.now)
@@ -159,7 +162,7 @@
                 self.contents[(name, *scope.version)] = held
 
     def change(self) -> None:
-        """Something of the platform changes."""
+        """Change something at random."""
         self.changes += 1
         draw = self.random
         scope = draw.choice(sorted(self.state))
@@ -209,7 +212,7 @@
             if me.startswith("f") and to.startswith("b") and isinstance(message, Change):
                 self.sent[to] = self.sent.get(to, 0) + 1
                 if not message.drains:
-                    self._spent(f"{me} to {to}, {message.session}", len(frame))
+                    self._check_rate(f"{me} to {to}, {message.session}", len(frame))
             if frozenset((me, to)) in self.cut or self.random.random() < self.loss:
                 continue
             for _ in range(2 if self.random.random() < self.double else 1):
@@ -220,9 +223,9 @@
                 heapq.heappush(self.queue, (self.now + delay, self.number, me, to, frame))
         out.clear()
 
-    def _spent(self, pair: str, size: int) -> None:
-        """Bytes a second, over any time, with what may go out at once."""
-        spent = self.spent.setdefault(pair, deque())
+    def _check_rate(self, pair: str, size: int) -> None:
+        """Check the rate over the last 10 s, with the allowed burst."""
+        spent = self.bytes_sent.setdefault(pair, deque())
         spent.append((self.now, size))
         while self.now - spent[0][0] > 10_000.0:
             spent.popleft()
@@ -250,10 +253,10 @@
                 sub = self.subs[to]
                 sub.receive(self.now, me, message)
                 self.send(sub.out, to)
-                self.look(to, False)
+                self.check_balancer(to, False)
 
     def run(self, seconds: float, changes: float = 0.0, faults: float = 0.0, requests: float = 0.0) -> None:
-        """Go on; so many changes, faults and moves of requests a second, drawn."""
+        """Advance time; so many `changes`, `faults` and moves of `requests` are drawn a second."""
         end = self.now + seconds * 1e3
         while self.now < end:
             step = self.now + STEP
@@ -271,17 +274,17 @@
             for name, sub in self.subs.items():
                 sub.tick(self.now)
                 self.send(sub.out, name)
-                self.look(name, True)
-            self._in_time()
+                self.check_balancer(name, True)
+            self._check_drain_times()
 
-    # trouble
+    # faults
 
     def fault(self) -> None:
         draw = self.random
         what = draw.random()
-        everybody = ["source", *self.fans, *self.balancers]
+        everybody = ["source", *self.fanouts, *self.balancers]
         if what < 0.15:
-            self.start_fanout(draw.choice(self.fans))
+            self.start_fanout(draw.choice(self.fanouts))
         elif what < 0.25:
             self.start_balancer(draw.choice(self.balancers))
         elif what < 0.35:
@@ -300,40 +303,40 @@
         self.loss = self.double = self.late = 0.0
 
     def request(self) -> None:
-        """Requests begin and end, scopes are dropped with some in flight and wanted anew."""
+        """Start or end a request, or change a subscription, also with requests in flight."""
         draw = self.random
         name = draw.choice(self.balancers)
         sub, what = self.subs[name], draw.random()
         if what < 0.4:
-            scope = draw.choice(sorted(self.wants[name])) if self.wants[name] else ""
+            scope = draw.choice(sorted(self.subscriptions[name])) if self.subscriptions[name] else ""
             if scope and sub.start_request(scope):
-                self.flying[name].append(scope)
-        elif what < 0.7 and self.flying[name]:
-            scope = self.flying[name].pop(draw.randrange(len(self.flying[name])))
+                self.in_flight[name].append(scope)
+        elif what < 0.7 and self.in_flight[name]:
+            scope = self.in_flight[name].pop(draw.randrange(len(self.in_flight[name])))
             sub.end_request(self.now, scope)
-        elif what < 0.85 and self.wants[name]:
-            scope = draw.choice(sorted(self.wants[name]))
-            self.wants[name].discard(scope)
+        elif what < 0.85 and self.subscriptions[name]:
+            scope = draw.choice(sorted(self.subscriptions[name]))
+            self.subscriptions[name].discard(scope)
             sub.unsubscribe(self.now, scope)
         else:
             scope = f"s{draw.randrange(len(self.state) + 2)}"
-            self.wants[name].add(scope)
+            self.subscriptions[name].add(scope)
             sub.subscribe(self.now, scope)
-        for scope in self.flying[name]:
+        for scope in self.in_flight[name]:
             if scope not in sub.scopes:
                 raise Broken(f"{name}: {scope} went while requests were in flight")
 
-    # sentences
+    # invariants
 
-    def look(self, name: str, closely: bool) -> None:
-        """What one balancer holds, against the truth."""
+    def check_balancer(self, name: str, closely: bool) -> None:
+        """Check one balancer's contents against the truth."""
         sub = self.subs[name]
         sub.updates.clear()
         for scope, held in sub.scopes.items():
-            before = self.shown.get((name, scope))
+            before = self.last_versions.get((name, scope))
             if before is not None and held.version < before:
                 raise Broken(f"{name}: {scope} went back from {before} to {held.version}")
-            self.shown[name, scope] = held.version
+            self.last_versions[name, scope] = held.version
             for key, record in held.records.items() if not held.gone else ():
                 was = self.leaving.get((name, scope, key))
                 at = (held.version[0], record.n)
@@ -342,18 +345,18 @@
                 elif was is not None and record.state == PRESENT and record.n and at < was:
                     raise Broken(f"{name}: {scope} {key} was told to leave by {was} and came back by {at}")
             if closely:
-                self._honest(name, sub, scope)
-                self._right(name, sub, scope)
-        for key in [k for k in self.shown if k[0] == name and k[1] not in sub.scopes]:
-            del self.shown[key]
+                self._check_age(name, sub, scope)
+                self._check_contents(name, sub, scope)
+        for key in [k for k in self.last_versions if k[0] == name and k[1] not in sub.scopes]:
+            del self.last_versions[key]
             self.leaving = {k: v for k, v in self.leaving.items() if k[:2] != key}
         if closely:
             size = sum(held.size for held in sub.scopes.values())
             if size != sub.held_bytes:
                 raise Broken(f"{name}: counts {sub.held_bytes} bytes, holds {size}")
 
-    def _honest(self, name: str, sub: Subscriber, scope: str) -> None:
-        """What is held was the source's state at most so long ago."""
+    def _check_age(self, name: str, sub: Subscriber, scope: str) -> None:
+        """The contents were the source's state at most `age` ms ago."""
         age = sub.age(self.now, scope)
         if age == inf:
             return
@@ -366,15 +369,16 @@
         gone = sub.scopes[scope].gone
         for at, newer, states in reversed(self.history.get(scope, ())):
             if at <= since or newer == version or (gone and states is None):
-                break  # one that is no more is the same under each version
+                break  # a deleted scope is the same under every version
             if at < self.now - age - 1e-6:
                 raise Broken(
                     f"{name}: {scope} at {version} said to be {age:.0f} ms old, {newer} was there "
                     f"{self.now - at:.0f} ms ago"
                 )
 
-    def _right(self, name: str, sub: Subscriber, scope: str) -> None:
-        """What is held is what the source had under that version; what leaves leaves, in its time."""
+    def _check_contents(self, name: str, sub: Subscriber, scope: str) -> None:
+        """The contents are what the source had under that version; what leaves stays leaving, since the right
+        time."""
         held = sub.scopes[scope]
         if held.gone or scope in sub.mismatched:
             return
@@ -400,8 +404,8 @@
                     f"{name}: {scope} {key} leaves since {since:.0f}, held as {record.leaving_since:.0f}"
                 )
 
-    def bounded(self) -> None:
-        """Nothing is kept for long ago or for nobody."""
+    def check_bounds(self) -> None:
+        """State is bounded: nothing is kept for old versions or for subscribers that are gone."""
         for name, fan in self.up.items():
             for sub in fan.down._subscribers.values():
                 if len(sub.behind) > len(sub.acked) or sub.unacked_bytes < 0:
@@ -418,10 +422,10 @@
             if len(sub._sessions) > 2 or sub.max_epoch > MAX_EPOCH:
                 raise Broken(f"{name}: {len(sub._sessions)} sessions")
 
-    def converged(self) -> None:
-        """All hold the newest, and know that it is of now."""
+    def check_converged(self) -> None:
+        """All balancers have the newest versions and know that they are fresh."""
         for name, sub in self.subs.items():
-            for scope in self.wants[name]:
+            for scope in self.subscriptions[name]:
                 held, newest = sub.scopes.get(scope), self.source.scopes.get(scope)
                 if newest is None or newest.gone:
                     if held is None or not held.gone:
@@ -432,8 +436,8 @@
                 if sub.age(self.now, scope) > 3_000.0:
                     raise Broken(f"{name}: {scope} is said to be {sub.age(self.now, scope):.0f} ms old")
 
-    def _in_time(self) -> None:
-        """Drains, from the source to the last balancer."""
+    def _check_drain_times(self) -> None:
+        """Time until drains are in force at the last balancer."""
         for (scope, key), since in list(self.drains.items()):
             if self.in_force(scope, key):
                 self.longest = max(self.longest, self.now - since)
@@ -442,11 +446,11 @@
                 raise Broken(f"{scope} {key} is to leave for {self.now - since:.0f} ms and is still sent to")
 
     def in_force(self, scope: str, key: str) -> bool:
-        """Nobody who wants it sends to this upstream."""
+        """No balancer that subscribes to the scope sends to this upstream."""
         for name, sub in self.subs.items():
             held = sub.scopes.get(scope)
             if (
-                scope in self.wants[name]
+                scope in self.subscriptions[name]
                 and held is not None
                 and not held.gone
                 and key in held.records
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,9 +1,9 @@
-"""A client that closed or cancelled has gone: nothing begins for it, also where the loop is late just then.
+"""Nothing begins for a client that closed or cancelled, even if the event loop stalls just then.
 
-Every story puts the leaving and a delay of the loop at one place between the request and the first byte that
-an upstream sees of it. The delay is a callback that blocks the loop, so the leaving lies unread when the loop
-goes on: what begins after it begins at least that much later than the leaving. Nothing at all may begin then,
-neither a connection that is opened only for it nor a byte.
+Every scenario places the client's leaving and a stall of the loop at one point between the request and the
+first byte that an upstream sees of it. The stall is a callback that blocks the loop, so the leaving is unread
+when the loop continues; whatever begins then begins at least that much later than the leaving. Nothing may
+begin: neither a connection that is opened only for this client nor a single byte.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 CANCEL = pytest.mark.parametrize("cancel", [True, False])
 
 
-def connected(service: Service) -> socket.socket:
-    """A client whose bytes go out when the story says, also while the loop stands."""
+def open_client(service: Service) -> socket.socket:
+    """A client socket that the scenario writes to directly, also while the loop is blocked."""
     return socket.create_connection(service.at)
 
 
@@ -67,14 +67,14 @@
 
 
 class Delay:
-    """The loop is late, once: `first` happens, then the loop stands for so many ms with that unread."""
+    """Stall the loop once: call `first`, then block for `ms`, so that its effect stays unread."""
 
     def __init__(self, ms: float, first: Callable[[], None] = lambda: None) -> None:
-        self.ms, self.first, self.over = ms, first, False
+        self.ms, self.first, self.done = ms, first, False
 
     def __call__(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.done:
+            self.done = True
             self.first()
             time.sleep(self.ms / 1e3)
 
@@ -94,31 +94,31 @@
         return late
 
 
-async def over(service: Service) -> None:
-    """Nothing is in hand any more, and what was opened or written meanwhile has come."""
+async def until_settled(service: Service) -> None:
+    """Wait until no visit or exchange is left, and what was opened or written has arrived."""
     while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.peers.values()):
         await asyncio.sleep(0)
     await passes()
 
 
-async def only_next(service: Service, *peers: Peer) -> None:
-    """The next one is served, and nothing came of what was before: sent earlier, it would be there, too."""
-    await over(service)
+async def only_next_served(service: Service, *peers: Peer) -> None:
+    """The next request is served and nothing of earlier ones arrives: it would have been sent before."""
+    await until_settled(service)
     seen = [len(peer.requests) for peer in peers]
     assert (await (await caller(service)).ask(request(trace="next")))[0] == 200
     assert sum(len(peer.requests) for peer in peers) == sum(seen) + 1
 
 
-def hold(service: Service, monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Visits that come are held; room comes with what is returned."""
+def block_capacity(service: Service, monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
+    """Queue all visits that arrive; call the result to give them capacity."""
     balancer, place = service.turn.balancer, service.turn.balancer._place
     monkeypatch.setattr(balancer, "_place", lambda *_: False)
-    balancer._flow = 1e6  # none is bounced for the wait
+    balancer._flow = 1e6  # without this, visits would be bounced for the expected wait
     return lambda: monkeypatch.setattr(balancer, "_place", place)
 
 
-async def warm(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection stands ready."""
+async def open_idle_connection(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Open an idle connection to the upstream."""
     monkeypatch.setattr(upstreams, "SETTLE", 0.0)
     assert (await (await caller(service)).ask(request()))[0] == 200
 
@@ -127,92 +127,95 @@
 @LATE_BY
 @pytest.mark.parametrize("place", ["turn", "write", "connect", "connected"])
 def test_nothing_begins_for_one_that_left_on_the_way_to_the_write(place, late, how, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             if place in ("turn", "write"):
-                await warm(service, monkeypatch)
+                await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
-            sock = connected(service)
+            sock = open_client(service)
             delay = Delay(late, lambda: leave(sock, how))
             of, name, wrap = {
-                "turn": (upstreams.Peer, "run", delay.before),  # chosen, and the turn is long
-                "write": (upstreams, "unread", delay.before),  # the last that is asked of a kept connection
-                "connect": (upstreams.Peer, "_open", delay.before),  # a pass between choosing and connecting
-                "connected": (upstreams.Peer, "_connect", delay.after),  # it came up, and the loop was late
+                # the upstream is chosen and the batch takes long
+                "turn": (upstreams.Peer, "run", delay.before),
+                "write": (upstreams, "unread", delay.before),  # the last check of an idle connection
+                # a loop iteration between choosing and connecting
+                "connect": (upstreams.Peer, "_open", delay.before),
+                "connected": (upstreams.Peer, "_connect", delay.after),  # connected, and the loop stalled
             }[place]
             with monkeypatch.context() as patch:
                 patch.setattr(of, name, wrap(getattr(of, name)))
                 sock.sendall(request())
-                while not delay.over:
+                while not delay.done:
                     await asyncio.sleep(0)
-                await over(service)
-            # a connection that came up before the leaving is seen there; one opened after it is a beginning
+                await until_settled(service)
+            # A connection established before the leaving is allowed; one opened after it counts as a
+            # beginning.
             assert (len(peer.requests), len(peer.writers) - (place == "connected")) == begun
             assert peer.open == (place in ("turn", "write")) and len(service.turn.upstreams.open) == peer.open
-            await only_next(service, peer)
+            await only_next_served(service, peer)
 
-    play(story)
+    play(scenario)
 
 
 @WAYS
 @LATE_BY
 @pytest.mark.parametrize("kept", [True, False])
 def test_nothing_begins_for_one_that_left_while_it_was_held(kept, late, how, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             if kept:
-                await warm(service, monkeypatch)
+                await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
-            room = hold(service, monkeypatch)
-            sock = connected(service)
+            free_capacity = block_capacity(service, monkeypatch)
+            sock = open_client(service)
             sock.sendall(request())
             while not service.turn.balancer._held:
                 await asyncio.sleep(0)
             Delay(late, lambda: leave(sock, how))()
-            room()
+            free_capacity()
             service.turn.balancer._look(clock())
-            service.turn._turn()  # the very next thing; nothing is read before
-            await over(service)
+            service.turn._turn()  # at once; nothing is read before
+            await until_settled(service)
             assert (len(peer.requests), len(peer.writers)) == begun
-            await only_next(service, peer)
+            await only_next_served(service, peer)
 
-    play(story)
+    play(scenario)
 
 
 @WAYS
 @LATE_BY
 def test_no_further_attempt_begins_for_one_that_left(late, how, monkeypatch):
-    async def story():
+    async def scenario():
         peers = Peer(RESET), Peer(RESET)
         async with running(*peers) as service:
-            sock = connected(service)
+            sock = open_client(service)
             delay = Delay(late, lambda: leave(sock, how))
             monkeypatch.setattr(service.turn, "ended", delay.before(service.turn.ended))
             sock.sendall(asked("/tag"))
-            while not delay.over:
+            while not delay.done:
                 await asyncio.sleep(0)
-            await over(service)
+            await until_settled(service)
             assert sum(len(peer.requests) for peer in peers) == sum(len(peer.writers) for peer in peers) == 1
             for peer in peers:
                 peer.answers = [ok()]
-            await only_next(service, *peers)
+            await only_next_served(service, *peers)
 
-    play(story)
+    play(scenario)
 
 
 @LATE_BY
 @pytest.mark.parametrize("kept", [True, False])
 def test_of_many_sends_in_a_long_turn_none_begins_once_its_client_left(kept, late, monkeypatch):
-    async def story():
+    async def scenario():
         many, before, peer = 40, 10, Peer()
         async with running(peer) as service:
             if kept:
-                await warm(service, monkeypatch)
+                await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
             monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
-            socks = [connected(service) for _ in range(many)]
+            socks = [open_client(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
             delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.Peer.run
@@ -227,31 +230,31 @@
 
             monkeypatch.setattr(upstreams.Peer, "run", nth)
             for sock in socks:
-                sock.sendall(request())  # read in one pass, and sent in one turn
-            while not delay.over:
+                sock.sendall(request())  # read in one loop iteration and sent in one batch
+            while not delay.done:
                 await asyncio.sleep(0)
             assert len(ran) >= many and len(turns) == 1
-            await over(service)
-            # the first was written on the connection that stood ready; the others still had to connect
+            await until_settled(service)
+            # Only the first was written, on the idle connection; the others still had to connect.
             assert (len(peer.requests), len(peer.writers)) == (begun[0] + kept, begun[1])
 
-    play(story)
+    play(scenario)
 
 
 @LATE_BY
 @pytest.mark.parametrize("where", ["held", "connecting"])
 def test_hundreds_that_go_in_a_burst_leave_nothing_behind(where, late, monkeypatch):
-    async def story():
+    async def scenario():
         many = 300
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
         async with running(
             known=[target("u0", gate.port)], sockets=2_048, ConnectTimeoutUs=4_000_000
         ) as service:
             if where == "held":
-                room = hold(service, monkeypatch)
+                free_capacity = block_capacity(service, monkeypatch)
             else:
                 monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
-            socks = [connected(service) for _ in range(many)]
+            socks = [open_client(service) for _ in range(many)]
             for sock in socks:
                 sock.sendall(request())
 
@@ -261,14 +264,15 @@
 
             while waiting() < many:
                 await asyncio.sleep(0)
-            gate.open.set()  # all connections come up, or room for all, in the pass in which they leave
+            # all connections are established, or capacity appears, in the iteration in which they leave
+            gate.open.set()
             ways = "end", "reset", "half"
             Delay(late, lambda: [leave(sock, ways[i % 3]) for i, sock in enumerate(socks)])()
             if where == "held":
-                room()
+                free_capacity()
                 service.turn.balancer._look(clock())
                 service.turn._turn()
-            await over(service)
+            await until_settled(service)
             while service.clients.open:
                 await asyncio.sleep(0)
             assert not gate.got and not service.turn.upstreams.open and not service.turn._ids
@@ -279,13 +283,14 @@
                 await asyncio.sleep(0)
             assert gate.got.count(b"X-Trace-Id") == 1
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("how", ["left", "time-out"])
 def test_what_is_ended_while_it_lay_in_our_buffer_is_never_whole_at_its_upstream(how, monkeypatch):
-    # the loop closes a connection a pass later, and in that pass what was told as never sent left us whole
-    async def story():
+    # The loop closes a connection one iteration later; in that iteration a request reported as never sent was
+    # flushed completely.
+    async def scenario():
         server = socket.socket()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         server.bind(("127.0.0.1", 0))
@@ -300,7 +305,7 @@
         monkeypatch.setattr(upstreams.Conn, "connection_made", narrow)
         body = b"x" * 60_000
         async with running(known=[target("u0", server.getsockname()[1])]) as service:
-            sock, loop, got = connected(service), asyncio.get_running_loop(), bytearray()
+            sock, loop, got = open_client(service), asyncio.get_running_loop(), bytearray()
             sock.sendall(request("/change", "POST", body))
             conn, _ = await loop.sock_accept(server)
             while not service.turn.upstreams.peers[0].errands:
@@ -308,12 +313,12 @@
             (errand,) = service.turn.upstreams.peers[0].errands
             while errand.stage is not upstreams.Stage.WRITING:
                 await asyncio.sleep(0)
-            # all but a last piece, which goes as soon as the upstream takes more
+            # all but a last piece, which is sent as soon as the upstream reads more
             while errand.conn.transport.get_write_buffer_size() > 8_000:
                 got.extend(await loop.sock_recv(conn, 1_000))
                 await asyncio.sleep(0)
             assert not errand.conn.written()
-            # in one pass its upstream takes more, and it ends
+            # in one iteration the upstream reads more and the exchange ends
             conn.setblocking(False)
             with suppress(BlockingIOError):
                 while data := conn.recv(65_536):
@@ -332,23 +337,23 @@
             conn.close()
             server.close()
 
-    play(story)
+    play(scenario)
 
 
-# what waits for a reload's turn, for the alarm's extra pass, for a permit of takeover
+# visits that wait for a reload's batch, for the timer's extra iteration, or for a grant of takeover
 
 
 @LATE_BY
 def test_nothing_begins_for_one_that_left_before_a_reloads_turn(late):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            sock, turn, take, met = connected(service), service.turn, service.turn.take, []
+            sock, turn, take, met = open_client(service), service.turn, service.turn.take, []
 
             def taken(asked, client):
                 met.append(take(asked, client))
                 Delay(late, lambda: leave(sock))()
-                reload(service, ["change", "tag", "read"])  # plays the turn of what has come, at once
+                reload(service, ["change", "tag", "read"])  # processes the batch of queued events at once
                 return met[0]
 
             turn.take = taken
@@ -356,38 +361,42 @@
             while not met:
                 await asyncio.sleep(0)
             turn.take = take
-            await over(service)
+            await until_settled(service)
             assert not peer.requests and not peer.writers
-            await only_next(service, peer)
+            await only_next_served(service, peer)
 
-    play(story)
+    play(scenario)
 
 
 @LATE_BY
 def test_one_that_left_before_an_alarm_that_is_late_is_not_even_placed(late, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            room, turn, balancer = hold(service, monkeypatch), service.turn, service.turn.balancer
-            sock = connected(service)
+            free_capacity, turn, balancer = (
+                block_capacity(service, monkeypatch),
+                service.turn,
+                service.turn.balancer,
+            )
+            sock = open_client(service)
             sock.sendall(request())
             while not balancer._held:
                 await asyncio.sleep(0)
             turn._alarm.cancel()
-            turn._wakes = [(clock(), -1, balancer._look)]  # due now, and the loop is late from now on
-            Delay(late, lambda: leave(sock))()  # over `LATE`
-            room()
+            turn._wakes = [(clock(), -1, balancer._look)]  # due now, and the loop stalls from now on
+            Delay(late, lambda: leave(sock))()  # longer than `LATE`
+            free_capacity()
             placed, place = [], balancer._place
             monkeypatch.setattr(balancer, "_place", lambda *args: placed.append(args) or place(*args))
             turn._ring()
-            await over(service)
+            await until_settled(service)
             assert not placed and not peer.requests and not peer.writers
 
-    play(story)
+    play(scenario)
 
 
-class Guarded:
-    """Takeover on one balancer, and guardians whose words the story carries."""
+class TakeoverBank:
+    """Takeover on one balancer, and acceptors whose messages the scenario delivers."""
 
     def __init__(self, service: Service) -> None:
         turn = service.turn
@@ -403,10 +412,10 @@
             for other in everybody:
                 if other != name:
                     one.linked(clock(), other)
-        self.carry()
+        self.deliver()
 
-    def carry(self) -> None:
-        """All words that are under way, and what they bring is news of the next turn."""
+    def deliver(self) -> None:
+        """Deliver all pending messages; the resulting events are processed in the next batch."""
         everybody = {"m0": self.own, **self.at}
         while any(one.out for one in everybody.values()):
             for name, one in everybody.items():
@@ -419,11 +428,11 @@
 @CANCEL
 @pytest.mark.parametrize(("read", "late"), [(True, 0), (False, 50), (False, 300)])
 def test_nothing_begins_for_one_that_left_while_it_waited_for_a_permit(read, late, cancel):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            guarded, turn = Guarded(service), service.turn
-            sock = connected(service)
+            bank, turn = TakeoverBank(service), service.turn
+            sock = open_client(service)
             sock.sendall(asked("/change"))
             while not turn.covering._waiting:
                 await asyncio.sleep(0)
@@ -433,22 +442,22 @@
                     await asyncio.sleep(0)
             else:
                 Delay(late, lambda: leave(sock))()
-            guarded.carry()
-            turn._turn()  # the permit is there, and nothing was read before
-            await over(service)
+            bank.deliver()
+            turn._turn()  # the grant is there, and nothing was read before
+            await until_settled(service)
             assert not peer.requests and not peer.writers
-            # and it is forgotten: nobody will send a word of it
-            assert not turn._ids and not turn.covering._waiting and not guarded.own.visits
+            # and it is removed: no message about it will come
+            assert not turn._ids and not turn.covering._waiting and not bank.own.visits
 
-    play(story)
+    play(scenario)
 
 
 def test_nothing_begins_for_one_that_left_while_it_waited_for_its_claim():
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            guarded, turn = Guarded(service), service.turn
-            guarded.at["m1"].admit(
+            bank, turn = TakeoverBank(service), service.turn
+            bank.at["m1"].admit(
                 clock(),
                 1,
                 "tag 7",
@@ -456,17 +465,17 @@
                 b"tbody",
                 2_000.0,
             )
-            guarded.at["m1"].register_queued(clock(), 1)
-            guarded.carry()
-            sock = connected(service)
+            bank.at["m1"].register_queued(clock(), 1)
+            bank.deliver()
+            sock = open_client(service)
             sock.sendall(asked("/tag", trace="7", X_Second_Try="same"))
             while not turn.covering._retry_deadlines:
                 await asyncio.sleep(0)
             assert asked_kind is not None
             leave(sock)
-            guarded.carry()
+            bank.deliver()
             turn._turn()
-            await over(service)
+            await until_settled(service)
             assert (
                 not peer.requests
                 and not peer.writers
@@ -474,22 +483,23 @@
                 and not turn.covering._retry_deadlines
             )
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("again", [False, True])
 def test_what_goes_on_without_its_client_makes_no_further_attempt_until_it_is_asked_for_again(again):
-    # with takeover what was begun goes on, and its answer is kept; but nothing begins for one that has gone
-    async def story():
+    # With takeover a fetch in progress continues and its answer is stored; but nothing new begins for a
+    # client that left.
+    async def scenario():
         peers = Peer(SILENT), Peer(SILENT)
         async with running(*peers) as service:
-            Guarded(service)
-            sock, turn = connected(service), service.turn
-            guarded = Guarded(service)
+            TakeoverBank(service)
+            sock, turn = open_client(service), service.turn
+            bank = TakeoverBank(service)
             sock.sendall(asked("/tag", trace="7"))
             while not turn.covering._waiting:
                 await asyncio.sleep(0)
-            guarded.carry()
+            bank.deliver()
             while not sum(len(peer.requests) for peer in peers):
                 await asyncio.sleep(0)
             leave(sock)
@@ -509,29 +519,29 @@
             while not turn.counts["reset"]:
                 await asyncio.sleep(0)
             for _ in range(20):
-                guarded.carry()
+                bank.deliver()
                 await asyncio.sleep(0)
             if again:
                 assert (await client.answer())[2] == b"once more"
             else:
                 while turn.visits:
-                    guarded.carry()
+                    bank.deliver()
                     await asyncio.sleep(0)
             assert sum(len(peer.requests) for peer in peers) == 1 + again
 
-    play(story)
+    play(scenario)
 
 
 # a process that is stopped
 
 
 @asynccontextmanager
-async def process(tmp_path: Path, upstream: int) -> AsyncIterator[tuple[int, int]]:
-    """`serve`, ready in front of that upstream: its process and its port."""
+async def serve_process(tmp_path: Path, upstream: int) -> AsyncIterator[tuple[int, int]]:
+    """A `serve` process, ready, in front of this upstream: its process id and port."""
     port = free_port()
-    told = configuration([target("u0", upstream)], ConnectTimeoutUs=4_000_000)
+    settings = configuration([target("u0", upstream)], ConnectTimeoutUs=4_000_000)
     file = tmp_path / "balancer.json"
-    file.write_text(json.dumps(told | {"listen": f"127.0.0.1:{port}"}))
+    file.write_text(json.dumps(settings | {"listen": f"127.0.0.1:{port}"}))
     started = subprocess.Popen(
         [sys.executable, "-m", "ospreyline", "serve", str(file)],
         stdout=subprocess.DEVNULL,
@@ -548,11 +558,11 @@
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_a_process_that_was_stopped_begins_nothing_for_those_that_left_meanwhile(kept, tmp_path):
-    async def story():
+    async def scenario():
         peer = await Peer().start()
-        async with process(tmp_path, peer.port) as (pid, port):
-            if kept:  # a connection to the upstream stands ready, and those who ask are accepted already
-                assert (await (await asked_at(port)).ask(request()))[0] == 200
+        async with serve_process(tmp_path, peer.port) as (pid, port):
+            if kept:  # an idle connection to the upstream exists, and the clients are accepted already
+                assert (await (await dial(port)).ask(request()))[0] == 200
                 await asyncio.sleep(upstreams.SETTLE / 1e3)
             begun = len(peer.requests), len(peer.writers)
             socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]
@@ -565,26 +575,27 @@
                 leave(sock, ("end", "reset", "half", "half")[i // 3])
             await asyncio.sleep(0.15)
             os.kill(pid, signal.SIGCONT)
-            assert (await (await asked_at(port)).ask(request(trace="next")))[0] == 200
+            assert (await (await dial(port)).ask(request(trace="next")))[0] == 200
             assert len(peer.requests) == begun[0] + 1 and len(peer.writers) <= begun[1] + 1
 
-    play(story)
+    play(scenario)
 
 
 def connecting(port: int) -> bool:
-    """Whether somebody on this machine tries to connect there, and has no answer yet."""
+    """Whether a connection attempt to this port is unanswered (SYN sent) on this machine."""
     rows = (row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:])
     return any(row[2].endswith(f":{port:04X}") and row[3] == "02" for row in rows)
 
 
 def test_a_process_that_was_stopped_while_it_connected_writes_nothing_for_those_that_left(tmp_path):
-    async def story():
+    async def scenario():
         server = socket.create_server(("127.0.0.1", 0), backlog=0)
         server.setblocking(False)
         at = server.getsockname()
-        async with process(tmp_path, at[1]) as (pid, port):
+        async with serve_process(tmp_path, at[1]) as (pid, port):
             for how in ("end", "reset", "half"):
-                full = [socket.create_connection(at)]  # the queue of the listener is full: no more come up
+                # the listener's backlog is full: no more connections are established
+                full = [socket.create_connection(at)]
                 sock = socket.create_connection(("127.0.0.1", port))
                 sock.sendall(asked("/change"))
                 while not connecting(at[1]):
@@ -592,17 +603,17 @@
                 os.kill(pid, signal.SIGSTOP)
                 leave(sock, how)
                 await asyncio.sleep(0.15)
-                full.append(server.accept()[0])  # from here on its connection can come up
+                full.append(server.accept()[0])  # from here on its connection can be established
                 os.kill(pid, signal.SIGCONT)
                 while connecting(at[1]):
                     await asyncio.sleep(0.005)
                 with suppress(BlockingIOError, ConnectionResetError):
-                    while True:  # it may have come up before the process went on; not a byte is written
+                    while True:  # it may be established before the process continues; not a byte is written
                         late, _ = server.accept()
                         assert not await asyncio.get_running_loop().sock_recv(late, 65_536)
                 for one in full:
                     one.close()
-            client = await asked_at(port)
+            client = await dial(port)
             client.writer.write(request(trace="next"))
             while True:
                 await asyncio.sleep(0.005)
@@ -613,7 +624,7 @@
             conn.close()
             server.close()
 
-    play(story)
+    play(scenario)
 
 
 def free_port() -> int:
@@ -621,67 +632,69 @@
         return int(server.getsockname()[1])
 
 
-async def asked_at(port: int) -> Caller:
+async def dial(port: int) -> Caller:
     return Caller(*await asyncio.open_connection("127.0.0.1", port))
 
 
 async def serving(port: int) -> None:
     while True:
         try:
-            if (await (await asked_at(port)).ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
+            if (await (await dial(port)).ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
                 return
         except OSError:
             pass
         await asyncio.sleep(0.02)
 
 
-# what an attempt tells its upstream as time left
+# the time left that an attempt reports to its upstream
 
-TIME = 0.9  # s that the clients here wait
+TIME = 0.9  # s; timeout of the clients here
 
 
-class Told:
-    """At each write: what was told as time left, and what was left to the client, in ms."""
+class TimeLeftRecorder:
+    """Records at each write, in ms: the time left that was sent, and the time that the client really had
+    left."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.asked_at = 0.0  # when its client had sent it
+        self.dial = 0.0  # when the client had sent the request
         self.writes: list[tuple[float, float]] = []
         start = upstreams.Conn.start
 
         def noted(conn: upstreams.Conn, errand: upstreams.Errand, *args: Any) -> None:
-            head, left = errand.head, 1e3 * TIME - (clock() - self.asked_at)
+            head, left = errand.head, 1e3 * TIME - (clock() - self.dial)
 
             class Seen:
-                """The transport, as far as `start` needs it."""
+                """A transport that records the header, for `Conn.start`."""
 
                 def write(self, data: bytes) -> None:
-                    told.append(1e3 * float(data.split(b"X-Expires-In: ")[1].split(b"\r\n")[0]))
+                    reported.append(1e3 * float(data.split(b"X-Expires-In: ")[1].split(b"\r\n")[0]))
                     transport.write(data)
 
                 def __getattr__(self, name: str) -> Any:
                     return getattr(transport, name)
 
-            told: list[float] = []
+            reported: list[float] = []
             transport, conn.transport = conn.transport, Seen()
             start(conn, errand, *args)
             conn.transport = transport
             assert head == errand.head
-            self.writes.append((told[0], left))
+            self.writes.append((reported[0], left))
 
         monkeypatch.setattr(upstreams.Conn, "start", noted)
 
     def send(self, sock: socket.socket, path: str = "/read") -> None:
         sock.sendall(asked(path, X_Expires_In=str(TIME)))
-        self.asked_at = clock()
+        self.dial = clock()
 
     def check(self, number: int, late: float) -> None:
-        """So many attempts; the last one after a delay, and none told more than was left."""
+        """There were `number` attempts, the last one after a delay of `late` ms; none reported more time than
+        was left."""
         assert len(self.writes) == number
-        for told, left in self.writes:
-            assert 0 < told <= left
-        told, left = self.writes[-1]
-        # the loop's timers go by whole milliseconds; and it is not told far less than was left, either
-        assert left <= 1e3 * TIME - late + 2 and told > left - 200
+        for reported, left in self.writes:
+            assert 0 < reported <= left
+        reported, left = self.writes[-1]
+        # the loop's timers have whole milliseconds; nor is much less reported than was left
+        assert left <= 1e3 * TIME - late + 2 and reported > left - 200
 
 
 async def answered(sock: socket.socket) -> int:
@@ -695,13 +708,13 @@
 @LATE_BY
 @pytest.mark.parametrize("place", ["accept", "read", "turn", "write", "connect", "connected", "slow", "held"])
 def test_what_a_first_attempt_tells_as_time_left_is_not_more_than_that(place, late, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer, ConnectTimeoutUs=4_000_000) as service:
             if place in ("turn", "write"):
-                await warm(service, monkeypatch)
-            room = hold(service, monkeypatch) if place == "held" else None
-            told, delay = Told(monkeypatch), Delay(late)
+                await open_idle_connection(service, monkeypatch)
+            free_capacity = block_capacity(service, monkeypatch) if place == "held" else None
+            recorder, delay = TimeLeftRecorder(monkeypatch), Delay(late)
             if place in ("turn", "write", "connect", "connected"):
                 of, name, wrap = {
                     "turn": (upstreams.Peer, "run", delay.before),
@@ -710,7 +723,7 @@
                     "connected": (upstreams.Peer, "_connect", delay.after),
                 }[place]
                 monkeypatch.setattr(of, name, wrap(getattr(of, name)))
-            elif place == "slow":  # the loop is not late, the connection is
+            elif place == "slow":  # the connection is slow, not the loop
                 connect = upstreams.Peer._connect
 
                 async def slow(*args: Any) -> None:
@@ -718,23 +731,23 @@
                     await connect(*args)
 
                 monkeypatch.setattr(upstreams.Peer, "_connect", slow)
-            sock = connected(service)
+            sock = open_client(service)
             if place != "accept":
                 while not service.clients.open:
                     await asyncio.sleep(0)
-            told.send(sock)
+            recorder.send(sock)
             if place in ("accept", "read"):
-                delay()  # it lies in the listener's queue, or in its own socket
-            if room is not None:
+                delay()  # it waits in the listener's backlog, or unread in its socket
+            if free_capacity is not None:
                 while not service.turn.balancer._held:
                     await asyncio.sleep(0)
                 delay()
-                room()
+                free_capacity()
                 service.turn.note(service.turn.balancer._look)
             assert await answered(sock) == 200
-            told.check(1, late)
+            recorder.check(1, late)
 
-    play(story)
+    play(scenario)
 
 
 @LATE_BY
@@ -749,25 +762,25 @@
         ("turned away", "slow"),
         ("turned away", "held"),
     ],
-)  # what may have run is not held
+)  # a visit that may have run is not queued
 def test_what_a_further_attempt_tells_as_time_left_is_not_more_than_that(first, place, late, monkeypatch):
-    async def story():
+    async def scenario():
         bad = RESET if first == "reset" else ok(b"", b"X-Never-Ran: 1\r\n", b"503 Service Unavailable")
         peers = Peer(bad), Peer(bad)
         async with running(*peers, ConnectTimeoutUs=4_000_000) as service:
-            if place == "kept":  # at both: the further attempt, too, meets a connection that stands ready
+            if place == "kept":  # at both: the further attempt also finds an idle connection
                 for peer in peers:
                     peer.answers = [ok()]
                 while not all(peer.requests for peer in peers):
-                    await warm(service, monkeypatch)
+                    await open_idle_connection(service, monkeypatch)
                 for peer in peers:
                     peer.answers = [bad]
-            turn, told, delay = service.turn, Told(monkeypatch), Delay(late)
-            ended, room = turn.ended, None
+            turn, recorder, delay = service.turn, TimeLeftRecorder(monkeypatch), Delay(late)
+            ended, free_capacity = turn.ended, None
 
             def then(*args: Any) -> None:
-                # the first attempt has ended; from now on the delay
-                nonlocal room
+                # the first attempt has ended; the stall follows
+                nonlocal free_capacity
                 for peer in peers:
                     peer.answers = [ok()]
                 if place == "ended":
@@ -784,54 +797,54 @@
 
                     monkeypatch.setattr(upstreams.Peer, "_connect", slow)
                 elif place == "held":
-                    room = hold(service, monkeypatch)
+                    free_capacity = block_capacity(service, monkeypatch)
                 turn.ended = ended
                 ended(*args)
 
             turn.ended = then
-            sock = connected(service)
+            sock = open_client(service)
             while not service.clients.open:
                 await asyncio.sleep(0)
-            told.send(sock)
+            recorder.send(sock)
             if place == "read":
-                delay()  # before the first attempt: both know it
+                delay()  # before the first attempt: it counts for both
             if place == "held":
                 while not turn.balancer._held:
                     await asyncio.sleep(0)
                 delay()
-                room()
+                free_capacity()
                 turn.note(turn.balancer._look)
             assert await answered(sock) == 200
-            told.check(2, late)
+            recorder.check(2, late)
 
-    play(story)
+    play(scenario)
 
 
 @LATE_BY
 def test_what_waited_for_a_permit_tells_as_time_left_what_is_left_then(late, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            guarded, told, sock = Guarded(service), Told(monkeypatch), connected(service)
-            told.send(sock, "/change")
+            bank, recorder, sock = TakeoverBank(service), TimeLeftRecorder(monkeypatch), open_client(service)
+            recorder.send(sock, "/change")
             while not service.turn.covering._waiting:
                 await asyncio.sleep(0)
             Delay(late)()
-            guarded.carry()
+            bank.deliver()
             assert await answered(sock) == 200
-            told.check(1, late)
+            recorder.check(1, late)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_one_whose_time_is_over_when_its_turn_comes_to_be_written_is_not_begun(kept, monkeypatch):
-    # it was told 1 ms, whatever was left
-    async def story():
+    # it was sent with 1 ms left, whatever the real value
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             if kept:
-                await warm(service, monkeypatch)
+                await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
             delay = Delay(150)
             monkeypatch.setattr(upstreams.Peer, "run", delay.before(upstreams.Peer.run))
@@ -841,21 +854,22 @@
             assert status == 503 and (len(peer.requests), len(peer.writers)) == begun
             assert not service.turn.balancer._upstreams[0].run and service.turn.counts["unreached"] == 0
 
-    play(story)
+    play(scenario)
 
 
-# a further attempt that is chosen within its window, and would begin after it
+# a further attempt that is chosen within its window and would begin after it
 
 
 @pytest.mark.parametrize("what", ["in time", "connection", "loop", "permit"])
 def test_a_repeat_that_would_begin_after_its_window_is_not_begun(what, monkeypatch):
-    # chosen in time, it was written when its connection came up, and its upstream had forgotten the key
-    async def story():
+    # Chosen in time, it was written once its connection was established, when its upstream had forgotten the
+    # key.
+    async def scenario():
         window, peers = 1_400.0 if what == "in time" else 400.0, (Peer(RESET), Peer(RESET))
         async with running(*peers) as service:
             reload(service, ["read", "tag", "change"], tag={"WindowUs": window * 1e3})
             service.turn.upstreams.connect_time_out = 4_000.0  # the window ends first
-            turn, guarded = service.turn, Guarded(service) if what == "permit" else None
+            turn, bank = service.turn, TakeoverBank(service) if what == "permit" else None
             ended, begun, again = turn.ended, [], asyncio.Event()
 
             async def late(*args: Any) -> None:
@@ -865,7 +879,7 @@
                 await connect(*args)
 
             def then(now, taken, number, outcome):
-                # the first has ended: the next one is chosen in time, and something keeps it
+                # the first has ended: the next one is chosen in time, and then delayed
                 turn.ended = ended
                 begun.append(taken.errands[number].sent)
                 for peer in peers:
@@ -879,24 +893,24 @@
                 assert len(taken.handle.fetches) == 2
 
             connect, turn.ended = upstreams.Peer._connect, then
-            sock = connected(service)
+            sock = open_client(service)
             sock.sendall(asked("/tag"))
-            if guarded is not None:
+            if bank is not None:
                 while not turn.covering._waiting:
                     await asyncio.sleep(0)
-                guarded.carry()  # a permit for the first
+                bank.deliver()  # the grant for the first
                 while not begun or not turn.covering._waiting:
                     await asyncio.sleep(0)
                 while clock() <= begun[0] + window:
                     await asyncio.sleep(0.01)
-                guarded.carry()
+                bank.deliver()
             # the client is told that a repeat of its own is harmless, as its key allows
             assert await answered(sock) == (200 if what == "in time" else 503)
             assert sum(len(peer.requests) for peer in peers) == (2 if what == "in time" else 1)
             assert again.is_set() is (what in ("connection", "loop"))
             assert turn.counts["unreached"] == 0
 
-    play(story)
+    play(scenario)
 
 
 # a reload followed by a drain
@@ -905,8 +919,9 @@
 @pytest.mark.parametrize("first", ["reload", "drain"])
 @pytest.mark.parametrize(("place", "moves"), [("connecting", False), ("connecting", True), ("held", True)])
 def test_nothing_begins_at_what_drains_around_a_reload(moves, place, first, monkeypatch):
-    # the settings tell the list anew as it was; where discovery moves, its list leaves out who drains
-    async def story():
+    # The new settings repeat the old list; where the list service changes, its list omits the draining
+    # upstream.
+    async def scenario():
         registry, other = Registry(), await Registry().start()
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
         async with running(
@@ -915,10 +930,10 @@
             await registry.tell(4)
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
-            room = hold(service, monkeypatch) if place == "held" else None
+            free_capacity = block_capacity(service, monkeypatch) if place == "held" else None
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x", X_Expires_In="0.6"))
-            while not (service.turn.balancer._held if room else gate.connecting.is_set()):
+            while not (service.turn.balancer._held if free_capacity else gate.connecting.is_set()):
                 await asyncio.sleep(0)
             if first == "drain":
                 await registry.tell(5, target("u0", gate.port, state="leaving"))
@@ -933,11 +948,11 @@
             while service.turn.discovery.rev != (6 if moves or first == "reload" else 5):
                 await asyncio.sleep(0)
             gate.open.set()
-            if room:
-                room()
+            if free_capacity:
+                free_capacity()
                 service.turn.note(service.turn.balancer._look)
             assert (await client.answer())[0] == 503  # it never ran
-            await over(service)
+            await until_settled(service)
             assert not gate.got and not service.turn.upstreams.open
 
-    play(story)
+    play(scenario)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""The core of takeover: its sentences hold in every state of the small world; planted mistakes are found."""
+"""The takeover protocol: its invariants hold in every explored state, and planted mistakes are found."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
     ],
 )
 def test_the_sentences_hold(bounds, most):
-    # the first three are seen whole; the others as far as CI has time, more by `ospreyline explore guards`
+    # the first three are explored completely, the others as far as CI has time: `ospreyline explore guards`
     found = Explorer(**bounds).explore(most)
     assert not found.broken, "\n".join(found.trace)
     assert found.whole is (most == 100_000)
 
 
 def permit_after_takeover(patch):
-    heard = Acceptor.receive
+    receive = Acceptor.receive
 
     def wrong(self, now, say):
         kept = self.works.get(say.work)
         if say.what == "permit" and kept is not None:
             kept.promised = min(kept.promised, say.ballot)
-        return heard(self, now, say)
+        return receive(self, now, say)
 
     patch.setattr(Acceptor, "receive", wrong)
 
 
 def permits_not_told(patch):
-    yes = Acceptor._accept
+    accept = Acceptor._accept
     patch.setattr(
-        Acceptor, "_accept", lambda self, now, say, kept: replace(yes(self, now, say, kept), permits=())
+        Acceptor, "_accept", lambda self, now, say, kept: replace(accept(self, now, say, kept), permits=())
     )
 
 
@@ -55,20 +55,20 @@
 
 
 def written_without_permit(patch):
-    permit = Proposer.request_grant
+    request_grant = Proposer.request_grant
 
     def wrong(self, *more, **named):
-        permit(self, *more, **named)
+        request_grant(self, *more, **named)
         self.granted = True
 
     patch.setattr(Proposer, "request_grant", wrong)
 
 
 def may_have_run_ignored(patch):
-    claimed = Proposer._evaluate_claim
+    evaluate_claim = Proposer._evaluate_claim
 
     def wrong(self):
-        claimed(self)
+        evaluate_claim(self)
         self.may_have_run = False
 
     patch.setattr(Proposer, "_evaluate_claim", wrong)
@@ -85,18 +85,18 @@
 
 
 def forgetful_counts_as_knowing(patch):
-    yes = Acceptor._accept
+    accept = Acceptor._accept
     patch.setattr(
-        Acceptor, "_accept", lambda self, now, say, kept: replace(yes(self, now, say, kept), guards=GUARDS)
+        Acceptor, "_accept", lambda self, now, say, kept: replace(accept(self, now, say, kept), guards=GUARDS)
     )
 
 
 def sent_after_its_refusal(patch):
-    permit = Proposer.request_grant
+    request_grant = Proposer.request_grant
 
     def wrong(self, *more, **named):
         self._refusing = False
-        permit(self, *more, **named)
+        request_grant(self, *more, **named)
 
     patch.setattr(Proposer, "request_grant", wrong)
     steps = Explorer.steps
@@ -141,7 +141,7 @@
     assert len({tuple(choose_acceptors(f"v{i}", members)) for i in range(40)}) > 8
 
 
-def word(
+def message(
     what: str, work: str = WORK, session: int = 0, body: bytes = b"", round_: int = 0, serial: int = 1
 ) -> Say:
     return Say(
@@ -163,10 +163,11 @@
     one = Acceptor("g0", 1_000.0, 1)
     session = one.start_session("o")
     said = [
-        one.receive(0.0, word("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what for i in range(100)
+        one.receive(0.0, message("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what
+        for i in range(100)
     ]
     assert said.count("yes") == 33 and one.stored_bytes <= 1_000
-    assert all(one.receive(0.0, word("claim", f"c{i}", session, round_=1)).what for i in range(100))
+    assert all(one.receive(0.0, message("claim", f"c{i}", session, round_=1)).what for i in range(100))
     assert len(one.works) <= 50
     one.expire(1_001.0)
     assert not one.works and one.stored_bytes == 0
@@ -175,18 +176,18 @@
 def test_words_of_a_former_session_are_refused():
     one = Acceptor("g0", 1_000.0, 1)
     first = one.start_session("o")
-    assert one.receive(0.0, word("register", session=first)).what == "yes"
+    assert one.receive(0.0, message("register", session=first)).what == "yes"
     second = one.start_session("o")
-    assert second != first and one.receive(0.0, word("permit", session=first)).what == "no"
+    assert second != first and one.receive(0.0, message("permit", session=first)).what == "no"
     assert Acceptor("g0", 1_000.0, 2).start_session("o") != first
 
 
 def test_a_register_that_comes_after_a_claim_does_not_bring_the_owner_back():
     one = Acceptor("g0", 1_000.0, 1)
     session = one.start_session("o")
-    assert one.receive(0.0, word("claim", session=session, round_=1)).what == "yes"
-    assert one.receive(0.0, word("register", session=session)).what == "no"
-    assert one.receive(0.0, word("permit", session=session)).what == "no" and not one.works[WORK].grants
+    assert one.receive(0.0, message("claim", session=session, round_=1)).what == "yes"
+    assert one.receive(0.0, message("register", session=session)).what == "no"
+    assert one.receive(0.0, message("permit", session=session)).what == "no" and not one.works[WORK].grants
 
 
 def test_one_that_asks_later_is_told_the_kept_answer():
@@ -194,7 +195,7 @@
     sessions = {g.name: g.start_session("o") for g in guards}
     later = {g.name: g.start_session("s") for g in guards}
 
-    def carry(work):
+    def deliver(work):
         out, work.out = work.out, []
         for say in out:
             work.receive(guards[GUARDS.index(say.to)].receive(0.0, say))
@@ -202,29 +203,29 @@
     owner = Proposer(WORK, "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 1))
     for call in (owner.register, owner.request_grant, lambda: owner.record_answer(b"the answer")):
         call()
-        carry(owner)
+        deliver(owner)
     assert owner.granted
     other = Proposer(WORK, "s", GUARDS, later)
     other.claim((0, "o"))
-    carry(other)
+    deliver(other)
     assert other.outcome() == "answered" and other.answer == b"the answer"
     refused = Proposer("w", "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 2))
     for call in (refused.register, refused.refuse):
         call()
-        carry(refused)
+        deliver(refused)
     assert refused.refusal_recorded
     asked = Proposer("w", "s", GUARDS, later)
     asked.claim((0, "o"))
-    carry(asked)
+    deliver(asked)
     assert asked.outcome() == "never ran" and asked.closed == (0, "o")
-    # whoever takes it over for nobody does not run it; for its client, who asks again, it may
+    # a claimant without a client does not run it; for a client that asks again it may
     asked.request_grant()
     assert not asked.out
     asked.client_retried = True
     asked.request_grant()
-    carry(asked)
+    deliver(asked)
     assert asked.granted
     third = Proposer("w", "t", GUARDS, {g.name: g.start_session("t") for g in guards})
     third.claim((1, "s"))
-    carry(third)
-    assert third.outcome() == "may have run"  # what was permitted after the refusal counts
+    deliver(third)
+    assert third.outcome() == "may have run"  # grants recorded after the refusal count
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""The hollow run in small: real modules, frames and sockets; what is asserted is counted, not timed."""
+"""A small simulation run: real modules, frames and sockets; assertions count messages, not time."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
         assert phase["never"] == 0, name
         assert phase["in_force_ms"]["count"] == 4 * phase["changes"], name
     assert found["phases"]["steady"]["changes"] and found["phases"]["one stopped"]["changes"]
-    # who had the silent machine has gone to another, and nobody had to doubt what it held
+    # subscribers of the unresponsive machine moved to another, and none had mismatched contents
     assert sum(p.rows[-1]["moves"] for p in run.subs) > SMALL.subscribers
     assert not any(p.rows[-1]["doubts"] for p in run.subs)
-    # a change costs a message for each that serves it, and one for each machine that passes on
+    # a change costs one message for each balancer that serves it, and one for each fan-out machine
     changes = len(run.source.last["changes"])
     assert run.source.rows[-1]["sent"] <= 3 * 30 + 3 * 2 * changes
 
 
 class Bank:
-    """One source, one fan-out machine and balancers in memory: what goes is counted."""
+    """One source, one fan-out machine and balancers in memory; messages are counted."""
 
     def __init__(self, upstreams: int, services: int, balancers: int, per: int) -> None:
         self.now, draw = 1_000.0, Random(3).random
@@ -73,7 +73,7 @@
                 self.subs[i].subscribe(self.now, f"s{one}")
         self.messages = self.bytes = self.items = 0
 
-    def turn(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         ends = {s.name: s for s in self.subs} | {"f": self.fan, "source": self.source}
         for _ in range(int(seconds * 20)):
             self.now += 50.0
@@ -97,27 +97,27 @@
     costs = []
     for upstreams, services in ((200, 10), (2_000, 100), (20_000, 1_000)):
         bank = Bank(upstreams, services, balancers=20, per=per)
-        bank.turn(60)
+        bank.run(60)
         held = [len(s.records) for sub in bank.subs for s in sub.scopes.values()]
         assert len(held) == services * per and set(held) == {20}
         bank.messages = bank.bytes = bank.items = 0
         for i in range(10):
             bank.source.put(bank.now, f"s{i}", [("u1", LEAVING, b"")])
-            bank.turn(0.5)
+            bank.run(0.5)
         costs.append((bank.messages, bank.items, bank.bytes // 100))
-    # the same three times: a drain ahead, the change, for each balancer that serves it, with one record
+    # the same in all sizes: for each balancer that serves it a drain ahead and the change, one record each
     assert costs[0][:2] == costs[1][:2] == costs[2][:2] == (2 * 10 * per, 2 * 10 * per)
     assert max(c[2] for c in costs) - min(c[2] for c in costs) <= 0.1 * costs[0][2] + 1
 
 
 def test_a_dial_that_is_given_up_as_it_comes_up_leaves_no_link_behind():
-    """A process that was late: the time is over when the answer is read, and the loop closes the connection
-    without a word to the link, which was greeted. Writing to it failed for ever after."""
+    """A stalled process: the dial times out while the answer is read, and the loop closes the connection
+    without notifying the link, which was greeted. Every later write to it failed."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        heard, lost = [], []
-        there = process.Node(loop, "f", {}, lambda name, message: heard.append(message), lambda name: None)
+        received, lost = [], []
+        there = process.Node(loop, "f", {}, lambda name, message: received.append(message), lambda name: None)
         at = await there.links.listen(("127.0.0.1", 0))
         here = process.Node(loop, "b", {"f": at}, lambda name, message: None, lost.append)
         connect = loop.create_connection
@@ -132,22 +132,22 @@
         here.links.loop = SimpleNamespace(
             create_connection=late, create_task=loop.create_task, time=loop.time
         )
-        word = Got(session=1, edition=1, at=1.0)
-        here.send([("f", word)])
+        message = Got(session=1, edition=1, at=1.0)
+        here.send([("f", message)])
         async with asyncio.timeout(10):
             while not lost:
                 await asyncio.sleep(0)
         assert not here.links.by_name and not here.links.open
         here.links.loop = loop
-        heard.clear()
+        received.clear()
         async with asyncio.timeout(10):
-            while not heard:  # and the next word goes by a new one
-                here.send([("f", word)])
+            while not received:  # the next message uses a new link
+                here.send([("f", message)])
                 await asyncio.sleep(0.01)
         here.links.close()
         there.links.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_services_are_as_many_and_as_large_as_planned():
@@ -172,7 +172,7 @@
     placed = placing.rendezvous(200, zones, 6, True)
     assert all(len(set(zones[row])) == 6 for row in placed)
     assert placing.lost(placed, zones == 3)["most_lost"] == pytest.approx(1 / 6)
-    # a balancer that goes moves nobody else: the others of each service are those that it had
+    # a balancer that leaves moves no other: the others of each service stay
     fewer = placing.rendezvous(200, zones[:-1], 6, True)
     for before, after in zip(placed.tolist(), fewer.tolist(), strict=True):
         assert len(set(before) - set(after)) <= (399 in before)
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -1,4 +1,4 @@
-"""Scoped subscriptions: the pure modules under a simulated network, held to sentences, mistakes planted."""
+"""Scoped subscriptions: the pure modules in a simulated network; invariants and planted mistakes."""
 
 from __future__ import annotations
 
@@ -23,77 +23,79 @@
 
 
 def noisy(seed):
-    """Everything goes wrong, then nothing does."""
+    """All kinds of faults, then none."""
     net = Net(seed, **NOISY)
     net.run(40, changes=4, faults=0.4, requests=6)
-    net.bounded()
+    net.check_bounds()
     net.heal()
     net.run(30)
-    net.bounded()
-    net.converged()
+    net.check_bounds()
+    net.check_converged()
     return net
 
 
 def slow(seed):
-    """Balancers that take few bytes, scopes that are large."""
+    """Balancers with a low rate, large scopes."""
     net = Net(seed, **SLOW)
     net.run(30, changes=2, faults=0.1, requests=2)
-    net.bounded()
+    net.check_bounds()
     net.heal()
     net.run(150)
-    net.bounded()
-    net.converged()
+    net.check_bounds()
+    net.check_converged()
     return net
 
 
 def quiet(seed):
-    """No fault but one: a fan-out machine goes without a word and its links show nothing."""
+    """Only one fault: a fan-out machine stops responding while its links stay open."""
     net = Net(seed, balancers=12)
     net.run(6, requests=4)
     net.timely = True
     net.run(6, changes=4)
-    lost = net.random.choice(net.fans)
-    net.cut = {frozenset((lost, other)) for other in ["source", *net.fans, *net.balancers] if other != lost}
+    lost = net.random.choice(net.fanouts)
+    net.cut = {
+        frozenset((lost, other)) for other in ["source", *net.fanouts, *net.balancers] if other != lost
+    }
     net.run(12, changes=4)
-    net.bounded()
+    net.check_bounds()
     for sub in net.subs.values():
         for scope in sub.scopes:
             assert sub.age(net.now, scope) < IN_FORCE
     net.drains.clear()
     net.cut.clear()
     net.run(20)
-    net.converged()
+    net.check_converged()
     return net
 
 
 def hot(seed):
-    """The same few upstreams change all the time, what is wanted too, and much comes late."""
+    """The same few upstreams change constantly, as do the subscriptions, and many messages are late."""
     net = Net(seed, scopes=3, upstreams=4, balancers=6, loss=0.02, late=0.3, rate=12_000, body=800)
     net.run(30, changes=8, faults=0.2, requests=12)
-    net.bounded()
+    net.check_bounds()
     net.heal()
     net.run(30)
-    net.bounded()
-    net.converged()
+    net.check_bounds()
+    net.check_converged()
     return net
 
 
 def flood(seed):
-    """More changes than a balancer takes bytes for: it is told the newest, never a backlog."""
+    """More changes than a balancer's rate allows: it gets the newest state, never a backlog."""
     net = Net(seed, scopes=4, upstreams=6, fanouts=1, balancers=3, rate=4_000, body=1_500)
     net.run(30, changes=20)
-    net.bounded()
-    assert max(net.sent.values()) < net.changes  # of each scope the newest, not each change
+    net.check_bounds()
+    assert max(net.sent.values()) < net.changes  # the newest state of each scope, not every change
     net.run(8.0 + max(sum(s.size for s in net.source.scopes.values()) / net.rate, 4.0))
-    net.bounded()
-    net.converged()
+    net.check_bounds()
+    net.check_converged()
     return net
 
 
-@pytest.mark.parametrize("story", [noisy, slow, quiet, hot, flood])
+@pytest.mark.parametrize("scenario", [noisy, slow, quiet, hot, flood])
 @pytest.mark.parametrize("seed", range(6))
-def test_all_sentences_hold_whatever_happens(story, seed):
-    story(seed)
+def test_all_sentences_hold_whatever_happens(scenario, seed):
+    scenario(seed)
 
 
 def test_a_seed_replays():
@@ -103,7 +105,7 @@
     ]
 
 
-# planted mistakes: each takes one guard away, and a sentence has to break
+# planted mistakes: each removes one protection, and an invariant has to break
 
 
 def _older_is_taken(patch):
@@ -217,7 +219,8 @@
     _late_acknowledgement: noisy,
     _fresh_while_behind: noisy,
 }
-FIRST_SEED = {_age_whatever_is_wanted: 219}  # rare: it takes a word, a wish and a change in one order
+# rare: it needs a status message, a subscription and a change in one order
+FIRST_SEED = {_age_whatever_is_wanted: 219}
 
 
 @pytest.mark.parametrize("plant", PLANTED, ids=lambda plant: plant.__name__.strip("_"))
@@ -228,11 +231,11 @@
             PLANTED[plant](seed)
 
 
-# one thing at a time
+# single mechanisms
 
 
 class Pair:
-    """A source, one fan-out machine, one balancer; messages go by hand, none is lost."""
+    """A source, one fan-out machine, one balancer; messages are delivered by hand and none is lost."""
 
     def __init__(self, **wanted):
         self.now = 1_000.0
@@ -252,10 +255,10 @@
             )
         )
         self.sub = Subscriber("b", 7_000, [("f", "")], draw, self.now, **wanted)
-        self.said = []  # by the fan-out machine to the balancer
-        self.deaf = False
+        self.received = []  # from the fan-out machine to the balancer
+        self.isolated = False
 
-    def turn(self, ms=50.0, times=1):
+    def run(self, ms=50.0, times=1):
         for _ in range(times):
             self.now += ms
             self.source.tick(self.now)
@@ -266,18 +269,18 @@
                     messages = list(out)
                     out.clear()
                     for to, message in messages:
-                        self.carry(me, to, message)
+                        self.deliver(me, to, message)
 
-    def carry(self, me, to, message):
+    def deliver(self, me, to, message):
         if to == "b":
-            self.said.append(message)
+            self.received.append(message)
         ends = {"source": self.source, "f": self.fan, "b": self.sub}
-        if to in ends and not (self.deaf and "b" in (me, to)):
+        if to in ends and not (self.isolated and "b" in (me, to)):
             ends[to].receive(self.now, me, message)
 
     def changes(self):
-        found = [m for m in self.said if isinstance(m, Change) and not m.drains]
-        self.said.clear()
+        found = [m for m in self.received if isinstance(m, Change) and not m.drains]
+        self.received.clear()
         return found
 
 
@@ -285,12 +288,12 @@
     return [(f"u{i}", state, body) for i in range(count)]
 
 
-def stood(scopes_count=5, count=20, **wanted):
+def settled_pair(scopes_count=5, count=20, **wanted):
     pair = Pair(**wanted)
     for i in range(scopes_count):
         pair.source.put(pair.now, f"s{i}", upstreams(count))
         pair.sub.subscribe(pair.now, f"s{i}")
-    pair.turn(times=120)
+    pair.run(times=120)
     assert sorted(pair.sub.scopes) == [f"s{i}" for i in range(scopes_count)]
     assert all(pair.sub.age(pair.now, s) < 2_500.0 for s in pair.sub.scopes)
     pair.changes()
@@ -298,65 +301,66 @@
 
 
 def test_one_change_costs_one_record_and_idle_costs_nothing():
-    pair = stood()
+    pair = settled_pair()
     pair.source.put(pair.now, "s1", [("u3", LEAVING, b"y")])
-    pair.turn(times=10)
+    pair.run(times=10)
     assert [[i.key for i in c.items] for c in pair.changes()] == [["u3"]]
     assert pair.sub.scopes["s1"].records["u3"].state == LEAVING
-    pair.turn(times=20)
+    pair.run(times=20)
     assert not pair.fan.down._busy and not pair.source.publisher._busy and not pair.changes()
 
 
 def test_a_return_costs_differences():
-    pair = stood()
-    pair.deaf = True
+    pair = settled_pair()
+    pair.isolated = True
     pair.source.put(pair.now, "s1", [("u3", GONE, b""), ("u4", PRESENT, b"new")])
-    pair.turn(times=80)  # it finds its fan-out machine silent
-    assert pair.sub.scopes["s1"].records["u3"].state == PRESENT  # hearing nothing leaves it as it was
+    pair.run(times=80)  # it notices that its fan-out machine is unresponsive
+    # receiving nothing leaves the contents unchanged
+    assert pair.sub.scopes["s1"].records["u3"].state == PRESENT
     pair.changes()
-    pair.deaf = False
-    pair.turn(times=200)
+    pair.isolated = False
+    pair.run(times=200)
     assert {i.key for c in pair.changes() for i in c.items} == {"u3", "u4"}
     assert "u3" not in pair.sub.scopes["s1"].records
 
 
 def test_a_gap_that_is_too_wide_costs_a_snapshot_of_that_scope_alone():
-    pair = stood()
-    pair.deaf = True
+    pair = settled_pair()
+    pair.isolated = True
     for i in range(scopes.MAX_TOMBSTONES + 2):
         pair.source.put(pair.now, "s1", [(f"v{i}", PRESENT, b"")])
         pair.source.put(pair.now, "s1", [(f"v{i}", GONE, b"")])
-        pair.turn()
-    pair.turn(times=80)
+        pair.run()
+    pair.run(times=80)
     pair.changes()
-    pair.deaf = False
-    pair.turn(times=200)
+    pair.isolated = False
+    pair.run(times=200)
     found = pair.changes()
     assert {c.scope for c in found} == {"s1"} and found[0].since == (0, 0)
     assert len(pair.sub.scopes["s1"].records) == 20
 
 
 def test_tombstones_end():
-    pair = stood(scopes_count=1)
+    pair = settled_pair(scopes_count=1)
     for i in range(500):
         pair.source.put(pair.now, "s0", [(f"v{i}", PRESENT, b"")])
         pair.source.put(pair.now, "s0", [(f"v{i}", GONE, b"")])
-        pair.turn()
+        pair.run()
     for held in (pair.source.scopes["s0"], pair.fan.up.scopes["s0"], pair.sub.scopes["s0"]):
         assert len(held.records) <= 20 + scopes.MAX_TOMBSTONES
     assert len(pair.sub.scopes["s0"].records) == 20
-    pair.turn(ms=1_000.0, times=int(scopes.TOMBSTONE_TTL_MS / 1e3) + 70)
+    pair.run(ms=1_000.0, times=int(scopes.TOMBSTONE_TTL_MS / 1e3) + 70)
     for held in (pair.source.scopes["s0"], pair.fan.up.scopes["s0"]):
         assert len(held.records) == 20 and not held.tombstones
 
 
 def test_a_source_that_counts_anew_costs_no_record_where_nothing_changed():
-    pair = stood()
+    pair = settled_pair()
     had = dict(pair.sub.scopes["s2"].records)
     pair.source = Source(2_000, Random(0).random)
     for i in range(5):
         pair.source.put(pair.now, f"s{i}", upstreams(20) if i else upstreams(19))
-    pair.turn(times=150)
+    pair.run(times=150)
     found = pair.changes()
     assert all(not c.items for c in found if c.scope != "s0")
     assert pair.sub.scopes["s2"].version[0] == pair.source.epoch and pair.sub.scopes["s2"].records == had
@@ -364,10 +368,10 @@
 
 
 def test_two_that_disagree_are_noticed_and_all_of_the_scope_is_had_anew():
-    pair = stood()
+    pair = settled_pair()
     pair.fan.up.scopes["s1"].put(pair.now, "u7", 1, PRESENT, b"not what the source said", 0.0, True)
     pair.source.put(pair.now, "s1", [("u1", PRESENT, b"new")])
-    pair.turn(times=100)
+    pair.run(times=100)
     assert pair.fan.up.mismatches == 1
     for held in (pair.fan.up.scopes["s1"], pair.sub.scopes["s1"]):
         assert held.digest == pair.source.scopes["s1"].digest
@@ -375,15 +379,15 @@
 
 
 def test_a_large_scope_comes_in_parts_and_a_drain_overtakes_it():
-    pair = stood(scopes_count=1, rate=8_000)
+    pair = settled_pair(scopes_count=1, rate=8_000)
     big = [(f"w{i}", PRESENT, bytes(1_000)) for i in range(100)]
     pair.source.put(pair.now, "s0", big)
-    pair.turn(times=10)
+    pair.run(times=10)
     pair.source.put(pair.now, "s0", [("u3", LEAVING, b"x" * 40)])
-    pair.turn(times=4)
+    pair.run(times=4)
     held = pair.sub.scopes["s0"]
     assert held.records["u3"].state == LEAVING and "w0" not in held.records
-    pair.turn(times=400)
+    pair.run(times=400)
     assert len(pair.sub.scopes["s0"].records) == 120
     parts = pair.changes()
     assert max(c.parts for c in parts) > 2
@@ -391,57 +395,57 @@
 
 
 def test_a_scope_that_is_dropped_finishes_its_requests_and_hears_of_drains_until_then():
-    pair = stood()
+    pair = settled_pair()
     assert pair.sub.start_request("s1")
     pair.sub.unsubscribe(pair.now, "s1")
     assert not pair.sub.start_request("s1")
     pair.source.put(pair.now, "s1", [("u0", LEAVING, b"")])
-    pair.turn(times=10)
+    pair.run(times=10)
     assert pair.sub.scopes["s1"].records["u0"].state == LEAVING
     pair.sub.end_request(pair.now, "s1")
     assert "s1" not in pair.sub.scopes
-    pair.turn(times=10)
+    pair.run(times=10)
     assert "s1" not in pair.fan.down._by_scope
 
 
 def test_a_scope_that_is_no_more_is_kept_for_the_requests_in_flight():
-    pair = stood()
+    pair = settled_pair()
     pair.sub.start_request("s1")
     pair.source.remove(pair.now, "s1")
-    pair.turn(times=10)
+    pair.run(times=10)
     held = pair.sub.scopes["s1"]
     assert held.gone and len(held.records) == 20 and not pair.sub.start_request("s1")
     pair.sub.end_request(pair.now, "s1")
     assert not held.records
     pair.source.put(pair.now, "s1", upstreams(2))
-    pair.turn(times=10)
+    pair.run(times=10)
     assert pair.sub.start_request("s1") and len(pair.sub.scopes["s1"].records) == 2
 
 
 def test_of_too_many_scopes_the_one_not_used_for_longest_goes():
-    pair = stood(scopes_count=3, max_scopes=3)
+    pair = settled_pair(scopes_count=3, max_scopes=3)
     pair.sub.start_request("s0")
     pair.sub.subscribe(pair.now, "s1")
     pair.source.put(pair.now, "t", upstreams(1))
     assert pair.sub.subscribe(pair.now, "t")
-    pair.turn(times=10)
+    pair.run(times=10)
     assert sorted(pair.sub.scopes) == ["s0", "s1", "t"]
     assert [n.scope for n in pair.sub.updates if n.evicted] == ["s2"]
 
 
 def test_a_scope_that_nobody_has_is_said_to_be_no_more():
-    pair = stood()
+    pair = settled_pair()
     pair.sub.subscribe(pair.now, "nothing")
-    pair.turn(times=20)
+    pair.run(times=20)
     assert pair.sub.scopes["nothing"].gone
     pair.source.put(pair.now, "nothing", upstreams(3))
-    pair.turn(times=20)
+    pair.run(times=20)
     assert len(pair.sub.scopes["nothing"].records) == 3
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_memory_is_bounded_whatever_is_sent(seed):
-    pair = stood(max_bytes=200_000)
+    pair = settled_pair(max_bytes=200_000)
     draw = Random(seed)
     session, epoch = pair.sub._sessions["f"].number, pair.source.epoch
     for n in range(100, 3_100):
@@ -491,7 +495,7 @@
         )
         fan.receive(pair.now, f"x{i}", Got(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
     assert len(fan) == publishers.MAX_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
-    pair.turn(ms=1_000.0, times=14)
+    pair.run(ms=1_000.0, times=14)
     assert len(fan) <= 1
 
 
@@ -514,7 +518,7 @@
     ],
 )
 def test_a_change_that_cannot_be_changes_nothing(wrong):
-    pair = stood()
+    pair = settled_pair()
     held = pair.sub.scopes["s1"]
     before = (dict(held.records), pair.sub.held_bytes, pair.sub.applied, held.version)
     right = {
@@ -528,7 +532,7 @@
     pair.sub.receive(pair.now, "f", Change(**(right | wrong)))
     assert pair.sub.scopes["s1"] is held
     assert (held.records, pair.sub.held_bytes, pair.sub.applied, held.version) == before
-    pair.turn(times=60)
+    pair.run(times=60)
     pair.sub.receive(
         pair.now, "f", Told(session=right["session"], edition=pair.sub._edition, echo=nan, age=nan)
     )
@@ -536,16 +540,16 @@
 
 
 def test_a_word_that_was_said_before_a_wish_was_known_says_nothing_of_it():
-    pair = stood()
+    pair = settled_pair()
     session, edition = pair.sub._sessions["f"].number, pair.sub._edition
     pair.sub.subscribe(pair.now, "t")
-    pair.sub.out.clear()  # nobody has heard of it yet
+    pair.sub.out.clear()  # the subscription has not been received yet
     old = Change(session=session, scope="t", epoch=pair.source.epoch, n=3, echo=pair.now)
-    word = {"session": session, "echo": pair.now, "age": 0.0, "own": 0.0}
-    pair.sub.receive(pair.now, "f", old)  # by another way, as it was long ago
-    pair.sub.receive(pair.now, "f", Told(edition=edition, **word))
+    status = {"session": session, "echo": pair.now, "age": 0.0, "own": 0.0}
+    pair.sub.receive(pair.now, "f", old)  # an old state by another path
+    pair.sub.receive(pair.now, "f", Told(edition=edition, **status))
     assert pair.sub.age(pair.now, "t") == inf and "t" in pair.sub.scopes
-    pair.sub.receive(pair.now, "f", Told(edition=edition + 1, **word))
+    pair.sub.receive(pair.now, "f", Told(edition=edition + 1, **status))
     assert pair.sub.age(pair.now, "t") == 0.0
 
 
@@ -584,7 +588,8 @@
             begun += [now for _, m in sub.out if isinstance(m, Subscribe)]
             sub.out.clear()
     rate = subscribers.SUBSCRIPTIONS_PER_S * len(names)
-    for at in range(0, 30_000, 1_000):  # nobody answers: the tries keep to what the publishers can take
+    # no publisher answers: the attempts stay within what the publishers can take
+    for at in range(0, 30_000, 1_000):
         assert sum(at <= b < at + 1_000 for b in begun) <= rate
     assert sum(b < 200 for b in begun) < 0.25 * count
 
@@ -596,7 +601,8 @@
     for i in range(2_000):
         sub = Subscriber(f"b{i}", 1, names, draw, 0.0, zone="a")
         assert all(int(n[1:]) % 2 == 0 for n in sub.preferred[:10])
-        assert [int(n[1:]) % 2 for n in sub.order] == [0] + 10 * [1] + 9 * [0]  # a zone is lost as a whole
+        # a zone may be lost as a whole
+        assert [int(n[1:]) % 2 for n in sub.order] == [0] + 10 * [1] + 9 * [0]
         first[int(sub.order[0][1:])] += 1
     assert max(first) < 2 * 2_000 / 10
     assert MAX_SCOPES_OF_EVERYTHING > 6_700 * 2
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Work in hand that survives its balancer: the pure part in a network of messages, then real processes."""
+"""Takeover of a failed balancer's visits: the pure part in a simulated network, then real processes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Net:
-    """Some members, all linked; words arrive when `run` carries them, unless `lost` says otherwise."""
+    """Some members, all linked; messages are delivered by `run`, unless `lost` drops them."""
 
     def __init__(self, count: int = 6, refuses: bool = False) -> None:
         self.now = 0.0
@@ -38,7 +38,7 @@
         self.run()
 
     def run(self, ms: float = 0.0) -> None:
-        """Carry all that is on its way, then let time pass in steps."""
+        """Deliver all pending messages, then advance time by `ms` in steps."""
         until = self.now + ms
         while True:
             while any(one.out for one in self.at.values()):
@@ -54,7 +54,7 @@
                 one.tick(self.now)
 
     def kill(self, name: str, noticed: bool = True) -> None:
-        """The process is gone: its links end, and (if noticed) all hold it for dead."""
+        """The process is gone: its links end, and (if `noticed`) all consider it dead."""
         dead = self.at.pop(name)
         dead.out.clear()
         for one in self.at.values():
@@ -77,14 +77,14 @@
         self.run()
         return self.news(name)
 
-    def guards(self, id_: str = "v") -> list[str]:
+    def acceptors(self, id_: str = "v") -> list[str]:
         return [
             n for n, one in self.at.items() if id_ in one.guardian.works and one.guardian.works[id_].acceptors
         ]
 
 
-def sent(net: Net, name: str, kind: Kind, number: int = 0) -> bool:
-    """A fetch is wanted; whether it may be written, at once or when its permit has come."""
+def send_allowed(net: Net, name: str, kind: Kind, number: int = 0) -> bool:
+    """Request a fetch; returns whether it may be written, at once or after its grant has arrived."""
     if net.at[name].request_send(net.now, 1, number, "a", 0):
         return True
     net.run()
@@ -95,12 +95,12 @@
     net = Net()
     assert net.take("m0", CHANGE) and not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run()
-    assert net.news("m0") == [("go", 0)] and len(net.guards()) == 3 and "m0" not in net.guards()
-    assert {net.zones[n] for n in net.guards()} == {"a", "b", "c"}
+    assert net.news("m0") == [("go", 0)] and len(net.acceptors()) == 3 and "m0" not in net.acceptors()
+    assert {net.zones[n] for n in net.acceptors()} == {"a", "b", "c"}
     assert net.take("m1", READ, "r", tag=2) and net.at["m1"].request_send(0.0, 2, 0, "b", 0)
     net.run()
-    assert len(net.guards("r")) == 3
-    # the last one that is allowed is not its owner's own
+    assert len(net.acceptors("r")) == 3
+    # the last allowed fetch needs a grant
     assert net.at["m1"].request_send(0.0, 2, 1, "b", 0) and not net.at["m1"].request_send(0.0, 2, 2, "b", 0)
 
 
@@ -112,7 +112,7 @@
     net.run()
     net.kill("m0", noticed=False)
     ((what, ran),) = net.ask("m4", kind)
-    # what a read-like one may have been sent without a word counts
+    # fetches of a read-like visit that may have been sent without a grant count
     assert what == "take" and ran == ([("", 0, 0.0)] * 2 if kind is READ else [])
     assert not net.at["m4"].request_send(net.now, 9, len(ran), "b", 0)
     net.run()
@@ -123,7 +123,7 @@
     net = Net()
     net.take("m0", READ)
     assert net.at["m0"].request_send(0.0, 1, 0, "a", 0) and net.at["m0"].request_send(0.0, 1, 1, "a", 0)
-    assert sent(net, "m0", READ, 2)
+    assert send_allowed(net, "m0", READ, 2)
     net.kill("m0", noticed=False)
     assert net.ask("m4", READ) == [("bounce", None)]
 
@@ -131,7 +131,7 @@
 def test_a_mutating_one_that_may_have_run_is_not_sent_again_and_its_client_is_told_so():
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
+    assert send_allowed(net, "m0", CHANGE)
     net.kill("m0", noticed=False)
     assert net.ask("m4", CHANGE) == [("unknown", None)]
 
@@ -140,12 +140,12 @@
 def test_while_its_owner_is_there_the_one_that_asks_waits_for_the_answer(kind):
     net = Net()
     net.take("m0", kind)
-    assert sent(net, "m0", kind)
+    assert send_allowed(net, "m0", kind)
     assert net.ask("m4", kind) == []
     net.at["m0"].record_answer(net.now, 1, b"the answer")
     net.run()
     assert net.news("m4") == [("answer", b"the answer")]
-    # and one that asks later has it from the guardians
+    # a client that asks later gets it from the acceptors
     assert net.ask("m5", kind) == [("answer", b"the answer")]
 
 
@@ -153,7 +153,7 @@
 def test_who_waits_for_the_answer_of_one_that_dies_goes_on_at_once(kind, then):
     net = Net()
     net.take("m0", kind)
-    assert sent(net, "m0", kind)
+    assert send_allowed(net, "m0", kind)
     assert net.ask("m4", kind) == []
     net.kill("m0", noticed=False)
     net.run()
@@ -163,7 +163,7 @@
 def test_a_tagged_one_is_taken_over_with_where_it_may_have_run_and_how_long_ago():
     net = Net()
     net.take("m0", PAY)
-    assert sent(net, "m0", PAY)
+    assert send_allowed(net, "m0", PAY)
     net.run(400.0)
     net.kill("m0", noticed=False)
     ((what, ((zone, cell, ago),)),) = net.ask("m4", PAY)
@@ -193,7 +193,7 @@
     net.kill("m0")
     net.run(3_000.0)
     assert all(net.news(n) == [] for n in net.at)
-    # its client may have it run when it asks again
+    # the visit may run when its client asks again
     assert net.ask("m4", CHANGE) == [("take", [])]
 
 
@@ -213,7 +213,7 @@
     net.run(1_500.0)
     found = [(n, what, more) for n in net.at for what, more in net.news(n)]
     assert [what for _, what, _ in found] == ["adopt"] * adopted
-    # a tag that no client has by itself: whoever asks there is joined to it
+    # not the tag of a client without a visit: whoever asks there would be joined to it
     assert all(tag < -1 for one in net.at.values() for tag in one.visits)
     if adopted:
         body, got, ran, left = found[0][2]
@@ -223,14 +223,15 @@
 def test_one_that_has_been_sent_is_not_adopted_if_it_must_not_run_twice():
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
+    assert send_allowed(net, "m0", CHANGE)
     net.kill("m0")
     net.run(2_000.0)
     assert all(net.news(n) == [] for n in net.at)
 
 
 def test_what_the_next_process_of_a_name_has_taken_is_left_to_it():
-    # met on the rig: news of a restart came after its first visits, and they were taken from it
+    # Seen on the test rig: the notice of a restart arrived after the new process's first visits, and these
+    # were taken from it.
     net = Net()
     for one in net.at.values():
         one.unlinked(0.0, "m0")
@@ -273,19 +274,21 @@
     monkeypatch.setattr("ospreyline.fleet.guard.MAX_RECORDS", 0)
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE) and net.at["m0"].counts["uncovered"] == 1 and not net.at["m0"].visits
+    assert (
+        send_allowed(net, "m0", CHANGE) and net.at["m0"].counts["uncovered"] == 1 and not net.at["m0"].visits
+    )
 
 
 def test_one_that_some_have_registered_is_not_sent_without_a_permit_though_they_refuse_it():
-    # a majority says no to the permit, yet two of three know the visit: who claims it would run it, too
+    # A quorum refuses the grant, yet two of three acceptors know the visit: a claimant would run it, too.
     net = Net()
     net.take("m0", CHANGE)
-    net.lost = lambda a, b, m: b == "m0" and isinstance(m, Say)  # what they answer is lost
+    net.lost = lambda a, b, m: b == "m0" and isinstance(m, Say)  # their replies are lost
     net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.lost = lambda a, b, m: False
-    for guard in net.guards():
-        net.at[guard].guardian.start_session("m0")  # a new link: the old session is over
+    for acceptor in net.acceptors():
+        net.at[acceptor].guardian.start_session("m0")  # a new link: the old session has ended
     assert not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run()
     assert net.news("m0") == [("no", 0)]
@@ -319,17 +322,17 @@
     net.take("m0", CHANGE)
     net.at["m0"].register_queued(0.0, 1)
     net.run()
-    guard = net.guards()[0]
-    session = net.at[guard].guardian.sessions["m0"]
-    net.at[guard].heard(0.0, "m5", Say("claim", "v", (9, "m0"), session, guard, "m0"))
-    assert net.at[guard].counts["foreign_words"] == 1
-    assert net.at[guard].guardian.works["v"].promised == (0, "m0")
+    acceptor = net.acceptors()[0]
+    session = net.at[acceptor].guardian.sessions["m0"]
+    net.at[acceptor].heard(0.0, "m5", Say("claim", "v", (9, "m0"), session, acceptor, "m0"))
+    assert net.at[acceptor].counts["foreign_words"] == 1
+    assert net.at[acceptor].guardian.works["v"].promised == (0, "m0")
 
 
 def test_a_large_answer_is_known_and_not_kept():
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
+    assert send_allowed(net, "m0", CHANGE)
     net.at["m0"].record_answer(net.now, 1, b"x" * (takeover.MAX_ANSWER_BYTES + 1))
     net.run()
     assert net.ask("m4", CHANGE) == [("answer", b"")]
@@ -338,7 +341,7 @@
 def test_an_answer_after_a_stall_waits_until_nobody_else_has_the_visit():
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
+    assert send_allowed(net, "m0", CHANGE)
     assert not net.at["m0"].record_answer(net.now, 1, b"late", after_stall=True)
     net.run()
     assert net.news("m0") == [("told", None)]
@@ -383,11 +386,11 @@
     assert str(error.value).startswith(said)
 
 
-# on the rig
+# on the test rig
 
 
-def guarded(**more: Any) -> dict[str, Any]:
-    """Six balancers that guard each other's work, for clients that ask again."""
+def takeover_plan(**more: Any) -> dict[str, Any]:
+    """Six balancers that are acceptors for each other, and clients that ask again."""
     read = {"name": "read", "share": 0.34, "work_ms": 20.0, "target_ms": 900.0, "timeout_ms": 3_000.0}
     return {
         "bank": {"count": 6, "notice_ms": [300.0, 600.0]},
@@ -413,15 +416,15 @@
 
 
 def tries_after_bounces(day: Played, first: dict[str, Any]) -> list[dict[str, Any]]:
-    """The tries that follow one; a client that is bounced for want of room asks again, under another id."""
+    """The tries that follow `first`; a client bounced for lack of capacity asks again under another id."""
     found = sorted(day.of("try", want=first["want"]), key=lambda row: row["t"])[1:]
     bounced = [row for row in found[:-1] if row["how"] == "answer"]
     assert all(row["status"] == 503 and row["outcome"] == "" for row in bounced), found
     return found
 
 
-def met(day: Played, kind: str) -> str:
-    """The id of the visit whose request was seen."""
+def triggering_visit(day: Played, kind: str) -> str:
+    """The id of the visit whose request triggered the fault."""
     (mark,) = day.of("seen")
     before = [r for r in day.of("asked", link=mark["link"], prefix=kind) if r["t"] <= mark["at"] + 0.01]
     return max(before, key=lambda row: row["t"])["id"]
@@ -431,14 +434,17 @@
 def test_what_is_in_hand_at_a_kill_is_answered_or_its_client_is_told_the_truth(kind, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 12}
     day = Played(
-        tmp_path, seconds=6.0, faults=[{"kind": "kill", "who": "b0", "for_s": 1.0, "on": on}], **guarded()
+        tmp_path,
+        seconds=6.0,
+        faults=[{"kind": "kill", "who": "b0", "for_s": 1.0, "on": on}],
+        **takeover_plan(),
     )
     day.kept()
-    id_ = met(day, kind)
+    id_ = triggering_visit(day, kind)
     first, *again = tries(day, id_)
     assert first["how"] == "cut" and again, first
     if kind == "change":
-        # it had been sent: nobody else sends it, and nobody says that it did not run
+        # it had been sent: no other balancer sends it, and none reports that it did not run
         assert again[-1]["status"] == 502 and again[-1]["outcome"] == "may have run"
         assert len(day.of("asked", id=id_)) == 1 and len(day.of("ran", id=id_)) <= 1
     else:
@@ -451,7 +457,7 @@
 @pytest.mark.parametrize("kind", ["pay", "change"])
 def test_a_client_whose_connection_broke_has_the_answer_of_the_one_run_from_another(kind, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 6}
-    plan = guarded()
+    plan = takeover_plan()
     slow = [{**p, "work_ms": 150.0} for p in plan["prefixes"]]
     day = Played(
         tmp_path,
@@ -462,7 +468,7 @@
         prefixes=slow,
     )
     day.kept()
-    id_ = met(day, kind)
+    id_ = triggering_visit(day, kind)
     first, *again = tries(day, id_)
     assert first["how"] == "cut" and again[-1]["status"] == 200, (first, again)
     if kind == "change":
@@ -471,7 +477,7 @@
 
 
 def test_a_visit_that_had_not_been_sent_runs_elsewhere_once(tmp_path):
-    # its owner reaches its upstream's machines no more, so it waits for a connection when it is killed
+    # the owner no longer reaches its upstreams, so the visit waits for a connection when the owner is killed
     on = {"seen": "request", "link": "c>b0", "prefix": "change", "nth": 12}
     day = Played(
         tmp_path,
@@ -480,7 +486,7 @@
             {"kind": "stop", "who": "b0", "for_s": 0.4, "on": on},
             {"kind": "kill", "who": "b0", "at_s": 4.0, "for_s": 1.0},
         ],
-        **guarded(),
+        **takeover_plan(),
     )
     day.kept()
     for row in day.of("try", prefix="change", asks=True):
@@ -489,10 +495,11 @@
 
 
 def test_an_owner_that_was_stopped_neither_sends_nor_answers_what_others_took(tmp_path):
-    # nobody asks again: its connections stand. Guardians find it dead and finish what had not been sent
+    # No client asks again, as its connections stay open. Acceptors find the owner dead and finish what was
+    # not sent.
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 5}
     long = {"timeout_ms": 9_000.0, "target_ms": 4_000.0}
-    plan = guarded()
+    plan = takeover_plan()
     day = Played(
         tmp_path,
         seconds=10.0,
@@ -515,7 +522,7 @@
             {"kind": "narrow", "link": "b1>b2", "size": 60.0, "at_s": 3.0, "for_s": 2.0},
             {"kind": "stop", "who": "b4", "at_s": 3.0, "for_s": 1.5},
         ],
-        **guarded(),
+        **takeover_plan(),
     )
     day.kept()
     assert day.figures["in_time"] > 0.7
@@ -527,7 +534,7 @@
         tmp_path,
         seconds=6.0,
         faults=[{"kind": "kill", "who": "b[0123]", "for_s": 0.8, "on": on}],
-        **guarded(),
+        **takeover_plan(),
     )
     day.kept()
 
@@ -537,14 +544,14 @@
         tmp_path,
         seconds=9.0,
         faults=[{"kind": "restart", "who": "b*", "at_s": 1.5, "for_s": 6.0, "size": 0.17, "extra": 0.1}],
-        **guarded(),
+        **takeover_plan(),
     )
     day.kept()
     assert day.figures["in_time"] > 0.9, day.figures
 
 
 def test_without_cover_what_must_not_run_twice_is_refused_where_the_operator_wants_that(tmp_path):
-    alone = guarded(
+    alone = takeover_plan(
         bank={"count": 1, "notice_ms": [300.0, 600.0]},
         rig={"operator": {"takeover": {"on": True, "uncovered": "refuse"}}},
     )
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""What waits for another balancer's word, and whose client's time is over first."""
+"""Visits that wait for another balancer's message when their client's deadline comes first."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from stand_ins import Peer, caller, request, running
 from test_clients import play
-from test_takeover import CHANGE, PAY, Net, sent
+from test_takeover import CHANGE, PAY, Net, send_allowed
 
 from ospreyline import operator
 from ospreyline.fleet.frames import Say
@@ -20,17 +20,17 @@
 @pytest.mark.parametrize("left", [330.0, 349.0, 351.0, 1_505.0, 1_530.0, 1_549.0])
 @pytest.mark.parametrize(("kind", "said"), [(PAY, "bounce"), (CHANGE, "unknown")])
 def test_who_waits_for_an_answer_that_never_comes_is_told_before_its_time_is_over(kind, said, left):
-    # what is due is looked at every 50 ms, so 20 ms before its end was up to 30 ms after it
+    # Timers are checked every 50 ms, so a wait until 20 ms before the deadline ended up to 30 ms after it.
     net = Net()
     net.take("m0", kind, left=9_000.0)
-    assert sent(net, "m0", kind)
+    assert send_allowed(net, "m0", kind)
     begun = net.now
     assert net.ask("m4", kind, left=left) == []
-    told: list[str] = []
-    while not told and net.now < begun + left:
+    events: list[str] = []
+    while not events and net.now < begun + left:
         net.run(50.0)
-        told = [what for what, _ in net.news("m4")]
-    assert told == [said] and begun + left - 150.0 <= net.now <= begun + left - 50.0, net.now - begun
+        events = [what for what, _ in net.news("m4")]
+    assert events == [said] and begun + left - 150.0 <= net.now <= begun + left - 50.0, net.now - begun
 
 
 @pytest.mark.parametrize("left", [60.0, 99.0, 149.0, 201.0, 240.0])
@@ -46,11 +46,11 @@
         owner = "m0"
         net.take(owner, kind, left=left)
         if what == "told":
-            assert sent(net, owner, kind)
+            assert send_allowed(net, owner, kind)
         else:
             net.at[owner].register_queued(net.now, 1)
             net.run()
-        net.lost = lambda a, b, m: isinstance(m, Say)  # from now on nobody hears a word
+        net.lost = lambda a, b, m: isinstance(m, Say)  # from now on all messages are lost
         if what == "permit":
             assert not net.at[owner].request_send(net.now, 1, 0, "a", 0)
         elif what == "refuse":
@@ -59,11 +59,11 @@
             assert not net.at[owner].record_answer(net.now, 1, b"late", after_stall=True)
     begun = net.now
     net.run()
-    told = net.news(owner)
-    while not told and net.now < begun + 1_000.0:
+    events = net.news(owner)
+    while not events and net.now < begun + 1_000.0:
         net.run(50.0)
-        told = net.news(owner)
-    assert told and net.now - begun <= max(50.0, left - 50.0), (told, net.now - begun)
+        events = net.news(owner)
+    assert events and net.now - begun <= max(50.0, left - 50.0), (events, net.now - begun)
 
 
 @pytest.mark.parametrize(
@@ -71,8 +71,8 @@
     [(1, "record_answer", "/read/a"), (1, "record_answer", "/change/a"), (0, "refuse", "/change/a")],
 )
 def test_a_word_that_never_comes_leaves_no_client_without_an_answer(peers, what, path):
-    # what waited for a word counted as answered, so the backstop passed it over
-    async def story() -> None:
+    # A visit that waited for an event counted as answered, so the check for overdue visits passed it over.
+    async def scenario() -> None:
         async with running(*[Peer() for _ in range(peers)]) as service:
             turn = service.turn
             turn.covering = covering = Covering(turn, operator.Takeover(on=True), "n0", "a", 1, 7, 3)
@@ -83,14 +83,15 @@
             assert status == 502 and asyncio.get_running_loop().time() - begun >= 0.3
             assert turn.counts["overdue"] == 1 and not turn.visits and not covering._waiting
 
-    play(story)
+    play(scenario)
 
 
-Out = tuple[Stage, bool, End | None]  # how far it came, whether it ended, as what it was decided
+# stage reached, whether it has ended, and the end that was decided
+FetchState = tuple[Stage, bool, End | None]
 
 
-def leaves(net: Net, *fetches: Out | None) -> bool:
-    """The client of m0's visit has gone, with these fetches of it: whether it goes on without."""
+def continues_without_client(net: Net, *fetches: FetchState | None) -> bool:
+    """The client of m0's visit leaves while it has these fetches; returns whether the visit continues."""
     covering = Covering(SimpleNamespace(bank=None), operator.Takeover(on=True), "m0", "a", 1, 7, 3)
     covering.takeover = net.at["m0"]
     errands = [f and SimpleNamespace(stage=f[0], done=None if f[1] else print) for f in fetches]
@@ -109,26 +110,26 @@
     ids=["nothing", "connecting", "waits for its permit"],
 )
 def test_a_mutating_visit_whose_client_left_before_it_ran_is_run_for_who_asks_again(further):
-    # a permit for it stood, so the next balancer waited for an answer until its client's time was over
+    # Its grant stayed recorded, so the next balancer waited for an answer until the client's deadline.
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
+    assert send_allowed(net, "m0", CHANGE)
     if further:
         net.at["m0"].request_send(net.now, 1, 1, "a", 0)
         if further[0]:
             net.run()
-    assert not leaves(net, UNREACHED, *further)
+    assert not continues_without_client(net, UNREACHED, *further)
     assert net.ask("m4", CHANGE) == [("take", [])]
 
 
 @pytest.mark.parametrize("ended", [False, True])
 def test_a_mutating_visit_whose_fetch_is_written_goes_on_without_its_client(ended):
-    # an end that is noted in the turn of the leaving, behind it, was taken for one that is decided, and its
-    # answer was kept for nobody
+    # An end queued behind the leaving in the same batch was taken for a decided one, and the answer was
+    # stored for nobody.
     net = Net()
     net.take("m0", CHANGE)
-    assert sent(net, "m0", CHANGE)
-    assert leaves(net, (Stage.ANSWERING, ended, None))
+    assert send_allowed(net, "m0", CHANGE)
+    assert continues_without_client(net, (Stage.ANSWERING, ended, None))
     net.at["m0"].record_answer(net.now, 1, b"the answer")
     net.run()
     assert net.ask("m4", CHANGE) == [("answer", b"the answer")]
