--- a/ospreyline/lease.py
+++ b/ospreyline/lease.py
@@ -1,15 +1,15 @@
-"""Until when the list of upstreams may be used: a lease on it that only a proof renews.
-
-What the list service has written to a balancer counts as told, whether or not it arrives, and any server may
-drain by it. So the list of a balancer holds as of a moment, and only a proof moves that moment on. There are
-three: a line, or an answer, that was read on a connection that stands; a connection that was refused, as
-nobody is there to write; and, for the call that it ends, a message that was read to its end in form. Whatever
-else becomes of a call (reset, closed before its last chunk, malformed, cut off, ended by us, never answered)
-leaves open what was written on it, from then until a call that began later has been answered. Neither the
-manner of an end nor the time since then proves anything. docs/design.md, "The lease on the list".
-
-Pure: messages in, the time until which requests may be sent out. Times in ms on one clock, calls named by
-numbers that count up. Off until `begin`; then one comparison for each request.
+"""The list lease: until when requests may be sent by the upstream list; only evidence renews it.
+
+An update that the list service has written counts as received by the balancer, whether or not it arrives, and
+any server may drain by it. So the list of a balancer is valid as of a moment, and only evidence moves that
+moment on. There are three kinds: a line, or an answer, that was read on an open connection; a refused
+connection, as nobody is there to write; and, for the call that it ends, a message that was read to its end.
+Whatever else becomes of a call (reset, closed before its last chunk, malformed, truncated, ended by us, never
+answered) leaves open what was written on it, until a call that started later has been answered. Neither the
+way in which a call ended nor the time since then is evidence. docs/design.md, "The lease on the list".
+
+No I/O: takes messages and answers until when requests may be sent. Times in ms on one clock; calls are
+identified by increasing numbers. Disabled until `begin`; afterwards it costs one comparison per request.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from enum import Enum
 from math import inf
 
-# ms of the grace that are left: a process may be held up for 150 before it reads what came, and again between
-# the last look and the first byte; the rest is for the turns of its event loop
-HELD_UP = 2 * 150.0 + 100.0
-# ms after which a change counts as told by a service that can be reached, whether or not it arrived. So the
-# page on the standing test has it
-TOLD_AT_LAST = 6_000.0
-# of the settings' time for asking, for which a list may be used after a failed call: the operators' own bound
-LONGEST = 4.0
-WHOLE_LIST = 1 << 62  # as a version: only the whole list has as much
-# ms without a lease after which a balancer says that it is ready all the same: a bank that is kept from its
-# list as a whole has to answer somebody, if only when to come back
-READY_AT_LAST = 5_000.0
-
-
-class Withheld(Enum):
+# ms of the grace period kept in reserve: a process may stall for 150 ms before it reads what came, and again
+# between the last check and the first byte sent; the rest is for iterations of its event loop
+STALL_RESERVE_MS = 2 * 150.0 + 100.0
+# ms after which a balancer counts as notified of a change by a reachable service, whether or not it arrived;
+# fixed by the page on the standing test
+NOTIFIED_AFTER_MS = 6_000.0
+# times `must_ask_in`: how long a list may be used after a failed call, a bound set by the operators
+MAX_AGE_FACTOR = 4.0
+FULL_LIST_VERSION = 1 << 62  # as the version of a lost update: only the full list settles it
+# ms without a lease after which a balancer reports itself ready all the same: if the whole bank is cut off
+# from its list, somebody has to answer clients, if only with a time to come back
+READY_ANYWAY_AFTER_MS = 5_000.0
+
+
+class BlockReason(Enum):
     """Why no request may be sent."""
 
-    NEVER_TOLD = "this process has not heard from the list service yet"
+    NO_UPDATE_YET = "this process has not heard from the list service yet"
     UPDATE_LOST = "an update of the list may have been written and lost"
     OUT_OF_DATE = "the list service has not been heard for too long"
 
 
 @dataclass(slots=True, frozen=True)
 class CallBegan:
-    """A call to the list service begins; its request leaves now or later."""
+    """A list call starts; its request is sent now or later."""
 
     call: int
 
@@ -51,14 +51,14 @@
 class UpdateArriving:
     """The first bytes of an answer, or of an update, have come on a call, and not the rest.
 
-    Or we have ended it, and what was written on it may still come.
+    Or we have ended the call, and what was written on it may still come.
     """
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
-class NothingArrived:
+class NoUpdateArriving:
     """What was arriving on a call is no update, or one that is known already."""
 
     call: int
@@ -66,33 +66,33 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateRead:
-    """An update, or the word that there is none, was read whole on a connection that stands."""
+    """An update, or the answer that there is none, was read completely on an open connection."""
 
     call: int
     version: int
-    whole: bool  # it is the whole list
+    full: bool  # it is the full list
 
 
 @dataclass(slots=True, frozen=True)
 class FormerServiceRead:
-    """The same, from the address before: it counts by versions of its own."""
+    """An update was read from the service's former address, which counts versions of its own."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
-class EndedInForm:
+class MessageComplete:
     """All that was written on a call has been read: its last chunk, or its length, has come."""
 
     call: int
-    watched: bool = False  # a watch stands beside it
+    watched: bool = False  # a watch is open beside it
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateLost:
-    """An update may have been written on a call and not been read: the default for whatever ends a call.
+    """An update may have been written on a call and not been read: the default for however a call ends.
 
-    `version`: of a part that came; 0 if it is not known, `WHOLE_LIST` if no later update has its news.
+    `version`: of a part that came; 0 if unknown, `FULL_LIST_VERSION` if no later update repeats its content.
     """
 
     call: int
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallSilent:
-    """We have ended a call that had said nothing for `age` s."""
+    """We have ended a call on which nothing had been received for `age` s."""
 
     call: int
     age: float
@@ -117,10 +117,10 @@
 LeaseMessage = (
     CallBegan
     | UpdateArriving
-    | NothingArrived
+    | NoUpdateArriving
     | UpdateRead
     | FormerServiceRead
-    | EndedInForm
+    | MessageComplete
     | UpdateLost
     | CallSilent
     | ConnectionRefused
@@ -129,99 +129,101 @@
 
 @dataclass(slots=True)
 class _Losses:
-    """Updates that may have been written and were not read, all together; what settles them."""
+    """Updates that may have been written and were not read, merged; and what settles them."""
 
-    first: float = inf  # the earliest may count as told from then on
-    last: float = -inf  # and the latest
-    version: int = 0  # the highest that is known
-    latest_call: int = 0  # that had begun when the last of them was lost
+    first: float = inf  # ms; the earliest of them counts as received from then on
+    last: float = -inf  # ms; and the latest of them
+    version: int = 0  # the highest known version
+    latest_call: int = 0  # the latest call that had started when the last of them was lost
 
-    def add(self, told_at: float, version: int, latest_call: int) -> None:
-        self.first = min(self.first, told_at)
-        self.last = max(self.last, told_at)
+    def add(self, notified_at: float, version: int, latest_call: int) -> None:
+        self.first = min(self.first, notified_at)
+        self.last = max(self.last, notified_at)
         self.version = max(self.version, version)
         self.latest_call = max(self.latest_call, latest_call)
 
     def settled_by(self, read: UpdateRead) -> bool:
-        """Whether an answer was asked for later, and has as much."""
-        # guards: an answer of before can be read after a loss; it says nothing of what was lost
+        """Whether an answer was requested after the losses and covers their version."""
+        # an answer to an earlier call can be read after a loss; it says nothing about what was lost
         if read.call <= self.latest_call:
             return False
-        return read.whole or read.version >= self.version
+        return read.full or read.version >= self.version
 
 
 class ListLease:
-    """The lease of one balancer on its list."""
+    """The lease of one balancer on its upstream list."""
 
     __slots__ = (
         "_arriving",
         "_first_call_failed",
         "_grace",
         "_latest_call",
-        "_longest",
         "_losses",
-        "_never_told_since",
+        "_max_age",
+        "_no_update_since",
         "_proven_at",
         "_pushed",
         "expires",
     )
 
     def __init__(self) -> None:
-        self.expires = inf  # ms; from then on `withholds` has more to ask
-        self._proven_at = inf  # up to then the list is known to be the service's
-        self._never_told_since = inf  # this process has heard nothing yet, and began then
-        self._arriving: dict[int, float] = {}  # by call: its unread update may have been written from then on
+        self.expires = inf  # ms; before then `withholds` need not check further
+        self._proven_at = inf  # ms; the list is known to have been current then
+        self._no_update_since = inf  # ms; start of the process, while it has received nothing yet
+        self._arriving: dict[
+            int, float
+        ] = {}  # by call: ms; its unread update may have been written from then on
         self._losses = _Losses()
         self._latest_call = 0
         self._first_call_failed = False
-        self._grace, self._longest = 0.0, inf
+        self._grace, self._max_age = 0.0, inf
         self._pushed = False
 
     def fit(self, drain_grace: float, must_ask_in: float, pushed: bool) -> None:
-        """Figures of the settings: how long sends may go on after a drain was told, time for asking (ms).
+        """Applies settings: for how long sends may go on after a drain notice, and `must_ask_in` (ms).
 
-        `pushed`: each change counts as told at once, whether or not a call is open.
+        `pushed`: each change counts as received at once, whether or not a call is open.
         """
-        self._grace = max(0.0, drain_grace - HELD_UP)
-        self._longest = LONGEST * must_ask_in
+        self._grace = max(0.0, drain_grace - STALL_RESERVE_MS)
+        self._max_age = MAX_AGE_FACTOR * must_ask_in
         self._pushed = pushed
         self._renew()
 
     def begin(self, now: float) -> None:
         """A process starts, with a list that may be of any age."""
-        self._never_told_since = now
+        self._no_update_since = now
         self._renew()
 
     def withholds(self, now: float) -> bool:
-        """Whether requests have to wait for the list."""
+        """Whether sends are blocked, as there is no valid lease."""
         return now >= self.expires and self.why(now) is not None
 
     def ready(self, now: float) -> bool:
-        """Whether clients may be sent here, or need not be sent elsewhere any longer."""
-        if not self.withholds(now) or now - self.expires > READY_AT_LAST:
+        """Whether the balancer may report itself ready to clients."""
+        if not self.withholds(now) or now - self.expires > READY_ANYWAY_AFTER_MS:
             return True
-        # guards: an agent on the same machine that has failed once is not awaited by the whole bank
-        return self._pushed and self._first_call_failed and self._never_told_since < inf
-
-    def why(self, now: float) -> Withheld | None:
-        """Why requests have to wait; None if they have not."""
-        # guards: what counted as told before this process began has no grace left
-        if self._never_told_since <= now < self._never_told_since + self._longest:
-            return Withheld.NEVER_TOLD
+        # otherwise the whole bank would wait for an agent on the same machine that has failed once
+        return self._pushed and self._first_call_failed and self._no_update_since < inf
+
+    def why(self, now: float) -> BlockReason | None:
+        """Why sends are blocked; None if they are not."""
+        # what counted as received before this process started has no grace left
+        if self._no_update_since <= now < self._no_update_since + self._max_age:
+            return BlockReason.NO_UPDATE_YET
         arriving = self._arriving.values()
-        if self._over(now, self._losses.first, self._losses.last) or (
-            arriving and self._over(now, min(arriving), max(arriving))
+        if self._grace_over(now, self._losses.first, self._losses.last) or (
+            arriving and self._grace_over(now, min(arriving), max(arriving))
         ):
-            return Withheld.UPDATE_LOST
-        told_at = self._proven_at + TOLD_AT_LAST
-        if self._over(now, told_at, told_at):
-            return Withheld.OUT_OF_DATE
+            return BlockReason.UPDATE_LOST
+        notified_at = self._proven_at + NOTIFIED_AFTER_MS
+        if self._grace_over(now, notified_at, notified_at):
+            return BlockReason.OUT_OF_DATE
         return None
 
-    def _over(self, now: float, first: float, last: float) -> bool:
-        """Whether the grace is over of what may count as told from `first` to `last`."""
-        # guards: a list service that broke off an answer and then died would keep everything out for good
-        return first + self._grace <= now < last + self._longest
+    def _grace_over(self, now: float, first: float, last: float) -> bool:
+        """Whether the grace is over for updates that count as received between `first` and `last`."""
+        # without the upper bound, a service that broke off an answer and then died would block sends for good
+        return first + self._grace <= now < last + self._max_age
 
     @property
     def lost(self) -> bool:
@@ -229,43 +231,44 @@
         return self._losses.first < inf
 
     def take(self, now: float, message: LeaseMessage) -> None:
-        """Something became of a call."""
+        """Applies what became of a call."""
         match message:
             case CallBegan(call):
                 self._latest_call = max(self._latest_call, call)
             case UpdateArriving(call):
                 self._arriving.setdefault(call, now)
-            case NothingArrived(call):
+            case NoUpdateArriving(call):
                 self._arriving.pop(call, None)
             case UpdateRead(call):
                 self._arriving.pop(call, None)
                 if self._losses.settled_by(message):
                     self._losses = _Losses()
-                self._proven(now)
+                self._prove(now)
             case FormerServiceRead(call):
-                self._arriving.pop(call, None)  # guards: it may be behind the service that is asked now
-            case EndedInForm(call, watched):
+                # no evidence: the former service may be behind the current one
+                self._arriving.pop(call, None)
+            case MessageComplete(call, watched):
                 self._first_call_failed = True
                 self._arriving.pop(call, None)
                 if self._pushed and not watched:
-                    # guards: what the agent has counts as told at once, and nothing tells it here
+                    # what the agent has counts as received at once, and no open watch would bring it here
                     self._losses.add(now, 0, self._latest_call)
             case UpdateLost(call, version):
                 self._first_call_failed = True
                 self._losses.add(self._arriving.pop(call, now), version, self._latest_call)
             case CallSilent(call, age):
                 self._first_call_failed = True
-                self._losses.add(now - 1e3 * age + TOLD_AT_LAST, 0, call)
+                self._losses.add(now - 1e3 * age + NOTIFIED_AFTER_MS, 0, call)
             case ConnectionRefused(call):
                 self._arriving.pop(call, None)
                 if not self._pushed:
-                    # guards: what an agent has counts as told to a process that has not heard from it, too
-                    self._proven(now)
+                    # a pushed list counts as received also by a process that has not heard from its agent
+                    self._prove(now)
         self._renew()
 
-    def _proven(self, now: float) -> None:
-        self._proven_at, self._never_told_since = now, inf
+    def _prove(self, now: float) -> None:
+        self._proven_at, self._no_update_since = now, inf
 
     def _renew(self) -> None:
-        told_at = min(self._losses.first, self._proven_at + TOLD_AT_LAST, *self._arriving.values())
-        self.expires = min(self._never_told_since, told_at + self._grace)
+        notified_at = min(self._losses.first, self._proven_at + NOTIFIED_AFTER_MS, *self._arriving.values())
+        self.expires = min(self._no_update_since, notified_at + self._grace)
--- a/ospreyline/net/discovery.py
+++ b/ospreyline/net/discovery.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass
 
 from ospreyline.lease import (
-    WHOLE_LIST,
+    FULL_LIST_VERSION,
     CallBegan,
     CallSilent,
     ConnectionRefused,
-    EndedInForm,
     FormerServiceRead,
     LeaseMessage,
-    NothingArrived,
+    MessageComplete,
+    NoUpdateArriving,
     UpdateArriving,
     UpdateLost,
     UpdateRead,
@@ -166,7 +166,7 @@
 
     def nothing_arriving(self, call: ListCall) -> None:
         if not call.unproven:
-            self._tell_lease(NothingArrived(call.number))
+            self._tell_lease(NoUpdateArriving(call.number))
 
     def _lost(self, call: ListCall) -> bool:
         """Whether an update may have been written on a call that is over and was not read; told, once.
@@ -251,9 +251,9 @@
         if self._lost(call):
             self._tell_failed(CallFailure(lost=True, seen=True))
         elif call.end.in_form:
-            self._tell_lease(EndedInForm(call.number, self._covered()))
+            self._tell_lease(MessageComplete(call.number, self._covered()))
         else:
-            self._tell_lease(NothingArrived(call.number))
+            self._tell_lease(NoUpdateArriving(call.number))
 
     def unread(self) -> bool:
         """Whether something of the list lies in a socket that the loop has not read yet."""
@@ -272,7 +272,7 @@
         if news is not None and not news.complete and not news.whole and call.watching:
             # guards: who it is about may drain; the whole list leaves out whom it cannot name
             self._whole_due = True
-            self._note_loss(call, WHOLE_LIST)
+            self._note_loss(call, FULL_LIST_VERSION)
             self._take(call, news)  # it asks for the whole list
             return
         former = call is self._former
@@ -397,9 +397,9 @@
         if call.end is CallEnd.REFUSED:
             self._tell_lease(ConnectionRefused(call.number))
         elif call.end.in_form:
-            self._tell_lease(EndedInForm(call.number, self._covered()))
+            self._tell_lease(MessageComplete(call.number, self._covered()))
         elif not call.unproven:
-            self._tell_lease(NothingArrived(call.number))
+            self._tell_lease(NoUpdateArriving(call.number))
 
     def _step_down(self, call: ListCall) -> bool:
         """A call gives up its part; whether no other one that is out does it."""
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -8,7 +8,7 @@
 
 from ospreyline import lease
 from ospreyline.check.list_lease import BEGINNINGS, OUTCOMES, Explorer
-from ospreyline.lease import ConnectionRefused, EndedInForm, ListLease, UpdateLost
+from ospreyline.lease import ConnectionRefused, ListLease, MessageComplete, UpdateLost
 from ospreyline.net.list_call import CallEnd, ListCall
 
 
@@ -43,7 +43,7 @@
         unseen = isinstance(message, UpdateLost) and message.call not in self._arriving
         take(self, now, message)
         if unseen:
-            self._losses.last = now + lasts - self._longest
+            self._losses.last = now + lasts - self._max_age
 
     patch.setattr(ListLease, "take", wrong)
 
@@ -75,7 +75,7 @@
 
 
 def an_answer_asked_for_before_a_loss_settles_it(patch):
-    patch.setattr(lease._Losses, "settled_by", lambda self, read: read.whole or read.version >= self.version)
+    patch.setattr(lease._Losses, "settled_by", lambda self, read: read.full or read.version >= self.version)
 
 
 def an_end_in_form_counts_as_current(patch):
@@ -83,8 +83,8 @@
 
     def wrong(self, now, message):
         take(self, now, message)
-        if isinstance(message, EndedInForm):
-            self._proven(now)
+        if isinstance(message, MessageComplete):
+            self._prove(now)
             self._renew()
 
     patch.setattr(ListLease, "take", wrong)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the list: what ends it, what renews it, and for how long requests are withheld."""
+"""The list lease: what ends it, what renews it, and for how long sends are blocked."""
 
 from __future__ import annotations
 
@@ -9,62 +9,63 @@
 
 from ospreyline.host import End
 from ospreyline.lease import (
-    HELD_UP,
-    LONGEST,
-    TOLD_AT_LAST,
-    WHOLE_LIST,
+    FULL_LIST_VERSION,
+    MAX_AGE_FACTOR,
+    NOTIFIED_AFTER_MS,
+    STALL_RESERVE_MS,
+    BlockReason,
     CallBegan,
     CallSilent,
     ConnectionRefused,
-    EndedInForm,
     FormerServiceRead,
     LeaseMessage,
     ListLease,
-    NothingArrived,
+    MessageComplete,
+    NoUpdateArriving,
     UpdateArriving,
     UpdateLost,
     UpdateRead,
-    Withheld,
 )
 from ospreyline.net.listing import version_of
 
 GRACE = 500.0
-ASKING = 10_000.0
-LEFT = GRACE - HELD_UP  # ms for which requests may go on after a change may count as told
+MUST_ASK_IN = 10_000.0
+MAX_AGE = MAX_AGE_FACTOR * MUST_ASK_IN
+GRACE_LEFT = GRACE - STALL_RESERVE_MS  # ms for which sends may go on after a change may count as received
 
 
-def lease(pushed: bool = False) -> ListLease:
-    """One that was proven at 0."""
-    found = ListLease()
-    found.fit(GRACE, ASKING, pushed)
-    found.begin(-1.0)
-    found.take(0.0, CallBegan(1))
-    found.take(0.0, UpdateRead(1, 3, True))
-    return found
+def proven_lease(pushed: bool = False) -> ListLease:
+    """A lease that was proven at 0."""
+    lease = ListLease()
+    lease.fit(GRACE, MUST_ASK_IN, pushed)
+    lease.begin(-1.0)
+    lease.take(0.0, CallBegan(1))
+    lease.take(0.0, UpdateRead(1, 3, True))
+    return lease
 
 
-def after(*steps: tuple[float, LeaseMessage], pushed: bool = False) -> ListLease:
-    found = lease(pushed)
+def lease_after(*steps: tuple[float, LeaseMessage], pushed: bool = False) -> ListLease:
+    lease = proven_lease(pushed)
     for now, message in steps:
-        found.take(now, message)
-    return found
+        lease.take(now, message)
+    return lease
 
 
-def expires_at(found: ListLease, told_at: float) -> bool:
-    """Whether requests go on up to the end of the grace of what counts as told at a time, and no longer."""
-    return not found.withholds(told_at + LEFT - 1) and found.withholds(told_at + LEFT)
+def grace_ends_after(lease: ListLease, notified_at: float) -> bool:
+    """Whether sends go on exactly up to the end of the grace of a change that counts as received then."""
+    return not lease.withholds(notified_at + GRACE_LEFT - 1) and lease.withholds(notified_at + GRACE_LEFT)
 
 
 def test_an_answer_that_arrives_slowly_withholds_within_the_grace_and_until_it_is_whole():
-    found = after((1_000.0, UpdateArriving(1)), (1_200.0, UpdateArriving(1)))  # the first bytes count
-    assert expires_at(found, 1_000.0)
-    found.take(4_000.0, UpdateRead(1, version=4, whole=False))
-    assert not found.withholds(9_000.0)
+    lease = lease_after((1_000.0, UpdateArriving(1)), (1_200.0, UpdateArriving(1)))  # the first bytes count
+    assert grace_ends_after(lease, 1_000.0)
+    lease.take(4_000.0, UpdateRead(1, version=4, full=False))
+    assert not lease.withholds(9_000.0)
 
 
 def test_what_was_cut_off_counts_from_its_first_byte():
-    found = after((1_000.0, UpdateArriving(1)), (1_290.0, UpdateLost(1, 4)))
-    assert expires_at(found, 1_000.0)
+    lease = lease_after((1_000.0, UpdateArriving(1)), (1_290.0, UpdateLost(1, 4)))
+    assert grace_ends_after(lease, 1_000.0)
 
 
 @pytest.mark.parametrize(
@@ -72,9 +73,9 @@
 )
 def test_a_loss_is_settled_by_a_later_answer_with_as_much_news_or_the_whole_list(version, whole, settled):
     answer = UpdateRead(2, version, whole)
-    found = after((1_000.0, UpdateLost(1, 4)), (1_500.0, CallBegan(2)), (1_600.0, answer))
-    assert found.withholds(2_000.0) is not settled
-    assert found.lost is not settled
+    lease = lease_after((1_000.0, UpdateLost(1, 4)), (1_500.0, CallBegan(2)), (1_600.0, answer))
+    assert lease.withholds(2_000.0) is not settled
+    assert lease.lost is not settled
 
 
 @pytest.mark.parametrize("version", [0, 4])
@@ -82,20 +83,20 @@
 def test_no_answer_that_was_asked_for_before_a_loss_settles_it(version, whole):
     # a part of version 4 was cut off, and what was written behind it is not known either
     answer = UpdateRead(2, 9, whole)
-    found = after((500.0, CallBegan(2)), (1_000.0, UpdateLost(1, version)), (1_600.0, answer))
-    assert found.withholds(2_000.0) and found.lost
+    lease = lease_after((500.0, CallBegan(2)), (1_000.0, UpdateLost(1, version)), (1_600.0, answer))
+    assert lease.withholds(2_000.0) and lease.lost
 
 
 def test_one_answer_settles_nothing_of_another_that_is_still_arriving():
-    found = after(
+    lease = lease_after(
         (900.0, CallBegan(2)),
         (1_000.0, UpdateArriving(1)),
         (1_100.0, UpdateArriving(2)),
         (1_200.0, UpdateRead(2, 4, True)),
     )
-    assert found.withholds(1_400.0)
-    found.take(1_300.0, NothingArrived(1))  # it was read to its end, and told no more than that
-    assert not found.withholds(1_400.0)
+    assert lease.withholds(1_400.0)
+    lease.take(1_300.0, NoUpdateArriving(1))  # it was read to its end and has no update
+    assert not lease.withholds(1_400.0)
 
 
 def test_in_any_order_the_lease_is_over_as_long_as_something_is_missing():
@@ -106,31 +107,31 @@
         "rest": UpdateRead(1, 9, False),
     }
     for order in permutations(steps):
-        found = lease()
-        found.take(0.0, CallBegan(2))
+        lease = proven_lease()
+        lease.take(0.0, CallBegan(2))
         for at, name in enumerate(order):
             if name == "whole":
-                found.take(float(at), CallBegan(3))
-            found.take(float(at), steps[name])
-        # one call began before the loss: what it tells may have been written before it
+                lease.take(float(at), CallBegan(3))
+            lease.take(float(at), steps[name])
+        # one call started before the loss: its answer may have been written before it
         lost_open = order.index("whole") < order.index("lost")
         arriving_open = order.index("rest") < order.index("arriving")
-        assert found.withholds(5_000.0) is (lost_open or arriving_open), order
+        assert lease.withholds(5_000.0) is (lost_open or arriving_open), order
 
 
 def test_a_service_that_died_in_the_middle_of_an_answer_keeps_nothing_out_for_good():
-    # four times the time for asking: for so long a list may be used after a failed call
-    found = after((1_000.0, UpdateLost(1, 4)), (1_000.0, ConnectionRefused(2)))
-    found.take(LONGEST * ASKING, ConnectionRefused(3))
-    assert found.withholds(1_000.0 + LONGEST * ASKING - 1) and not found.withholds(1_000.0 + LONGEST * ASKING)
+    # a list may be used after a failed call for four times `must_ask_in`
+    lease = lease_after((1_000.0, UpdateLost(1, 4)), (1_000.0, ConnectionRefused(2)))
+    lease.take(MAX_AGE, ConnectionRefused(3))
+    assert lease.withholds(1_000.0 + MAX_AGE - 1) and not lease.withholds(1_000.0 + MAX_AGE)
 
 
 def test_what_is_lost_after_that_ends_the_lease_again():
-    later = 1_000.0 + LONGEST * ASKING
-    found = after((1_000.0, UpdateLost(1)), (later, ConnectionRefused(2)))
-    assert not found.withholds(later + LEFT)
-    found.take(later + 10.0, UpdateLost(3))
-    assert found.withholds(later + 10.0 + LEFT)
+    later = 1_000.0 + MAX_AGE
+    lease = lease_after((1_000.0, UpdateLost(1)), (later, ConnectionRefused(2)))
+    assert not lease.withholds(later + GRACE_LEFT)
+    lease.take(later + 10.0, UpdateLost(3))
+    assert lease.withholds(later + 10.0 + GRACE_LEFT)
 
 
 def test_the_decisions_send_nothing_while_an_update_may_be_lost_and_go_on_after_it():
@@ -138,9 +139,11 @@
     host.balancer.lease.begin(host.now)
     host.balancer.lease.take(host.now, UpdateRead(1, 3, True))
     host.balancer.lease.take(host.now, UpdateLost(1, 4))
-    host.pass_time(LEFT + 1)
+    host.pass_time(GRACE_LEFT + 1)
     visits = [host.take() for _ in range(3)]
-    assert not host.sends and all(visit.tag in host.bounced for visit in visits)  # another may know
+    assert not host.sends and all(
+        visit.tag in host.bounced for visit in visits
+    )  # another balancer may have the update
     host.balancer.lease.take(host.now, CallBegan(2))
     host.balancer.lease.take(host.now, UpdateRead(2, 4, False))
     assert host.take().out and len(host.sends) == 1
@@ -179,61 +182,61 @@
     ],
 )
 def test_the_version_of_a_part_is_known_once_all_its_figures_have_come(part, version):
-    # taken for 4, an older list would have settled the loss of 41
+    # read as 4, an older list would have settled the loss of 41
     assert version_of(part) == version
 
 
 def test_what_only_the_whole_list_can_tell_is_settled_by_no_later_update():
-    found = after(
-        (0.0, UpdateLost(1, WHOLE_LIST)),
+    lease = lease_after(
+        (0.0, UpdateLost(1, FULL_LIST_VERSION)),
         (1.0, CallBegan(2)),
         (1.0, UpdateRead(1, 10_000, False)),
         (1.0, UpdateRead(2, 10_000, False)),
     )
-    assert found.withholds(1_000.0)
-    found.take(2.0, UpdateRead(2, 5, True))
-    assert not found.withholds(1_000.0)
+    assert lease.withholds(1_000.0)
+    lease.take(2.0, UpdateRead(2, 5, True))
+    assert not lease.withholds(1_000.0)
 
 
 def test_of_two_losses_the_later_one_is_not_settled_by_a_call_between_them():
-    found = after(
+    lease = lease_after(
         (1_000.0, UpdateLost(1, 4)),
         (1_100.0, CallBegan(2)),
         (1_200.0, UpdateLost(1)),
         (1_300.0, UpdateRead(2, 5, True)),
     )
-    assert found.withholds(2_000.0)
-    found.take(1_400.0, CallBegan(3))
-    found.take(1_500.0, UpdateRead(3, 5, False))
-    assert not found.withholds(2_000.0)
+    assert lease.withholds(2_000.0)
+    lease.take(1_400.0, CallBegan(3))
+    lease.take(1_500.0, UpdateRead(3, 5, False))
+    assert not lease.withholds(2_000.0)
 
 
 @pytest.mark.parametrize(
     "since",
     [
         [],
-        [EndedInForm(2)],
-        [EndedInForm(2), EndedInForm(3)],
+        [MessageComplete(2)],
+        [MessageComplete(2), MessageComplete(3)],
         [ConnectionRefused(2)],
-        [NothingArrived(2)],
+        [NoUpdateArriving(2)],
         [FormerServiceRead(1)],
         [UpdateRead(1, 9, True)],
     ],
     ids=["time", "turned away", "twice", "refused", "not asked", "former address", "an earlier call"],
 )
 def test_nothing_but_the_answer_to_a_later_call_settles_a_loss(since):
-    found = after((1_000.0, UpdateLost(1)))
+    lease = lease_after((1_000.0, UpdateLost(1)))
     for at, message in enumerate(since):
-        found.take(1_500.0 + 100.0 * at, message)
-    assert expires_at(found, 1_000.0)
-    assert all(found.withholds(at) for at in (2_000.0, 7_000.0, 7_500.0, 12_000.0, 40_000.0))
-    found.take(40_000.0, CallBegan(4))
-    found.take(40_000.0, UpdateRead(4, 0, False))
-    assert not found.withholds(40_100.0)
+        lease.take(1_500.0 + 100.0 * at, message)
+    assert grace_ends_after(lease, 1_000.0)
+    assert all(lease.withholds(at) for at in (2_000.0, 7_000.0, 7_500.0, 12_000.0, 40_000.0))
+    lease.take(40_000.0, CallBegan(4))
+    lease.take(40_000.0, UpdateRead(4, 0, False))
+    assert not lease.withholds(40_100.0)
 
 
 def test_calls_after_losses_in_a_row_come_further_and_further_apart():
-    # a service that resets each call at once was called again without a pause by who is first in the bank
+    # without the backoff, the first balancer of a bank calls a service that resets each call in a tight loop
     host = FakeHost([listed(0)], ask_for_list=True, balancers=200)
     host.balancer._asking.place = 0.0
     host.pass_time(5_000.0)
@@ -249,84 +252,86 @@
 
 
 def test_what_a_silent_call_misses_counts_as_told_6_s_after_its_last_word():
-    found = after((500.0, CallBegan(2)), (3_000.0, UpdateRead(1, 3, False)), (3_500.0, CallSilent(2, 2.5)))
-    assert expires_at(found, 1_000.0 + TOLD_AT_LAST)
-    found.take(8_000.0, UpdateRead(1, 9, True))  # it was asked for before
-    assert found.withholds(8_000.0)
-    found.take(8_000.0, CallBegan(3))
-    found.take(8_000.0, UpdateRead(3, 0, False))  # nothing has changed, says a later one
-    assert not found.withholds(9_000.0)
+    lease = lease_after(
+        (500.0, CallBegan(2)), (3_000.0, UpdateRead(1, 3, False)), (3_500.0, CallSilent(2, 2.5))
+    )
+    assert grace_ends_after(lease, 1_000.0 + NOTIFIED_AFTER_MS)
+    lease.take(8_000.0, UpdateRead(1, 9, True))  # requested before the loss
+    assert lease.withholds(8_000.0)
+    lease.take(8_000.0, CallBegan(3))
+    lease.take(8_000.0, UpdateRead(3, 0, False))  # a later call: nothing has changed
+    assert not lease.withholds(9_000.0)
 
 
 def test_a_call_that_is_answered_in_time_leaves_nothing_of_the_silence_before():
-    found = after(
+    lease = lease_after(
         (1_000.0, CallBegan(2)),
         (3_500.0, CallSilent(2, 2.5)),
         (3_600.0, CallBegan(3)),
         (4_000.0, UpdateRead(3, 4, False)),
     )
-    assert expires_at(found, 4_000.0 + TOLD_AT_LAST)
+    assert grace_ends_after(lease, 4_000.0 + NOTIFIED_AFTER_MS)
 
 
 @pytest.mark.parametrize(
-    "steps, told",
+    "steps, proven_at",
     [
         ([], 0.0),
-        ([(4_000.0, EndedInForm(2))], 0.0),
-        ([(4_000.0, EndedInForm(2)), (5_900.0, EndedInForm(3))], 0.0),
-        ([(1_000.0, UpdateRead(1, 3, False)), (4_000.0, EndedInForm(1))], 1_000.0),
-        # what changed while nobody listened there counts from when somebody does again
-        ([(4_000.0, ConnectionRefused(2)), (5_000.0, EndedInForm(3))], 4_000.0),
-        # a call whose request never left, or that never connected, says nothing of the service
-        ([(4_000.0, NothingArrived(2))], 0.0),
-        ([(4_000.0, FormerServiceRead(1)), (5_000.0, EndedInForm(2))], 0.0),
+        ([(4_000.0, MessageComplete(2))], 0.0),
+        ([(4_000.0, MessageComplete(2)), (5_900.0, MessageComplete(3))], 0.0),
+        ([(1_000.0, UpdateRead(1, 3, False)), (4_000.0, MessageComplete(1))], 1_000.0),
+        # changes made while nobody listened count from when somebody listens again
+        ([(4_000.0, ConnectionRefused(2)), (5_000.0, MessageComplete(3))], 4_000.0),
+        # a call whose request was never sent, or that never connected, is no evidence
+        ([(4_000.0, NoUpdateArriving(2))], 0.0),
+        ([(4_000.0, FormerServiceRead(1)), (5_000.0, MessageComplete(2))], 0.0),
     ],
 )
-def test_a_list_that_is_not_proven_anew_is_out_of_date_6_s_later_whatever_becomes_of_calls(steps, told):
-    found = after(*steps)
-    assert expires_at(found, told + TOLD_AT_LAST)
-    assert found.withholds(told + TOLD_AT_LAST + 9_000.0)
-    found.take(20_000.0, UpdateRead(1, 0, False))
-    assert not found.withholds(20_000.0 + LEFT)
+def test_a_list_that_is_not_proven_anew_is_out_of_date_6_s_later_whatever_becomes_of_calls(steps, proven_at):
+    lease = lease_after(*steps)
+    assert grace_ends_after(lease, proven_at + NOTIFIED_AFTER_MS)
+    assert lease.withholds(proven_at + NOTIFIED_AFTER_MS + 9_000.0)
+    lease.take(20_000.0, UpdateRead(1, 0, False))
+    assert not lease.withholds(20_000.0 + GRACE_LEFT)
 
 
 def test_a_service_that_turns_all_calls_away_does_not_keep_requests_out_for_good():
-    found = after((2_000.0, EndedInForm(2)), (30_000.0, EndedInForm(3)))
-    told = TOLD_AT_LAST
-    assert found.withholds(told + LONGEST * ASKING - 1) and not found.withholds(told + LONGEST * ASKING)
+    lease = lease_after((2_000.0, MessageComplete(2)), (30_000.0, MessageComplete(3)))
+    notified_at = NOTIFIED_AFTER_MS
+    assert lease.withholds(notified_at + MAX_AGE - 1) and not lease.withholds(notified_at + MAX_AGE)
 
 
 @pytest.mark.parametrize(
     "steps",
-    [[], [EndedInForm(1)], [UpdateLost(1)], [NothingArrived(1)], [CallSilent(1, 2.5)]],
+    [[], [MessageComplete(1)], [UpdateLost(1)], [NoUpdateArriving(1)], [CallSilent(1, 2.5)]],
     ids=["no call yet", "turned away", "reset", "not asked", "silent"],
 )
 def test_a_process_that_has_not_heard_from_the_list_service_sends_nothing(steps):
-    found = ListLease()
-    found.fit(GRACE, ASKING, False)
-    found.begin(1_000.0)
+    lease = ListLease()
+    lease.fit(GRACE, MUST_ASK_IN, False)
+    lease.begin(1_000.0)
     for message in steps:
-        found.take(1_050.0, message)
-    assert all(found.withholds(at) for at in (1_000.0, 1_100.0, 2_000.0, 20_000.0))
-    assert found.why(2_000.0) is Withheld.NEVER_TOLD
-    found.take(20_000.0, CallBegan(2))
-    found.take(20_000.0, UpdateRead(2, 3, False))
-    assert not found.withholds(20_000.0 + LEFT)
+        lease.take(1_050.0, message)
+    assert all(lease.withholds(at) for at in (1_000.0, 1_100.0, 2_000.0, 20_000.0))
+    assert lease.why(2_000.0) is BlockReason.NO_UPDATE_YET
+    lease.take(20_000.0, CallBegan(2))
+    lease.take(20_000.0, UpdateRead(2, 3, False))
+    assert not lease.withholds(20_000.0 + GRACE_LEFT)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_where_nobody_listens_the_list_of_the_settings_holds_unless_it_is_pushed(pushed):
-    found = ListLease()
-    found.fit(GRACE, ASKING, pushed)
-    found.begin(1_000.0)
-    found.take(1_050.0, ConnectionRefused(1))
-    assert found.withholds(1_060.0) is pushed
-    assert pushed or expires_at(found, 1_050.0 + TOLD_AT_LAST)
+    lease = ListLease()
+    lease.fit(GRACE, MUST_ASK_IN, pushed)
+    lease.begin(1_000.0)
+    lease.take(1_050.0, ConnectionRefused(1))
+    assert lease.withholds(1_060.0) is pushed
+    assert pushed or grace_ends_after(lease, 1_050.0 + NOTIFIED_AFTER_MS)
 
 
 @pytest.mark.parametrize("watched", [True, False])
 def test_a_pushed_list_counts_as_told_at_once_where_no_watch_is_open(watched):
-    found = after((1_000.0, EndedInForm(1, watched)), pushed=True)
-    assert found.lost is not watched
+    lease = lease_after((1_000.0, MessageComplete(1, watched)), pushed=True)
+    assert lease.lost is not watched
     if not watched:
-        assert expires_at(found, 1_000.0)
+        assert grace_ends_after(lease, 1_000.0)
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -34,7 +34,7 @@
     play,
 )
 
-from ospreyline.lease import ConnectionRefused, EndedInForm, LeaseMessage, UpdateLost, UpdateRead
+from ospreyline.lease import ConnectionRefused, LeaseMessage, MessageComplete, UpdateLost, UpdateRead
 from ospreyline.net.discovery import Discovery
 
 AWAY = 8.5  # s for which the service turns all calls away
@@ -110,7 +110,7 @@
         await wait_for(lambda: lists.told_by_watch)
         await registry.say(b'{"rev":6}\n')
         await wait_for(lambda: not lists.watching)
-        assert UpdateLost in map(type, steps) and EndedInForm not in map(type, steps)
+        assert UpdateLost in map(type, steps) and MessageComplete not in map(type, steps)
         lists.close()
 
     play(story)
@@ -122,7 +122,7 @@
         async with running(Peer(), registry=Registry(), Discovery=how) as service:
             lease = service.turn.balancer.lease
             service.turn._renew_lease(0.0, UpdateRead(1, 3, False))
-            service.turn._renew_lease(1.0, EndedInForm(2, False))
+            service.turn._renew_lease(1.0, MessageComplete(2, False))
             assert lease.withholds(600.0) is not counts_later
             assert lease.withholds(TOLD_AT_LAST * 1e3 + 600.0)
 
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -32,7 +32,7 @@
     play,
 )
 
-from ospreyline.lease import CallBegan, LeaseMessage, NothingArrived
+from ospreyline.lease import CallBegan, LeaseMessage, NoUpdateArriving
 from ospreyline.net.discovery import Discovery
 from ospreyline.net.list_call import MOST_WAIT, CallEnd
 
@@ -114,7 +114,7 @@
         call.since = call.heard = loop.time() - MOST_WAIT - 1.0
         lists.tidy()
         assert call.end is CallEnd.LEFT and not lists._calls
-        assert messages == [CallBegan(call.number), NothingArrived(call.number)]
+        assert messages == [CallBegan(call.number), NoUpdateArriving(call.number)]
         lists.close()
 
     play(story)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -328,9 +328,9 @@
 @pytest.fixture
 def short(monkeypatch):
     """Periods of 0.3 s, far under the time after which a call counts as silent."""
-    monkeypatch.setattr(asking, "LEAST", 300.0)
-    monkeypatch.setattr(asking, "MOST", 300.0)
-    monkeypatch.setattr(asking, "LONGEST", 600.0)
+    monkeypatch.setattr(asking, "MIN_PERIOD_MS", 300.0)
+    monkeypatch.setattr(asking, "MAX_PERIOD_MS", 300.0)
+    monkeypatch.setattr(asking, "MAX_REJECTED_PERIOD_MS", 600.0)
 
 
 class Mute(Registry):
