--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -18,7 +18,7 @@
 from ospreyline.fleet.lists import BEAT, SOURCES
 from ospreyline.fleet.members import MOST_MEMBERS
 from ospreyline.fleet.publisher import MOST_SUBSCRIBERS
-from ospreyline.net.list_call import MOST_LINE
+from ospreyline.net.list_call import MAX_LINE_BYTES
 
 DAY = 86_400.0
 QUIET_LINES = 0.5  # empty lines a second on a watch
@@ -152,7 +152,7 @@
         "state: the list in one line",
         "bytes",
         t.part("discovery", "list_bytes", n),
-        budget=MOST_LINE,
+        budget=MAX_LINE_BYTES,
         name="longest line that is taken",
     )
     t.add(
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -367,7 +367,7 @@
         if connection.cut_off:
             self.say(f"it is written on call {number}, which has fallen silent")
             return
-        data = chunk(listing(connection.call.at, 1, True))
+        data = chunk(listing(connection.call.address, 1, True))
         places = (0, data.index(b"\n") + 1, len(data) // 2, len(data) - 3)
         ways: list[tuple[int | None, End | None, float]] = [(None, None, 0.0), (None, None, HELD_UP)]
         ways += [(place, how, 0.0) for place in places for how in (End.FIN, End.RESET, End.SILENCE)]
@@ -409,7 +409,7 @@
                 self.tail, self.tail_at = self.choose(TAILS), self.now
             outcome = self.tail
         kind = "watch" if call.watching else "whole list"
-        self.say(f"call {call.number} ({kind}, from {call.after}) {outcome.words}")
+        self.say(f"call {call.number} ({kind}, from {call.after_version}) {outcome.words}")
         if outcome.kind == "refused":
             self.refused_at = self.now
         return outcome
@@ -444,9 +444,9 @@
         if drains:
             self.write_told(connection)
         if call.watching:
-            data = HEAD + chunk(listing(call.at, call.after, drains))
+            data = HEAD + chunk(listing(call.address, call.after_version, drains))
         else:
-            body = listing(call.at, -1, drains)
+            body = listing(call.address, -1, drains)
             data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         places = cuts(data)
         place = len(data) if outcome.cut is None else places[min(outcome.cut, len(places) - 1)]
--- a/ospreyline/net/discovery.py
+++ b/ospreyline/net/discovery.py
@@ -1,9 +1,10 @@
-"""Calls to the list service: the list of upstreams is asked for once, or watched, and told as it comes.
+"""List calls: polls and watches of the list service, which pass on the upstream list as it comes.
 
-When to ask is decided elsewhere. A call that fails, or a watch that ends or falls silent, is told once. A new
-address is asked at once; the old one's watch is heard until the new one has said something. A call that has
-said nothing yet is left out beside the next one, three at most: it may be served in its turn, or never. What
-becomes of each call is told as messages of the lease on the list (`lease.py`).
+When to call is decided elsewhere. A call that fails, or a watch that ends or times out, is reported once.
+After a move the new address is called at once; the watch at the old one is read until the new one has
+answered. A watch that has received nothing yet stays open beside the next one, three at most: the service may
+answer it in its turn, or never. What becomes of each call is passed on as messages of the list lease
+(`lease.py`).
 """
 
 from __future__ import annotations
@@ -25,31 +26,31 @@
     UpdateLost,
     UpdateRead,
 )
-from ospreyline.net.list_call import QUIET, CallEnd, ListCall
+from ospreyline.net.list_call import SILENCE_TIMEOUT_S, CallEnd, ListCall
 from ospreyline.net.listing import Entry, Log, News
 
-MOST_WAITING = 3  # calls that wait for their first byte at a time
-MOST_LEFT = 3  # calls that we have ended and read on
-READ_ON = QUIET  # s for which that is done
+MAX_UNANSWERED_WATCHES = 3
+MAX_HALF_CLOSED = 3  # calls that we have ended and still read
+READ_AFTER_CLOSE_S = SILENCE_TIMEOUT_S  # for so long they are read
 
 
 @dataclass(slots=True, frozen=True)
 class CallFailure:
-    """A call has failed, and no other one is out; or whatever is out, `lost`."""
+    """A call has failed and no other one is open; with `lost` also while others are open."""
 
-    retry_after: float = 0.0  # ms; as the service told it
+    retry_after: float = 0.0  # ms; from the Retry-After header
     lost: bool = False  # an update may have been written on it that did not arrive
-    seen: bool = False  # and a part of an answer came
-    turned_away: bool = False  # by a service that answers, and has too many callers
+    seen: bool = False  # and a part of an answer did arrive
+    turned_away: bool = False  # rejected by a service that answers, and has too many callers
 
 
-def _ends(news: News) -> list[Entry]:
-    """Who takes nothing new by an update."""
+def _withdrawn(news: News) -> list[Entry]:
+    """Entries of an update whose upstreams take no new requests (draining, gone or unreadable)."""
     return [entry for entry in news.targets if entry[0].state != "active"]
 
 
 class Discovery:
-    """Calls to discovery: at most one watch, and calls for the whole list."""
+    """Client of the list service: at most one watch in use, and polls for the full list."""
 
     def __init__(
         self,
@@ -69,29 +70,36 @@
         self._tell_failed = tell_failed
         self._tell_lease = tell_lease
         self._calls: dict[ListCall, asyncio.Task[None]] = {}
-        self._left: list[ListCall] = []  # that we have ended and read on, oldest first
-        self._watch: ListCall | None = None
-        self.begun = 0  # calls so far
-        self._lost_by = 0  # the latest call that had begun when an update was last lost
-        self.again = 1.4  # s after which a call for the whole list has another beside it
+        self._half_closed: list[ListCall] = []  # ended by us and still read, oldest first
+        self._watch: ListCall | None = None  # the latest one
+        self.calls_started = 0
+        self._last_call_at_loss = 0  # number of the latest call when an update was last lost
+        self.again = 1.4  # s after which a poll that is still open gets another one beside it
         self.patient = False  # the service may need seconds for an answer
-        # watches before, oldest first, that have told nothing yet: who speaks first stays
-        self._unspoken: list[ListCall] = []
-        self._replaced: ListCall | None = None  # the watch before, heard until the new one has spoken
-        self._former: ListCall | None = None  # the watch at the address before, likewise
-        self._moved = False  # and it has not yet
-        self._former_ends: list[Entry] = []  # who drains or is gone, as the former address told meanwhile
-        self._whole_due = False  # what is known is by another count: who is gone need not be told
+        # earlier watches without an answer yet, oldest first: the first one that is answered is kept
+        self._unanswered: list[ListCall] = []
+        self._replaced: ListCall | None = None  # the previous watch, read until the new one is answered
+        self._former_watch: ListCall | None = None  # the watch at the former address, likewise
+        self._move_pending = False  # the new address has not answered yet
+        self._former_withdrawals: list[Entry] = []  # draining or gone, by the former address since the move
+        # the known list is numbered by another service, or has gaps: changes alone need not name who is gone
+        self._full_list_due = False
 
     def move(self, at: tuple[str, int]) -> None:
-        """Discovery is elsewhere now. Nothing that is told meanwhile may be lost."""
-        former = self._former or self._replaced or self._watch
+        """Switches to another address of the list service; no update may be lost meanwhile."""
+        former = self._former_watch or self._replaced or self._watch
         for call in [c for c in self._calls if c is not former]:
-            self._drop(call)
-        self.at, self._former, self._watch, self._replaced, self._unspoken = at, former, None, None, []
-        self._moved = self._whole_due = True
-        self._former_ends = []
-        self.rev = 0  # guards: the new service may count otherwise, so it is asked for all that it has
+            self._end_call(call)
+        self.at, self._former_watch, self._watch, self._replaced, self._unanswered = (
+            at,
+            former,
+            None,
+            None,
+            [],
+        )
+        self._move_pending = self._full_list_due = True
+        self._former_withdrawals = []
+        self.rev = 0  # the new service may number versions differently, so everything is requested
         self.watch(True)
 
     @property
@@ -100,105 +108,106 @@
 
     @property
     def told_by_watch(self) -> bool:
-        """Whether there is a watch that has told something."""
-        return self._watch is not None and self._watch.spoken
+        """Whether there is a watch that has been answered."""
+        return self._watch is not None and self._watch.answered
 
     @property
     def complete(self) -> bool:
-        """Whether all that the service has told by the version that is known has been taken."""
-        return not self._whole_due
+        """Whether the known list has everything that the service had at the known version."""
+        return not self._full_list_due
 
     @property
     def waiting(self) -> bool:
-        """Whether a watch is called for that has not told anything yet."""
-        return self._watch is not None and not self._watch.spoken
+        """Whether there is a watch that has not been answered yet."""
+        return self._watch is not None and not self._watch.answered
 
     def watch(self, on: bool) -> None:
-        """Watch the list from now on, by a new call, or no longer."""
+        """Opens a new watch, or closes all watches."""
         if on and self.told_by_watch:
-            # guards: a watch that is given up may be written something as it ends; one that stands goes on
+            # the open watch is kept: an update may be written on it just as it is closed
             return self._refresh_beside_watch()
         old, self._watch = self._watch, None
-        if old is not None and on and not old.spoken and len(self._unspoken) < MOST_WAITING - 1:
-            self._unspoken.append(old)  # guards: in a queue it stands before the new one
+        if old is not None and on and not old.answered and len(self._unanswered) < MAX_UNANSWERED_WATCHES - 1:
+            self._unanswered.append(old)  # in the service's queue it is ahead of the new one
         elif old is not None:
-            self._drop(old)
+            self._end_call(old)
         if on:
             self._watch = self._start(watching=True)
             return
-        for call in (self._replaced, *self._unspoken):
+        for call in (self._replaced, *self._unanswered):
             if call is not None:
-                self._drop(call)
-        self._replaced, self._unspoken = None, []
+                self._end_call(call)
+        self._replaced, self._unanswered = None, []
 
     def refresh(self) -> None:
+        """Polls the full list."""
         self._start(watching=False)
 
     def _refresh_beside_watch(self) -> None:
-        """Ask for the whole list, if no call is out that began after the latest loss."""
-        if not any(call.number > self._lost_by for call in self._calls if not call.watching):
+        """Polls the full list, unless a poll is open that started after the latest loss."""
+        if not any(call.number > self._last_call_at_loss for call in self._calls if not call.watching):
             self.refresh()
 
     def _start(self, watching: bool) -> ListCall:
-        self.begun += 1
-        call = ListCall(self, self.begun, self.at, self.rev, watching)
+        self.calls_started += 1
+        call = ListCall(self, self.calls_started, self.at, self.rev, watching)
         self._tell_lease(CallBegan(call.number))
         self._calls[call] = self.loop.create_task(self._open(call))
         self.log.info(
             "list call begins",
             call=call.number,
             watch=watching,
-            after=call.after,
+            after=call.after_version,
             beside=len(self._calls) - 1,
         )
         return call
 
     async def _open(self, call: ListCall) -> None:
         try:
-            await self.loop.create_connection(lambda: call, *call.at)
+            await self.loop.create_connection(lambda: call, *call.address)
         except ConnectionRefusedError as error:
             call.stop(str(error), CallEnd.REFUSED)
         except OSError as error:
-            call.stop(str(error), CallEnd.NOT_ASKED)
+            call.stop(str(error), CallEnd.NOT_SENT)
 
-    def arriving(self, call: ListCall) -> None:
+    def update_arriving(self, call: ListCall) -> None:
         self._tell_lease(UpdateArriving(call.number))
 
-    def nothing_arriving(self, call: ListCall) -> None:
-        if not call.unproven:
+    def no_update_arriving(self, call: ListCall) -> None:
+        if not call.outcome_unknown:
             self._tell_lease(NoUpdateArriving(call.number))
 
-    def _lost(self, call: ListCall) -> bool:
-        """Whether an update may have been written on a call that is over and was not read; told, once.
+    def _report_loss(self, call: ListCall) -> bool:
+        """Whether an update may have been written on an ended call and not been read; reported once.
 
-        Guards: what the service has written counts as told, come or not.
+        Otherwise a lost update would go unnoticed: what the service has written counts as received.
         """
-        version = call.version() if call.at == self.at else 0  # another address counts otherwise
-        if call.end is not CallEnd.LEFT and call.left_at is None:
-            lost = call.end.lost
-        elif call.unproven:
-            lost = not call.end.in_form
-        else:  # it has fallen silent, which has a clock of its own, or another watch is told the same
-            lost = call.unfinished()
-        if not lost or call.lost_told:
+        version = call.partial_version() if call.address == self.at else 0  # versions are per address
+        if call.end is not CallEnd.ENDED_BY_US and call.half_closed_at is None:
+            lost = call.end.may_lose_update
+        elif call.outcome_unknown:
+            lost = not call.end.message_complete
+        else:  # a timeout is reported as such (`CallSilent`), or another watch receives the same updates
+            lost = call.has_partial_update()
+        if not lost or call.loss_reported:
             return False
-        call.lost_told = True
-        self._note_loss(call, version)
+        call.loss_reported = True
+        self._record_loss(call, version)
         return True
 
-    def _note_loss(self, call: ListCall, version: int) -> None:
-        self._lost_by = self.begun
+    def _record_loss(self, call: ListCall, version: int) -> None:
+        self._last_call_at_loss = self.calls_started
         self._tell_lease(UpdateLost(call.number, version))
 
-    def _covered(self) -> bool:
-        """Whether a watch stands that has spoken."""
+    def _has_answered_watch(self) -> bool:
+        """Whether a watch is open that has been answered."""
         return any(
-            call is not None and call in self._calls and call.spoken
-            for call in (self._watch, self._replaced, self._former)
+            call is not None and call in self._calls and call.answered
+            for call in (self._watch, self._replaced, self._former_watch)
         )
 
-    def _drop(self, call: ListCall) -> None:
-        """A call is over, or we end it: then nothing more is asked on it, and it is read on."""
+    def _end_call(self, call: ListCall) -> None:
+        """Removes a call that is over, or half-closes one that is still open."""
         task = self._calls.pop(call, None)
         if task is None:
             return
@@ -210,35 +219,35 @@
             connected=call.transport is not None,
             bytes=call.bytes,
             objects=call.objects,
-            unfinished=call.unfinished(),
-            ms=round(1e3 * (self.loop.time() - call.since)),
+            unfinished=call.has_partial_update(),
+            ms=round(1e3 * (self.loop.time() - call.started_at)),
         )
         if call.over or call.transport is None:
             task.cancel()
             call.abort()
             return
-        self._leave(call)
+        self._half_close(call)
 
-    def _leave(self, call: ListCall) -> None:
-        """We end a call that goes on: what was written on it, and is until the service sees that, is read."""
-        if not call.fell_silent and not call.covered:
-            # guards: a service that works calls off in turn may write there first what a watch is told later
-            call.unproven, call.lost_told = True, False
+    def _half_close(self, call: ListCall) -> None:
+        """Ends an open call, and reads what is written on it until the service has seen that."""
+        if not call.ended_by_timeout and not call.covered_by_watch:
+            # a service that serves calls in turn may write an update here first, and on the watch later
+            call.outcome_unknown, call.loss_reported = True, False
             self._tell_lease(UpdateArriving(call.number))
-        self._left.append(call)
-        if not call.leave():
-            self._read_no_further(call)
-        elif len(self._left) > MOST_LEFT:
-            self._read_no_further(self._left[0])
-
-    def _read_no_further(self, call: ListCall) -> None:
-        """A call that we ended has been read for long enough."""
+        self._half_closed.append(call)
+        if not call.half_close():
+            self._stop_reading(call)
+        elif len(self._half_closed) > MAX_HALF_CLOSED:
+            self._stop_reading(self._half_closed[0])
+
+    def _stop_reading(self, call: ListCall) -> None:
+        """Aborts a half-closed call that has been read for long enough."""
         call.why, call.over = "read for long enough", True
-        self._left_ended(call)
+        self._half_closed_ended(call)
 
-    def _left_ended(self, call: ListCall) -> None:
-        """A call that we had ended, and read on, is over."""
-        self._left.remove(call)
+    def _half_closed_ended(self, call: ListCall) -> None:
+        """Reports the outcome of a half-closed call that is over."""
+        self._half_closed.remove(call)
         call.abort()
         self.log.info(
             "list call read to its end",
@@ -246,213 +255,218 @@
             why=call.why,
             bytes=call.bytes,
             objects=call.objects,
-            unfinished=call.unfinished(),
+            unfinished=call.has_partial_update(),
         )
-        if self._lost(call):
+        if self._report_loss(call):
             self._tell_failed(CallFailure(lost=True, seen=True))
-        elif call.end.in_form:
-            self._tell_lease(MessageComplete(call.number, self._covered()))
+        elif call.end.message_complete:
+            self._tell_lease(MessageComplete(call.number, self._has_answered_watch()))
         else:
             self._tell_lease(NoUpdateArriving(call.number))
 
     def unread(self) -> bool:
-        """Whether something of the list lies in a socket that the loop has not read yet."""
-        return any(call.unread() for call in (*self._calls, *self._left))
+        """Whether a socket of a call has data that the event loop has not read yet."""
+        return any(call.has_unread_data() for call in (*self._calls, *self._half_closed))
 
     def took(self, rev: int) -> None:
-        """So much of the service's list is known, from whomever."""
+        """Records the version of a list that came from elsewhere, e.g. from another balancer."""
         self.rev = rev
         for call in self._calls:
-            call.newer = max(call.newer, rev)
-
-    def told(self, call: ListCall, news: News | None) -> None:
-        """A line has come; an empty one (None) says that nothing has changed."""
-        if call.left_at is not None:
-            return self._told_late(call, news)
-        if news is not None and not news.complete and not news.whole and call.watching:
-            # guards: who it is about may drain; the whole list leaves out whom it cannot name
-            self._whole_due = True
-            self._note_loss(call, FULL_LIST_VERSION)
-            self._take(call, news)  # it asks for the whole list
+            call.newest_elsewhere = max(call.newest_elsewhere, rev)
+
+    def update_received(self, call: ListCall, news: News | None) -> None:
+        """Handles an update; None (an empty line) means that nothing has changed."""
+        if call.half_closed_at is not None:
+            return self._late_update_received(call, news)
+        if news is not None and not news.all_identified and not news.whole and call.watching:
+            # the upstream of an entry without a readable uid may drain; only the full list settles that
+            self._full_list_due = True
+            self._record_loss(call, FULL_LIST_VERSION)
+            self._accept_update(call, news)  # this polls the full list
             return
-        former = call is self._former
-        if not self._take(call, news):
-            # guards: an older list proves nothing of a newer one
-            return self.nothing_arriving(call)
+        former = call is self._former_watch
+        if not self._accept_update(call, news):
+            # an older list is no evidence about a newer one
+            return self.no_update_arriving(call)
         if news is None and call.objects == 0:
-            # guards: what has changed stands in the first object; an empty line before it says nothing
-            return self.nothing_arriving(call)
+            # changes come with the first object; an empty line before it says nothing
+            return self.no_update_arriving(call)
         version = self.rev if news is None else news.rev
-        whole = news is not None and (news.whole or not call.watching)
-        read = FormerServiceRead(call.number) if former else UpdateRead(call.number, version, whole)
+        full = news is not None and (news.whole or not call.watching)
+        read = FormerServiceRead(call.number) if former else UpdateRead(call.number, version, full)
         self._tell_lease(read)
 
-    def _told_late(self, call: ListCall, news: News | None) -> None:
-        """A call that we had ended says something still."""
-        self.nothing_arriving(call)
+    def _late_update_received(self, call: ListCall, news: News | None) -> None:
+        """Handles an update on a half-closed call."""
+        self.no_update_arriving(call)
         if news is None:
             return
-        if call.at == self.at and news.rev > self.rev and not self._moved:
+        if call.address == self.at and news.rev > self.rev and not self._move_pending:
             self.took(news.rev)
             return self._tell(news)
-        # guards: the former address may have told a drain last, in versions of its own; what it has as ready
-        # may be older than what the new one told, so the whole list has the last word
-        if call.at != self.at and (ends := _ends(news)):
+        # the former address may have reported a drain last, under versions of its own; its other entries may
+        # be older than those of the new address, so the full list of the new one decides
+        if call.address != self.at and (ends := _withdrawn(news)):
             self._tell(News(self.rev, False, ends))
-            self._whole_due = True
+            self._full_list_due = True
             self.refresh()
 
-    def _stands(self, call: ListCall) -> None:
-        """Of the watches that wait one has spoken: the others are not needed, but for what was lost."""
-        others = [other for other in (*self._unspoken, self._watch) if other not in (None, call)]
-        # guards: who was asked before a loss says nothing of it, and who was asked after it would be ended
-        needed = [other for other in others if other and call.number <= self._lost_by < other.number]
-        self._watch, self._unspoken = call, []
+    def _promote_watch(self, call: ListCall) -> None:
+        """Keeps the first of several watches that is answered, and ends the others that are not needed."""
+        others = [other for other in (*self._unanswered, self._watch) if other not in (None, call)]
+        # if this watch started before a loss, only one that started after it can settle the loss
+        needed = [
+            other for other in others if other and call.number <= self._last_call_at_loss < other.number
+        ]
+        self._watch, self._unanswered = call, []
         for other in others:
             if other is not None and other not in needed:
-                self._drop(other)
+                self._end_call(other)
         if needed:
-            self._replaced, self._unspoken, self._watch = call, needed[:-1], needed[-1]
+            self._replaced, self._unanswered, self._watch = call, needed[:-1], needed[-1]
 
-    def _take(self, call: ListCall, news: News | None) -> bool:
-        """Hand on what a call has told; False if it was older than what is known."""
-        call.spoken = True
-        if call is self._former:
+    def _accept_update(self, call: ListCall, news: News | None) -> bool:
+        """Passes on an update of a call; False if it is older than what is known."""
+        call.answered = True
+        if call is self._former_watch:
             if news is not None:
-                self._former_ends += _ends(news)
+                self._former_withdrawals += _withdrawn(news)
                 self._tell(news)
             return True
-        if self._unspoken and call in (*self._unspoken, self._watch):
-            self._stands(call)
-        if self._moved:
-            self._moved = False
-            former, self._former = self._former, None
+        if self._unanswered and call in (*self._unanswered, self._watch):
+            self._promote_watch(call)
+        if self._move_pending:
+            self._move_pending = False
+            former, self._former_watch = self._former_watch, None
             if former is not None:
-                former.covered = call.watching
-                self._drop(former)
+                former.covered_by_watch = call.watching
+                self._end_call(former)
             self.log.info("discovery has moved", rev=news and news.rev, whole=bool(news and news.whole))
         if call is self._watch and self._replaced is not None:
-            self._drop(self._replaced)
+            self._end_call(self._replaced)
             self._replaced = None
         if news is None:
             news = News(self.rev, False, [])
-        elif news.rev < call.newer:
-            # guards: an answer that was on its way while another call told something newer takes it back
-            self.log.warning("an older list was passed over", rev=news.rev, had=call.newer, whole=news.whole)
-            if not call.watching and self._whole_due:
-                call.stop("older than what was told meanwhile", CallEnd.LEFT)
+        elif news.rev < call.newest_elsewhere:
+            # an answer that was under way while another call received a newer one would undo that
+            self.log.warning("older list ignored", rev=news.rev, had=call.newest_elsewhere, whole=news.whole)
+            if not call.watching and self._full_list_due:
+                call.stop("older than what was told meanwhile", CallEnd.ENDED_BY_US)
             return False
         elif news.rev < self.rev:
-            # nobody told anything since this call began: the service counts anew
-            self.log.warning("the list went back", rev=news.rev, had=self.rev, whole=news.whole)
+            # no other call received an update since this one started: the service has reset its versions
+            self.log.warning("list version went back", rev=news.rev, had=self.rev, whole=news.whole)
             if not news.whole:
-                # guards: what it counts from is not known here, and it may go on so for good. Who takes
-                # nothing new is believed at once, the rest is asked for
-                self._tell(News(news.rev, False, _ends(news)))
-                self.rev, self._whole_due = 0, True
-                call.stop("it counts anew", CallEnd.LEFT)
+                # the base of these changes is unknown here, and more of them may follow for good. Upstreams
+                # that take no new requests are accepted at once, everything else is requested again
+                self._tell(News(news.rev, False, _withdrawn(news)))
+                self.rev, self._full_list_due = 0, True
+                call.stop("it counts anew", CallEnd.ENDED_BY_US)
                 return False
         if news.whole or not call.watching:
-            self._whole_due = False  # a plain call is told all that there is, whatever it says of itself
+            self._full_list_due = False  # a poll returns the full list, even where it is not marked so
             for other in [c for c in self._calls if not c.watching and c is not call]:
-                self._drop(other)
+                self._end_call(other)
         self.rev = news.rev
         for other in self._calls:
             if other is not call:
-                other.newer = max(other.newer, news.rev)
+                other.newest_elsewhere = max(other.newest_elsewhere, news.rev)
         self._tell(news)
-        self._tell_former_ends(news)
-        if self._whole_due and all(c.watching for c in self._calls):
-            self.refresh()  # guards: who is gone need not be among the changes
+        self._reapply_former_withdrawals(news)
+        if self._full_list_due and all(c.watching for c in self._calls):
+            self.refresh()  # upstreams that are gone need not be among the changes
         return True
 
-    def _tell_former_ends(self, news: News) -> None:
-        """What the new address answers first may be older than what the former one has told since the move.
+    def _reapply_former_withdrawals(self, news: News) -> None:
+        """Restores drains that the former address has reported since the move.
 
-        Guards: a server that drains would be used again. The whole list, asked for then, has the last word.
+        The first answer of the new address may be older, and a draining server would be used again. The full
+        list, requested then, decides.
         """
         ready = {target.uid for target, _ in news.targets if target.state == "active"}
-        ends = [entry for entry in self._former_ends if entry[0].uid in ready]
-        self._former_ends = []
+        ends = [entry for entry in self._former_withdrawals if entry[0].uid in ready]
+        self._former_withdrawals = []
         if ends:
             self._tell(News(self.rev, False, ends))
-            self._whole_due = True
-
-    def ended(self, call: ListCall, why: str) -> None:
-        if call in self._left:
-            return self._left_ended(call)
-        lost = self._lost(call)
-        self._drop(call)
+            self._full_list_due = True
+
+    def call_ended(self, call: ListCall, why: str) -> None:
+        """Reports the end of a call to the lease, and its failure if no other call takes its place."""
+        if call in self._half_closed:
+            return self._half_closed_ended(call)
+        lost = self._report_loss(call)
+        self._end_call(call)
         if not lost:
-            self._tell_end(call)
-        alone = self._step_down(call)
+            self._report_end(call)
+        alone = self._release_role(call)
         if why and (alone or lost or call.watching):
             self.log.warning("call to discovery failed", why=why, watch=call.watching, end=call.end.value)
         if why and (alone or lost):
-            seen = lost and (call.end is not CallEnd.UNPROVEN or (call.bytes > 0 and not call.spoken))
-            self._tell_failed(CallFailure(call.retry_after, lost, seen, call.turned_away))
+            seen = lost and (call.end is not CallEnd.INCOMPLETE or (call.bytes > 0 and not call.answered))
+            self._tell_failed(CallFailure(call.retry_after_ms, lost, seen, call.rejected))
 
-    def _tell_end(self, call: ListCall) -> None:
-        """A call is over on which nothing was lost."""
+    def _report_end(self, call: ListCall) -> None:
+        """Reports the end of a call without a lost update to the lease."""
         if call.end is CallEnd.REFUSED:
             self._tell_lease(ConnectionRefused(call.number))
-        elif call.end.in_form:
-            self._tell_lease(MessageComplete(call.number, self._covered()))
-        elif not call.unproven:
+        elif call.end.message_complete:
+            self._tell_lease(MessageComplete(call.number, self._has_answered_watch()))
+        elif not call.outcome_unknown:
             self._tell_lease(NoUpdateArriving(call.number))
 
-    def _step_down(self, call: ListCall) -> bool:
-        """A call gives up its part; whether no other one that is out does it."""
-        if call is self._former:
-            self._former = None  # guards: its end says nothing of the new address
+    def _release_role(self, call: ListCall) -> bool:
+        """Takes an ended call out of its role; whether no other open call fills that."""
+        if call is self._former_watch:
+            self._former_watch = None  # its end says nothing about the new address
             return False
         if call is self._replaced:
             self._replaced = None
             return False
-        if self._unspoken and call in (*self._unspoken, self._watch):
-            # another one is out yet, and the next is planned from when the latest one began
+        if self._unanswered and call in (*self._unanswered, self._watch):
+            # another one is still open, and the next is scheduled from the start of the latest one
             if call is self._watch:
-                self._watch = self._unspoken.pop()
+                self._watch = self._unanswered.pop()
             else:
-                self._unspoken.remove(call)
+                self._unanswered.remove(call)
             return False
         if call is self._watch:
             self._watch, self._replaced = self._replaced, None
             return True
         if any(not c.watching for c in self._calls):
-            return False  # another call for the whole list is out
-        # guards: the watch that stands would be replaced for a call that nobody needs
-        return self._whole_due or self._watch is None
+            return False  # another poll is open
+        # if no full list is due, a failed poll must not lead to another call while a watch is open
+        return self._full_list_due or self._watch is None
 
     def tidy(self) -> None:
-        """End calls that have fallen silent. Guards: a discovery that was cut off says nothing."""
+        """Periodic cleanup: ends calls that have timed out, as a service that was cut off sends no end."""
         now = self.loop.time()
         for call in list(self._calls):
-            # guards: timers come before sockets, and what lies unread there counts as told
-            if call.silent(now) and not call.unread():
-                self._end_silent(call, now)
-        for call in list(self._left):
-            if call.left_at is not None and now - call.left_at > READ_ON and not call.unread():
-                self._read_no_further(call)
-        plain = [call for call in self._calls if not call.watching]
-        if plain and self._whole_due and self.loop.time() - plain[-1].since > self.again:
-            # guards: one that trickles keeps the others waiting; it is let be, for what it tells may be all
-            # that there is, and a new one is made beside it
-            if len(plain) > 1:
-                self._drop(plain[-1])
+            # the event loop runs timers before sockets, and unread data counts as received
+            if call.timed_out(now) and not call.has_unread_data():
+                self._end_unresponsive(call, now)
+        for call in list(self._half_closed):
+            expired = call.half_closed_at is not None and now - call.half_closed_at > READ_AFTER_CLOSE_S
+            if expired and not call.has_unread_data():
+                self._stop_reading(call)
+        polls = [call for call in self._calls if not call.watching]
+        if polls and self._full_list_due and self.loop.time() - polls[-1].started_at > self.again:
+            # a poll whose answer trickles in must not delay the list; it stays open, as its answer may be the
+            # only one, and a new one is made beside it
+            if len(polls) > 1:
+                self._end_call(polls[-1])
             self.refresh()
 
-    def _end_silent(self, call: ListCall, now: float) -> None:
-        """What a call misses that has fallen silent counts as told some time after its last word."""
+    def _end_unresponsive(self, call: ListCall, now: float) -> None:
+        """Ends a call that has timed out; what it misses counts as received some time after its last data."""
         if call.transport is not None:
-            call.fell_silent = True
-            self._tell_lease(CallSilent(call.number, now - call.heard))
-        call.stop("silent", CallEnd.LEFT)
+            call.ended_by_timeout = True
+            self._tell_lease(CallSilent(call.number, now - call.heard_at))
+        call.stop("silent", CallEnd.ENDED_BY_US)
 
     def close(self) -> None:
-        """The process ends: nothing is sent any more, so nothing more is read."""
+        """Aborts all calls at the end of the process: nothing is sent any more, so nothing need be read."""
         for task in self._calls.values():
             task.cancel()
-        for call in (*self._calls, *self._left):
+        for call in (*self._calls, *self._half_closed):
             call.abort()
-        self._calls, self._left = {}, []
+        self._calls, self._half_closed = {}, []
--- a/ospreyline/net/list_call.py
+++ b/ospreyline/net/list_call.py
@@ -1,7 +1,7 @@
-"""One call to the list service, from its request to its end, and what is known at that end.
+"""One list call (a poll or a watch), from its request to its end, and what is known at that end.
 
-What the service has written counts as told, whether or not it arrives. So each end says whether it proves
-that all of that was read: `CallEnd`, decided here alone. docs/crossings.md, "Ends of a call", has the table.
+What the service has written counts as received, whether or not it arrives. So each end says whether all of
+that was read for certain: `CallEnd`, decided here alone. docs/crossings.md, "Ends of a call", has the table.
 """
 
 from __future__ import annotations
@@ -18,132 +18,139 @@
 from ospreyline.net.sockets import failed
 from ospreyline.net.upstreams import unread
 
-# s without a whole line after which a watch is dead: an empty one is due every 2 s, and what is missed counts
-# as told 6 s after the last, which has to be enough for a call that is turned away and another
-QUIET = 2.5
-MOST_WAIT = 6.0  # s without a byte after which a call is given up; others are made beside it meanwhile
-MOST_CALL = 10.0  # s that a call for the whole list may take in all; others are made beside it meanwhile
-MOST_LINE = 8 << 20
-SERVED_NOTHING = (429, 503)  # statuses by which the service itself says that it has no list for a call
+# a watch without a whole line for so long is dead: an empty line is due every 2 s, and what is missed counts
+# as received 6 s after the last one, which leaves time for a rejected call and another one
+SILENCE_TIMEOUT_S = 2.5
+# a call is given up after so long without a byte, a poll after so long in all; others are made beside them
+FIRST_BYTE_TIMEOUT_S, POLL_TIMEOUT_S = 6.0, 10.0
+MAX_LINE_BYTES = 8 << 20
+REJECTED_STATUSES = (429, 503)  # by these the service itself says that it has no list for a call
 
 
 class CallEnd(Enum):
-    """What is known when a call is over, of what the service may have written on it."""
+    """What is known, when a call is over, of what the service may have written on it."""
 
-    NOT_ASKED = "its request never left"
+    NOT_SENT = "its request never left"
     REFUSED = "nobody listens at its address"
-    TURNED_AWAY = "read to its end in form: a status, and no list"
+    REJECTED = "read to its end in form: a status, and no list"
     COMPLETE = "an answer, read to its end in form"
     UNREADABLE = "an update came whole, and cannot be read"
-    CUT_OFF = "a part of an update came, and not the rest"
-    UNPROVEN = "over without its last chunk or its length"
-    LEFT = "we ended it, and read on what is written"
+    TRUNCATED = "a part of an update came, and not the rest"
+    INCOMPLETE = "over without its last chunk or its length"
+    ENDED_BY_US = "we ended it, and read on what is written"
 
     @property
-    def in_form(self) -> bool:
+    def message_complete(self) -> bool:
         """Whether its message came to its end: all that the service wrote was read."""
-        return self in (CallEnd.TURNED_AWAY, CallEnd.COMPLETE)
+        return self in (CallEnd.REJECTED, CallEnd.COMPLETE)
 
     @property
-    def lost(self) -> bool:
+    def may_lose_update(self) -> bool:
         """Whether an update may have been written that was not read."""
-        return self in (CallEnd.UNREADABLE, CallEnd.CUT_OFF, CallEnd.UNPROVEN)
+        return self in (CallEnd.UNREADABLE, CallEnd.TRUNCATED, CallEnd.INCOMPLETE)
 
 
-class Owner(Protocol):
-    """Who makes calls: what a call tells it, in the order in which it comes."""
+class CallOwner(Protocol):
+    """Makes calls, and is notified by each call of what comes, in that order."""
 
     loop: asyncio.AbstractEventLoop
     log: Log
     patient: bool  # the service may need seconds for an answer
 
-    def arriving(self, call: ListCall) -> None:
+    def update_arriving(self, call: ListCall) -> None:
         """The first bytes of an answer, or of an update, have come."""
 
-    def nothing_arriving(self, call: ListCall) -> None:
-        """They were no update: the rest of a head, or of a chunk whose lines have been told."""
+    def no_update_arriving(self, call: ListCall) -> None:
+        """They were no update: the rest of a head, or of a chunk whose lines have been passed on."""
 
-    def told(self, call: ListCall, news: News | None) -> None:
-        """An update has come whole; None: an empty line, nothing has changed."""
+    def update_received(self, call: ListCall, news: News | None) -> None:
+        """An update has come completely; None: an empty line, nothing has changed."""
 
-    def ended(self, call: ListCall, why: str) -> None:
-        """The call is over, as `call.end` has it; a reason says that it failed."""
+    def call_ended(self, call: ListCall, why: str) -> None:
+        """The call is over, as `call.end` says; a non-empty `why` means that it failed."""
 
 
 class ListCall(asyncio.Protocol):
-    """One call: its lines are told as they come, its end once."""
+    """One call: passes on its lines as they come, and its end once."""
 
-    def __init__(self, owner: Owner, number: int, at: tuple[str, int], after: int, watching: bool) -> None:
+    def __init__(
+        self, owner: CallOwner, number: int, address: tuple[str, int], after_version: int, watching: bool
+    ) -> None:
         self.owner = owner
-        self.number = number  # counted up; of a later one the request left later
+        self.number = number  # increasing; a later number means that the request was sent later
         self.watching = watching
-        self.at = at
-        self.after = after  # the version that is asked from
+        self.address = address
+        self.after_version = after_version  # changes after this version are requested
         self.transport: asyncio.Transport | None = None
-        self.since = self.heard = owner.loop.time()
-        self.over = self.spoken = False
-        self.left_at: float | None = None  # we have ended it; what still comes is read
-        self.fell_silent = False  # that is why we have
-        self.covered = False  # we have, and a watch at the address that is asked now has been answered
-        self.unproven = False  # we have, and what was written on it meanwhile is not known
-        self.end = CallEnd.NOT_ASKED
-        self.why = "another call has taken its place"  # of its end, for the log
-        self.bytes = self.objects = 0  # that came, for the log
-        self.newer = -1  # the latest version that another call has told since this one began
-        self.retry_after = 0.0  # ms; as it was told
-        self.turned_away = False  # by a status
-        self.was_arriving = False  # an update, and it was told so
-        self.lost_told = False  # that it may have been lost was told
+        self.started_at = self.heard_at = owner.loop.time()  # s; heard_at: of the latest sign of life
+        self.over = self.answered = False
+        self.half_closed_at: float | None = None  # s; we have ended it, and read what still comes
+        self.ended_by_timeout = False  # we have, as it was unresponsive
+        self.covered_by_watch = False  # we have, and a watch at the current address has been answered
+        self.outcome_unknown = False  # we have, and do not know what was written on it meanwhile
+        self.end = CallEnd.NOT_SENT
+        self.why = "another call has taken its place"  # reason of its end, for the log
+        self.bytes = self.objects = 0  # received, for the log
+        self.newest_elsewhere = -1  # the latest version that another call received since this one started
+        self.retry_after_ms = 0.0
+        self.rejected = False  # by a status
+        self.arriving = False  # a part of an update has arrived, and the owner was notified
+        self.loss_reported = False
         self._parser = httptools.HttpResponseParser(self)
-        self._rest = bytearray()
-        self._object: list[bytes] = []  # the lines of one that is spread over several, so far
-        self._brackets = self._size = 0  # of those lines: how many are open, bytes
-        self._head_done = self._chunked = self._sized = self._in_chunk = False
+        self._buffer = bytearray()  # behind the last whole line
+        self._object_lines: list[bytes] = []  # of an object that spans several lines, so far
+        self._open_brackets = self._object_bytes = 0  # in those lines
+        self._head_done = self._chunked = self._has_length = self._in_chunk = False
         self._status = 0
-        self._part = False  # of a head or a chunk has come, and not the rest
-        self._reset = False  # its connection was, though its end may be all that we are told
+        self._partial_frame = False  # a part of a head or of a chunk has come, and not the rest
+        self._reset = False  # its connection was reset, though the loop may report a plain end
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:  # guards: dropped while it connected, it would be one more call at the service
+        if self.over:  # ended while it connected: sending the request would add a call at the service
             self.transport.abort()
             return
-        query = f"?watch=1&after={self.after}" if self.watching else ""
-        host, port = self.at
+        query = f"?watch=1&after={self.after_version}" if self.watching else ""
+        host, port = self.address
         self.transport.write(
             f"GET /registry/instances{query} HTTP/1.1\r\nHost: {host}:{port}\r\n"
             "Accept: application/json\r\n\r\n".encode()
         )
 
-    def silent(self, now: float) -> bool:
-        """Whether it has told nothing for too long. Of a watch bytes are nothing: half a line may stay so."""
+    def timed_out(self, now: float) -> bool:
+        """Whether it has been unresponsive for too long; `now` in s.
+
+        On a watch only whole lines are a sign of life, as half a line may stay incomplete.
+        """
         if self.bytes == 0 and self.transport is not None and self.owner.patient:
-            # guards: a call that is given up loses its place in the service's queue
-            return now - self.since > MOST_WAIT
-        return now - self.heard > QUIET or (not self.watching and now - self.since > MOST_CALL)
+            # not earlier, as a call that is given up loses its place in the service's queue
+            return now - self.started_at > FIRST_BYTE_TIMEOUT_S
+        return now - self.heard_at > SILENCE_TIMEOUT_S or (
+            not self.watching and now - self.started_at > POLL_TIMEOUT_S
+        )
 
-    def unread(self) -> bool:
-        """Whether something lies in its socket that the loop has not read yet."""
+    def has_unread_data(self) -> bool:
+        """Whether its socket has data that the event loop has not read yet."""
         return (
             self.transport is not None
             and not self.transport.is_closing()
             and unread(self.transport, select.POLLIN)
         )
 
-    def leave(self) -> bool:
-        """Ask for nothing more, and read on; False if there is no connection to read.
+    def half_close(self) -> bool:
+        """Closes the sending side and reads on; False if there is no connection to read.
 
-        Guards: what the service writes up to the moment at which it sees our end counts as told, and may lie
-        in our socket or be on its way.
+        What the service writes until it sees our end counts as received, and may lie in our socket or be on
+        its way.
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        self.left_at, self.end = self.owner.loop.time(), CallEnd.LEFT
+        self.half_closed_at, self.end = self.owner.loop.time(), CallEnd.ENDED_BY_US
         self.transport.write_eof()
         return True
 
     def abort(self) -> None:
-        """Nothing more is read of it."""
+        """Ends the call; nothing more is read of it."""
         self.over = True
         if self.transport is not None:
             self.transport.abort()
@@ -153,46 +160,46 @@
             return
         self.bytes += len(data)
         if not self.watching:
-            self.heard = self.owner.loop.time()
+            self.heard_at = self.owner.loop.time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.stop(f"malformed: {error}", CallEnd.CUT_OFF if self._head_done else CallEnd.UNPROVEN)
-        self._part = not self._head_done
+            self.stop(f"malformed: {error}", CallEnd.TRUNCATED if self._head_done else CallEnd.INCOMPLETE)
+        self._partial_frame = not self._head_done
         if self._chunked:
-            # guards: of a writing that is cut off the size of its chunk can be all that comes
-            self._part = self._in_chunk or not data.endswith(b"\n")
-        if not self.over and self.was_arriving is not self.unfinished():
-            self.was_arriving = not self.was_arriving
-            if self.was_arriving:
-                self.owner.arriving(self)
+            # of a write that is cut off, the size of its chunk can be all that arrives
+            self._partial_frame = self._in_chunk or not data.endswith(b"\n")
+        if not self.over and self.arriving is not self.has_partial_update():
+            self.arriving = not self.arriving
+            if self.arriving:
+                self.owner.update_arriving(self)
             else:
-                self.owner.nothing_arriving(self)
+                self.owner.no_update_arriving(self)
 
-    def unfinished(self) -> bool:
+    def has_partial_update(self) -> bool:
         """Whether a part of an answer has come, and not the rest."""
-        return bool(self._object or self._rest.strip() or self._part)
+        return bool(self._object_lines or self._buffer.strip() or self._partial_frame)
 
-    def version(self) -> int:
-        """Of the update that is unfinished; 0 if it has not come, or stands behind what has."""
-        return version_of(b"".join([*self._object, self._rest]))
+    def partial_version(self) -> int:
+        """The version of the partial update; 0 if it has not arrived."""
+        return version_of(b"".join([*self._object_lines, self._buffer]))
 
-    # the parser's calls
+    # callbacks of the HTTP parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
         known = name.lower()
         if known == b"retry-after":
             with suppress(ValueError):  # a date: the pages give seconds
-                self.retry_after = 1e3 * max(0.0, float(value))
+                self.retry_after_ms = 1e3 * max(0.0, float(value))
         elif known == b"transfer-encoding":
             self._chunked = b"chunked" in value.lower()
         elif known == b"content-length":
-            self._sized = True
+            self._has_length = True
 
     def on_headers_complete(self) -> None:
         self._head_done = True
         self._status = self._parser.get_status_code()
-        self.turned_away = self._status != 200
+        self.rejected = self._status != 200
 
     def on_chunk_header(self) -> None:
         self._in_chunk = True
@@ -201,48 +208,48 @@
         self._in_chunk = False
 
     def on_body(self, body: bytes) -> None:
-        if self.turned_away:
+        if self.rejected:
             return
-        self._rest += body
+        self._buffer += body
         if self.watching:
-            # lines may be split anywhere
-            *lines, rest = self._rest.split(b"\n")
-            self._rest = rest
+            # a chunk may end anywhere in a line
+            *lines, rest = self._buffer.split(b"\n")
+            self._buffer = rest
             for line in lines:
                 if not self.over:
-                    self._line(bytes(line))
-        if len(self._rest) + self._size > MOST_LINE:
-            self.stop("a line without an end", CallEnd.CUT_OFF)
+                    self._read_line(bytes(line))
+        if len(self._buffer) + self._object_bytes > MAX_LINE_BYTES:
+            self.stop("a line without an end", CallEnd.TRUNCATED)
 
     def on_message_complete(self) -> None:
-        if self.turned_away:
-            # guards: any other status may be a gateway's word for an answer that was lost behind it
-            end = CallEnd.TURNED_AWAY if self._status in SERVED_NOTHING else CallEnd.UNPROVEN
+        if self.rejected:
+            # any other status may come from a gateway that lost the service's answer
+            end = CallEnd.REJECTED if self._status in REJECTED_STATUSES else CallEnd.INCOMPLETE
             return self.stop(f"status {self._status}", end)
-        if self._text() and not self.over:
-            # guards: a watch that ends behind half a line has told half of an update
-            self._last_text("the watch has ended" if self.watching else "")
+        if self._pending_text() and not self.over:
+            # a watch that ends behind half a line has sent half of an update
+            self._read_pending_text("the watch has ended" if self.watching else "")
         if self.watching:
-            # guards: a watch lasts until its connection ends; a last chunk is of who passed it on
-            return self.stop("the watch has ended", CallEnd.UNPROVEN)
-        # guards: a call that told nothing would count as answered, and its list as had
-        self.stop("" if self.spoken else "no list came", CallEnd.COMPLETE)
+            # a watch lasts until its connection ends; a last chunk before that comes from a proxy
+            return self.stop("the watch has ended", CallEnd.INCOMPLETE)
+        # without the reason, a call without a list would count as answered
+        self.stop("" if self.answered else "no list came", CallEnd.COMPLETE)
 
     # the end of its connection
 
     def eof_received(self) -> bool:
-        # guards: the loop library takes a reset that comes right behind bytes for an end, and it is none
+        # the event loop reports a reset that comes right behind data as a plain end
         self._reset = self.transport is not None and failed(self.transport)
-        if self._reset or self.over or not self._head_done or self._chunked or self._sized:
+        if self._reset or self.over or not self._head_done or self._chunked or self._has_length:
             return False
-        if self.turned_away:
+        if self.rejected:
             self.on_message_complete()
         elif not self.watching:
-            # an answer without a length lasts until the end (RFC 9112, 6.3); half of a list is no JSON
-            if self._text():
-                self._last_text("connection closed")
-                self._rest.clear()
-            if self.spoken or not self.unfinished():
+            # an answer without a length lasts until the end (RFC 9112, 6.3); half of a list is no valid JSON
+            if self._pending_text():
+                self._read_pending_text("connection closed")
+                self._buffer.clear()
+            if self.answered or not self.has_partial_update():
                 self.on_message_complete()
         return False
 
@@ -250,64 +257,66 @@
         if self.over:
             return
         why = str(exc or "connection closed")
-        if self._text():
-            self._last_text(why)
-        self.stop(why, self._end_by_connection())
-
-    def _end_by_connection(self) -> CallEnd:
-        """What is known where the connection ended before the message did, however it ended."""
-        if not self.watching and self.spoken:
-            return CallEnd.COMPLETE  # its one object was read whole
-        # guards: what was written before a reset may be lost, and a proxy may pass it on as an end in order
-        return CallEnd.CUT_OFF if self.unfinished() else CallEnd.UNPROVEN
-
-    # what it tells
-
-    def _text(self) -> bytes:
-        """What came behind the last whole line: an update without its line's end, or a part of one."""
-        text = b"\n".join([*self._object, bytes(self._rest)])
+        if self._pending_text():
+            self._read_pending_text(why)
+        self.stop(why, self._end_on_disconnect())
+
+    def _end_on_disconnect(self) -> CallEnd:
+        """What is known where the connection ended before the message did, in whatever way."""
+        if not self.watching and self.answered:
+            return CallEnd.COMPLETE  # its one object was read completely
+        # what was written before a reset may be lost, and a proxy may pass a reset on as an orderly end
+        return CallEnd.TRUNCATED if self.has_partial_update() else CallEnd.INCOMPLETE
+
+    # lines and updates
+
+    def _pending_text(self) -> bytes:
+        """What came behind the last complete update: an update without its line feed, or a part of one."""
+        text = b"\n".join([*self._object_lines, bytes(self._buffer)])
         return text if text.strip() else b""
 
-    def _last_text(self, cut_off_by: str) -> None:
-        self._told(self._text(), cut_off_by)
+    def _read_pending_text(self, cut_off_by: str) -> None:
+        self._read_update(self._pending_text(), cut_off_by)
 
-    def _line(self, line: bytes) -> None:
-        """A whole line of a watch: an object, a part of an indented one, or nothing."""
+    def _read_line(self, line: bytes) -> None:
+        """Handles a whole line of a watch: an object, a part of an indented one, or nothing."""
         if not line.strip():
-            if self._object:
-                # guards: an object that was cut off would swallow what follows
-                self.stop("unreadable line", CallEnd.CUT_OFF)
+            if self._object_lines:
+                # an object that was cut off would swallow what follows
+                self.stop("unreadable line", CallEnd.TRUNCATED)
             else:
-                self.heard = self.owner.loop.time()
-                self.was_arriving = False
-                self.owner.told(self, None)
+                self.heard_at = self.owner.loop.time()
+                self.arriving = False
+                self.owner.update_received(self, None)
             return
-        self._object.append(line)
-        self._size += len(line)
-        self._brackets += open_brackets(line)
-        if self._brackets <= 0:
-            text = b"\n".join(self._object)
-            self._object, self._brackets, self._size = [], 0, 0
-            self._told(text)
-
-    def _told(self, text: bytes, cut_off_by: str = "") -> None:
-        """An update; `cut_off_by`: why its rest may be missing, "" where all that was written has come."""
+        self._object_lines.append(line)
+        self._object_bytes += len(line)
+        self._open_brackets += open_brackets(line)
+        if self._open_brackets <= 0:
+            text = b"\n".join(self._object_lines)
+            self._object_lines, self._open_brackets, self._object_bytes = [], 0, 0
+            self._read_update(text)
+
+    def _read_update(self, text: bytes, cut_off_by: str = "") -> None:
+        """Parses an update; `cut_off_by`: why its rest may be missing, "" where all of it has come."""
         if (news := read(text, self.owner.log)) is not None:
-            self._object, self._brackets, self._size, self.was_arriving = [], 0, 0, False
-            self.heard = self.owner.loop.time()
+            self._object_lines, self._open_brackets, self._object_bytes, self.arriving = [], 0, 0, False
+            self.heard_at = self.owner.loop.time()
             self.objects += 1
             self.owner.log.info(
                 "list received", call=self.number, rev=news.rev, whole=news.whole, entries=len(news.targets)
             )
-            self.owner.told(self, news)
+            self.owner.update_received(self, news)
         else:
-            # guards: a lost change would be news never told; asking again brings it
-            self.stop(cut_off_by or "unreadable line", CallEnd.CUT_OFF if cut_off_by else CallEnd.UNREADABLE)
+            # the call fails, so that another one brings the change that could not be read
+            self.stop(
+                cut_off_by or "unreadable line", CallEnd.TRUNCATED if cut_off_by else CallEnd.UNREADABLE
+            )
 
     def stop(self, why: str, end: CallEnd = CallEnd.COMPLETE) -> None:
-        """The call is over; a reason says that it failed."""
-        if self.over or (self.left_at is not None and end is CallEnd.LEFT):
+        """Ends the call and notifies its owner once; a non-empty `why` means that it failed."""
+        if self.over or (self.half_closed_at is not None and end is CallEnd.ENDED_BY_US):
             return
-        self.over = end is not CallEnd.LEFT
+        self.over = end is not CallEnd.ENDED_BY_US
         self.why, self.end = why or "answered", end
-        self.owner.ended(self, why)
+        self.owner.call_ended(self, why)
--- a/ospreyline/net/listing.py
+++ b/ospreyline/net/listing.py
@@ -1,4 +1,4 @@
-"""What the list service says, read from its JSON: entries, updates, and what can be told of a part of one."""
+"""Parses the list service's JSON: entries, updates, and what can be told from a part of an update."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ospreyline import facts
 
-_TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # of JSON; it holds no line's end
+_JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # contains no line feed
 
 
 class _Listing(msgspec.Struct):
@@ -20,7 +20,7 @@
 
 
 class Target(msgspec.Struct):
-    """One line of the list, as discovery words it."""
+    """One entry of the list, as the list service encodes it."""
 
     uid: str
     endpoint: str = ""
@@ -30,23 +30,23 @@
     boot_ms: float = 0.0
 
 
-class _Named(msgspec.Struct):
-    """What is read of an entry that cannot be read otherwise."""
+class _EntryUid(msgspec.Struct):
+    """The one field that is read of an entry which cannot be decoded as a `Target`."""
 
     uid: str
 
 
-Entry = tuple[Target, tuple[str, int] | None]  # one line of the list, and its address if it has one
+Entry = tuple[Target, tuple[str, int] | None]  # an entry of the list, and its host and port if it has them
 
 
 @dataclass(slots=True, frozen=True)
 class News:
-    """A whole list, or what changed."""
+    """An update: the full list, or what changed."""
 
     rev: int
     whole: bool
     targets: list[Entry]
-    complete: bool = True  # of all entries it is known whose they are
+    all_identified: bool = True  # the uid of every entry could be read
 
 
 class Log(Protocol):
@@ -56,51 +56,54 @@
 
 _LISTING = msgspec.json.Decoder(_Listing, strict=False)
 _TARGET = msgspec.json.Decoder(Target, strict=False)
-_NAMED = msgspec.json.Decoder(_Named)
+_ENTRY_UID = msgspec.json.Decoder(_EntryUid)
 _VERSION = re.compile(rb'"rev"\s*:\s*(\d+)\s*[,}]')
 
 
 def open_brackets(line: bytes) -> int:
     """How many more brackets a line of JSON opens than it closes."""
-    bare = _TEXT.sub(b"", line)
+    bare = _JSON_STRING.sub(b"", line)
     return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
 
 def read(line: bytes, log: Log) -> News | None:
-    """One object of the list; None if it cannot be read. Whose entry cannot be read takes nothing new."""
+    """Parses one JSON object of the list; None if it is unreadable.
+
+    An entry of which only the uid can be read gets the state "unreadable": no new requests go to it.
+    """
     try:
         listing = _LISTING.decode(line)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         log.warning("unreadable list", error=str(error))
         return None
-    targets, complete = [], True
+    targets, all_identified = [], True
     for raw in listing.targets:
         try:
             target = _TARGET.decode(raw)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            named = _name(raw)
-            log.warning("unreadable entry of the list", uid=named, error=str(error))
-            if named is None:
-                complete = False
+            uid = _uid_of(raw)
+            log.warning("unreadable entry of the list", uid=uid, error=str(error))
+            if uid is None:
+                all_identified = False
                 continue
-            # guards: it may say that its server drains
-            target = Target(named, state="unreadable")
-        at = facts.address(target.endpoint)
-        if at is None and target.state not in ("left", "unreadable"):
+            # not skipped, as the entry may say that its server drains
+            target = Target(uid, state="unreadable")
+        address = facts.address(target.endpoint)
+        if address is None and target.state not in ("left", "unreadable"):
             log.warning("entry of the list without an address", uid=target.uid, endpoint=target.endpoint)
-        targets.append((target, at))
-    return News(listing.rev, listing.all, targets, complete)
+        targets.append((target, address))
+    return News(listing.rev, listing.all, targets, all_identified)
 
 
-def _name(raw: msgspec.Raw) -> str | None:
-    """Whose entry it is, if that can be read."""
+def _uid_of(raw: msgspec.Raw) -> str | None:
+    """The uid of an entry that cannot be decoded; None if that is unreadable, too."""
     try:
-        return _NAMED.decode(raw).uid
+        return _ENTRY_UID.decode(raw).uid
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
 
 
 def version_of(part: bytes) -> int:
-    """The version of a part of an object; 0 if it has not come, or stands behind what has."""
+    """The version in a part of an object; 0 if it has not arrived."""
     found = _VERSION.search(part)
     return int(found[1]) if found else 0
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -30,7 +30,7 @@
 from ospreyline.lease import UpdateArriving, UpdateLost
 from ospreyline.net import discovery as discovery_module
 from ospreyline.net.discovery import CallFailure, Discovery
-from ospreyline.net.list_call import MOST_WAIT, ListCall
+from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, ListCall
 from ospreyline.net.service import Service
 from ospreyline.net.turn import clock
 
@@ -87,7 +87,7 @@
 
 
 async def too_many_calls_wait(day: Day) -> None:
-    while len(day.calls()) < discovery_module.MOST_WAITING:
+    while len(day.calls()) < discovery_module.MAX_UNANSWERED_WATCHES:
         await day.another_call(watching=True)
     day.put(day.news(), len(day.calls()) - 1)
     day.lists.watch(True)
@@ -106,9 +106,9 @@
     await day.registry.say(listing(40))
     await day.another_call(watching=False)
     await day.another_call(watching=False)
-    day.lists._whole_due = True
+    day.lists._full_list_due = True
     for call in day.calls():
-        call.since -= day.lists.again + 1.0
+        call.started_at -= day.lists.again + 1.0
     day.put(day.news(), 2)
     day.lists.tidy()
 
@@ -143,7 +143,7 @@
 
 
 async def it_has_waited_for_too_long(day: Day) -> None:
-    day.calls()[0].since -= MOST_WAIT + 1.0
+    day.calls()[0].started_at -= FIRST_BYTE_TIMEOUT_S + 1.0
     day.calls()[0].bytes = 0
     day.put(day.news(), 0)
     day.lists.tidy()
@@ -203,7 +203,7 @@
             watch.data_received(chunk(listing(41)))
             watch.data_received(b"9")  # a part of a chunk
             watch.connection_lost(ConnectionResetError())
-            plain.number = day.lists.begun + 1  # as if it had been asked for after the loss
+            plain.number = day.lists.calls_started + 1  # as if it had been asked for after the loss
             plain.data_received(day.whole() + END)  # of version 40
             service.turn._turn()
             assert service.turn.balancer.lease.lost
@@ -253,7 +253,7 @@
             while service.turn.discovery.rev != 40:
                 await asyncio.sleep(0.005)
             first.write(chunk(listing(7)))
-            while not service.turn.discovery._left:
+            while not service.turn.discovery._half_closed:
                 await asyncio.sleep(0.002)
             ended = clock()
             while clock() - ended < 1_000.0:  # nobody else answers, and this one does not end
@@ -264,7 +264,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("limit, value", [("READ_ON", 0.1), ("MOST_LEFT", 0)])
+@pytest.mark.parametrize("limit, value", [("READ_AFTER_CLOSE_S", 0.1), ("MAX_HALF_CLOSED", 0)])
 def test_a_part_of_an_update_that_we_read_no_further_is_lost(limit, value, monkeypatch):
     # the rest of what the service has written on it may name a server that drains
     monkeypatch.setattr(discovery_module, limit, value)
@@ -294,7 +294,7 @@
             await asyncio.sleep(0.005)
         assert failures == [CallFailure(lost=True, seen=True)]
         # the other call goes on, and is the later one that can settle it
-        assert [call.number for call in lists._calls] == [2] and not lists._left
+        assert [call.number for call in lists._calls] == [2] and not lists._half_closed
         lists.close()
 
     play(story)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -715,16 +715,16 @@
         async with running(Peer(), registry=registry) as service:
             await registry.tell(4)
             (call,) = service.turn.discovery._calls
-            call.since -= 13.0  # it has spoken for so long
+            call.started_at -= 13.0  # it has spoken for so long
             for _ in range(3):
                 await registry.say(b"\n")
-            while call.heard == call.since:
+            while call.heard_at == call.started_at:
                 await asyncio.sleep(0)
-            heard = call.heard
-            assert not call.silent(heard + 2.4) and call.silent(heard + 2.6)
-            call.heard -= 2.6
+            heard = call.heard_at
+            assert not call.timed_out(heard + 2.4) and call.timed_out(heard + 2.6)
+            call.heard_at -= 2.6
             service.turn.discovery.tidy()
-            assert call.left_at is not None and not service.turn.discovery._calls
+            assert call.half_closed_at is not None and not service.turn.discovery._calls
             await registry.until(lambda: len(registry.requests) > 1)
 
     play(story)
@@ -752,7 +752,7 @@
             await registry.until(lambda: len(registry.writers) == 1)
             raw = Raw()
             service.turn.discovery.at = ("127.0.0.1", raw.port)
-            service.turn.discovery._whole_due = True  # or the watch that stands makes up for its failure
+            service.turn.discovery._full_list_due = True  # or the watch that stands makes up for its failure
             service.turn.discovery.refresh()
             conn, _ = await raw.take()
             failed, noted = [], service.turn.discovery._tell_failed
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -197,7 +197,7 @@
             news = News(rev, False, [])
             kinds = [partial(calls.watch, True), partial(calls.move, ("h", 2)), wait]
             for call in calls._calls:
-                kinds += [partial(calls.told, call, news), partial(calls.ended, call, "x")]
+                kinds += [partial(calls.update_received, call, news), partial(calls.call_ended, call, "x")]
             if step >= len(kinds):
                 break
             kinds[step]()
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -29,7 +29,7 @@
     lost = ListCall.connection_lost
 
     def wrong(self, exc):
-        if exc is None and not self.unfinished():
+        if exc is None and not self.has_partial_update():
             self.stop("closed", CallEnd.COMPLETE)
         lost(self, exc)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -141,9 +141,8 @@
     host.balancer.lease.take(host.now, UpdateLost(1, 4))
     host.pass_time(GRACE_LEFT + 1)
     visits = [host.take() for _ in range(3)]
-    assert not host.sends and all(
-        visit.tag in host.bounced for visit in visits
-    )  # another balancer may have the update
+    # bounced, as another balancer may have the update
+    assert not host.sends and all(visit.tag in host.bounced for visit in visits)
     host.balancer.lease.take(host.now, CallBegan(2))
     host.balancer.lease.take(host.now, UpdateRead(2, 4, False))
     assert host.take().out and len(host.sends) == 1
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -104,7 +104,7 @@
 def test_a_watch_that_trickles_without_a_whole_line_is_as_good_as_silent(what, monkeypatch):
     # any byte counted as a sign of life: a watch could stay open for good and tell nothing
     async def story():
-        monkeypatch.setattr(list_call, "QUIET", 0.4)
+        monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", 0.4)
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             if what == b"head":
@@ -220,7 +220,7 @@
         host = FakeHost([listed(0)], ask_for_list=True, seed=seed)
         host.balancer.told_changes(host.now, [])
         silent = host.now
-        host.pass_time(1e3 * (list_call.QUIET + service_module.TIDY))
+        host.pass_time(1e3 * (list_call.SILENCE_TIMEOUT_S + service_module.TIDY))
         for _ in range(2):
             host.watches.clear()
             host.balancer.told_nothing(host.now)
@@ -277,7 +277,7 @@
             lists = service.turn.discovery
             call = list_call.ListCall(lists, 2, lists.at, lists.rev, watching=True)
             lists.at, lists.rev = ("127.0.0.1", other.port), 0  # moved before its connection is up
-            _, writer = await asyncio.open_connection(*call.at)
+            _, writer = await asyncio.open_connection(*call.address)
             call.connection_made(writer.transport)
             await registry.until(lambda: len(registry.requests) == 2)
             assert b"after=4 " in registry.requests[1][0] and not other.requests
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -32,7 +32,7 @@
     assert starts.share(times, 0.9) < WITHIN, starts.line(state, found)
     if pushed and state == "hang":
         # what the agent may have counts as told: its silence is waited for first
-        assert min(times) > list_call.QUIET
+        assert min(times) > list_call.SILENCE_TIMEOUT_S
 
 
 @pytest.mark.parametrize("state", ["up", "back"])
@@ -43,7 +43,7 @@
 
 async def pushed_by(agent: Peer, monkeypatch):
     """A balancer that calls the agent for its list; silence counts once the story says so."""
-    monkeypatch.setattr(list_call, "QUIET", inf)
+    monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", inf)
     peer = await Peer().start()
     return running(peer, registry=agent, known=[target("u0", peer.port)], Discovery="push")
 
@@ -63,9 +63,9 @@
             await agent.until(lambda: bool(agent.requests))
             assert not await ready(service)
             (call,) = service.turn.discovery._calls
-            monkeypatch.setattr(list_call, "QUIET", -1.0)
+            monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", -1.0)
             service.turn.discovery.tidy()
-            assert call.left_at is not None and await ready(service)
+            assert call.half_closed_at is not None and await ready(service)
 
     play(story)
 
@@ -101,9 +101,9 @@
         async with await pushed_by(agent, monkeypatch) as service:
             await agent.until(lambda: bool(agent.requests))
             agent.answers = [listing(json.dumps(told).encode() + b"\n")]
-            monkeypatch.setattr(list_call, "QUIET", -1.0)
+            monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", -1.0)
             service.turn.discovery.tidy()
-            monkeypatch.setattr(list_call, "QUIET", inf)
+            monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", inf)
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
             client = await caller(service)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from ospreyline.fleet.members import MOST_MEMBERS, Members
 from ospreyline.host import Readiness
 from ospreyline.lab.mesh import Mesh
-from ospreyline.net.list_call import MOST_LINE, ListCall
+from ospreyline.net.list_call import MAX_LINE_BYTES, ListCall
 from ospreyline.rig import scale
 
 SIZES = 200, 2_000, 20_000
@@ -110,10 +110,10 @@
     assert all(100 <= size / count <= 115 for size, count in zip(sizes, SIZES, strict=True))
     stopped = []
     owner = SimpleNamespace(
-        loop=SimpleNamespace(time=lambda: 0.0), log=None, ended=lambda call, why: stopped.append(why)
+        loop=SimpleNamespace(time=lambda: 0.0), log=None, call_ended=lambda call, why: stopped.append(why)
     )
     call = ListCall(owner, 1, ("h", 1), 0, watching=True)
-    call.on_body(b"x" * MOST_LINE)
+    call.on_body(b"x" * MAX_LINE_BYTES)
     assert stopped == []
     call.on_body(b"x")
     assert stopped == ["a line without an end"]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -141,7 +141,7 @@
         if how == "reset":
             registry.answers = [RESET]
         if how == "silent":
-            monkeypatch.setattr(list_call, "QUIET", 0.05)
+            monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", 0.05)
         async with running(peer, registry=registry):
             await registry.until(lambda: bool(registry.requests))
             if how == "ends":
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -34,7 +34,7 @@
 
 from ospreyline.lease import CallBegan, LeaseMessage, NoUpdateArriving
 from ospreyline.net.discovery import Discovery
-from ospreyline.net.list_call import MOST_WAIT, CallEnd
+from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, CallEnd
 
 STOOD, WAITS, WAITS_BEHIND = "a watch that stood", "a call that waits", "a call behind a watch that ended"
 BACK = 8.5  # s after the last word, from when on calls are answered again
@@ -111,9 +111,9 @@
         monkeypatch.setattr(lists, "_open", never)
         lists.watch(True)
         (call,) = lists._calls
-        call.since = call.heard = loop.time() - MOST_WAIT - 1.0
+        call.started_at = call.heard_at = loop.time() - FIRST_BYTE_TIMEOUT_S - 1.0
         lists.tidy()
-        assert call.end is CallEnd.LEFT and not lists._calls
+        assert call.end is CallEnd.ENDED_BY_US and not lists._calls
         assert messages == [CallBegan(call.number), NoUpdateArriving(call.number)]
         lists.close()
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -68,8 +68,8 @@
     world: World
 
     def _start(self, watching: bool) -> ListCall:
-        self.begun += 1
-        call = ListCall(self, self.begun, self.at, self.rev, watching)
+        self.calls_started += 1
+        call = ListCall(self, self.calls_started, self.at, self.rev, watching)
         self._calls[call] = NoTask()  # type: ignore[assignment]
         self.world.begun(call)
         return call
@@ -167,11 +167,11 @@
 
     def _say(self, call: ListCall, news: News | None) -> None:
         if not call.over:
-            call.heard = self.now / 1e3
-            self.discovery.told(call, news)
+            call.heard_at = self.now / 1e3
+            self.discovery.update_received(call, news)
 
     def _answer(self, call: ListCall) -> None:
-        self._say(call, News(call.newer + 9, True, [(Target("u0"), None)]))
+        self._say(call, News(call.newest_elsewhere + 9, True, [(Target("u0"), None)]))
         if not call.watching:
             call.stop("")
 
@@ -179,7 +179,7 @@
         if fate == "refused":
             self.wake(self.now + 1.0, lambda now: call.stop("refused"))
         elif fate == "turned away":
-            call.retry_after, call.turned_away = HOUR if self.now < self.reached else 0.0, True
+            call.retry_after_ms, call.rejected = HOUR if self.now < self.reached else 0.0, True
             self.wake(self.now + QUEUE, lambda now: call.stop("status 503"))
         elif fate == "moved":  # it says nothing, and SIGHUP names another service
             self.wake(self.now + 300.0, self._move)
@@ -302,8 +302,8 @@
 def test_the_walk_finds_a_call_that_loses_its_place_to_the_next_one(kept, monkeypatch):
     # a service that answers within 2.5 s, in turn: who calls anew in between would start from the end of it
     def replaced(self, on):
-        if self._watch is not None and not self._watch.spoken:
-            self._drop(self._watch)
+        if self._watch is not None and not self._watch.answered:
+            self._end_call(self._watch)
             self._watch = None
         Discovery.watch(self, on)
 
