--- a/ospreyline/facts.py
+++ b/ospreyline/facts.py
@@ -1,8 +1,8 @@
-"""Configuration: the one place where it is read, checked and given defaults, for both fronts.
+"""Configuration: the one place where it is read, checked and given defaults, for both frontends.
 
-`read()` turns the settings (JSON, microseconds) into a `Deployment`, what the decisions are told. `post()`
-turns the file of a balancer on sockets into a `Post`: the settings, and where and within what it runs.
-Whatever is wrong comes out as a `FactError` that names the faulty key.
+`read()` turns the settings (JSON, microseconds) into a `Deployment`, the input of the decisions. `post()`
+turns the configuration file of a balancer on sockets into a `Post`: the settings, addresses and limits.
+Invalid configuration raises a `FactError` that names the faulty key.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class FactError(ValueError):
-    """The configuration cannot be used; the text names the key."""
+    """The configuration is invalid; the text names the key."""
 
 
 class _Limits(msgspec.Struct):
@@ -26,8 +26,8 @@
     memory_mb: float = 192.0
 
 
-class _File(msgspec.Struct):
-    """The file of a balancer on sockets; keys that are not named here are ignored."""
+class _ConfigFile(msgspec.Struct):
+    """The configuration file of a balancer on sockets; unknown keys are ignored."""
 
     settings: msgspec.Raw
     name: str = "ospreyline"
@@ -38,11 +38,11 @@
     known: msgspec.Raw = msgspec.Raw(b'{"rev":0,"all":true,"targets":[]}')
 
 
-class _Wire(msgspec.Struct, rename="pascal"):
-    """A JSON object of the settings; keys that are not named here are ignored."""
+class _SettingsObject(msgspec.Struct, rename="pascal"):
+    """A JSON object of the settings, with keys in PascalCase; unknown keys are ignored."""
 
 
-class _Prefix(_Wire):
+class _Prefix(_SettingsObject):
     client_timeout_us: float
     name: str = ""
     semantics: str = "once"
@@ -53,7 +53,7 @@
     late_gain: float = 0.0
 
 
-class _Caps(_Wire):
+class _Caps(_SettingsObject):
     cancel: bool = False
     most_backend_fetches: int = 1
     max_retry_after_us: float = 0.0
@@ -64,29 +64,29 @@
     keepalive_us: float = 15_000_000.0
 
 
-class _Fees(_Wire):
+class _Fees(_SettingsObject):
     cross_zone: float = 0.0
     probe: float = 0.0
 
 
-class _Goal(_Wire):
+class _Goal(_SettingsObject):
     whole: float = 1.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     worst_window: float = 0.0
-    availability: float = 0.0  # the mean of the nines, span by span
-    full_at_nines: float = 3.0  # the nines that count in full: a figure of that part, no weight
+    availability: float = 0.0  # weight of the mean number of nines per time span
+    full_at_nines: float = 3.0  # the number of nines that earns that weight in full; itself no weight
 
     def total(self) -> float:
         return self.whole + self.worst_class + self.worst_tenant + self.worst_window + self.availability
 
 
-class _Feedback(_Wire):
+class _Feedback(_SettingsObject):
     fields: list[str] = []
     via: str = "silent"
 
 
-class _Invariants(_Wire):
+class _Invariants(_SettingsObject):
     cold_from: float = 0.1
     drain_grace_us: float = 5e5
     must_ask_in_us: float = 1e7
@@ -95,7 +95,7 @@
     warm_within_us: float = 3e7
 
 
-class _Facts(_Wire):
+class _Settings(_SettingsObject):
     path_prefixes: list[_Prefix]
     zone: int = 0
     balancers: int = 1
@@ -109,11 +109,11 @@
     invariants: _Invariants = msgspec.field(default_factory=_Invariants)
 
 
-_DECODER = msgspec.json.Decoder(_Facts, strict=False)
-_FILE_DECODER = msgspec.json.Decoder(_File, strict=False)
+_SETTINGS_DECODER = msgspec.json.Decoder(_Settings, strict=False)
+_FILE_DECODER = msgspec.json.Decoder(_ConfigFile, strict=False)
 _KINDS = {"repeatable": Kind.READ_LIKE, "by_key": Kind.TAGGED, "once": Kind.MUTATING}
 _SCOPES = {scope.value: scope for scope in Scope}
-# load reports name their fields in either set of words
+# load reports come with either of two sets of field names
 REPORT_WORDS = {
     "active": "in-flight",
     "inflight": "in-flight",
@@ -130,27 +130,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Post:
-    """Where a balancer on sockets stands and what it may use."""
+    """The configuration of a balancer on sockets: addresses, limits and settings."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int  # descriptors, all together
-    memory: int  # bytes, all together
-    known: bytes  # the list as it was last had, in discovery's form
+    sockets: int  # limit of file descriptors in total
+    memory: int  # bytes, limit in total
+    known: bytes  # the initial upstream list, in the list service's format
     terms: Deployment
     prefix_names: tuple[str, ...]
     zone_names: tuple[str, ...]
-    connect_time_out: float
-    keep_idle: float  # how long an upstream keeps an idle connection
-    nines: float  # weight of the nines in the goal; with full_at_nines read and checked, and no decision's
-    full_at_nines: float
+    connect_time_out: float  # ms
+    keep_idle: float  # ms for which an upstream keeps an idle connection
+    nines: float  # weight of the nines in the goal; checked and shown, but no decision uses it
+    full_at_nines: float  # likewise
 
     def needs_restart(self, new: Post) -> list[str]:
-        """The keys that differ in a new file and that a reload leaves as they are.
+        """The keys that differ in a new file and that a reload does not apply.
 
-        `seed` and `known` are for a start alone, so they are not compared.
+        `seed` and `known` matter only at a start, so they are not compared.
         """
         groups = {"name": ("name",), "listen": ("listen",), "limits": ("sockets", "memory")}
         return [
@@ -159,14 +159,17 @@
 
 
 def read(text: bytes) -> Deployment:
-    """Decode the settings for the decisions; `FactError` if unusable."""
-    return _deployment(_facts(text, ""))
+    """Decodes the settings for the decisions; `FactError` if invalid."""
+    return _to_deployment(_decode_settings(text, ""))
 
 
 def load(path: Path, env: Mapping[str, str], again: bool = False) -> Post:
-    """Read the file of a balancer; again: on a reload the file names discovery, whatever is set."""
+    """Reads a configuration file; `again` (a reload): PROXY_DISCOVERY does not override the file.
+
+    `FactError` names file and key.
+    """
     if again:
-        # guards: the variable still holds the address from the start, and would win over the new one
+        # the variable still holds the address from the start, and would win over a new one in the file
         env = {key: value for key, value in env.items() if key != "PROXY_DISCOVERY"}
     try:
         return post(path.read_bytes(), env)
@@ -177,104 +180,107 @@
 
 
 def given(path: Path) -> frozenset[str]:
-    """The top keys that a balancer's file holds, of one that `load` took."""
+    """The top-level keys that a configuration file sets; `load` must have accepted the file."""
     return frozenset(msgspec.json.decode(path.read_bytes(), type=dict[str, msgspec.Raw]))
 
 
 def post(text: bytes, env: Mapping[str, str]) -> Post:
-    """Decode the file of a balancer on sockets; variables that are set win over the file."""
+    """Decodes a configuration file; environment variables that are set override it."""
     try:
         file = _FILE_DECODER.decode(text)
     except msgspec.MsgspecError as error:
-        raise FactError(_plain(error, "")) from error
-    facts = _facts(bytes(file.settings), "settings.")
+        raise FactError(_error_text(error, "")) from error
+    settings = _decode_settings(bytes(file.settings), "settings.")
     sockets = file.limits.sockets
     if sockets < 64:
-        raise FactError(f"limits.sockets: {sockets} is too few, 64 are needed")
+        raise FactError(f"limits.sockets: {sockets} is too small, the minimum is 64")
     if not 16 <= file.limits.memory_mb < 1e6:
         raise FactError(f"limits.memory_mb: {file.limits.memory_mb:g} is not between 16 and 1000000")
     try:
         seed = file.seed if isinstance(file.seed, int) else int(file.seed, 16)
     except ValueError:
-        raise FactError(f"seed: {file.seed!r} is no hexadecimal number") from None
-    names = tuple(p.name for p in facts.path_prefixes)
+        raise FactError(f"seed: {file.seed!r} is not a hexadecimal number") from None
+    names = tuple(p.name for p in settings.path_prefixes)
     seen: set[str] = set()
     for i, name in enumerate(names):
         if not name or "/" in name or name in seen:
-            raise FactError(f"settings.PathPrefixes[{i}].Name: {name!r} cannot be the first part of a path")
+            raise FactError(
+                f"settings.PathPrefixes[{i}].Name: {name!r} is empty, contains a slash or is used twice"
+            )
         seen.add(name)
     return Post(
         name=env.get("PROXY_NAME") or file.name,
-        listen=_address("listen", env.get("PROXY_LISTEN") or file.listen, lowest_port=0),
-        discovery=_address("discovery", env.get("PROXY_DISCOVERY") or file.discovery),
+        listen=_require_address("listen", env.get("PROXY_LISTEN") or file.listen, lowest_port=0),
+        discovery=_require_address("discovery", env.get("PROXY_DISCOVERY") or file.discovery),
         seed=seed,
         sockets=sockets,
         memory=int(file.limits.memory_mb * (1 << 20)),
         known=bytes(file.known),
-        terms=_deployment(facts),
+        terms=_to_deployment(settings),
         prefix_names=names,
-        zone_names=tuple(facts.dcs) or ("",),
-        connect_time_out=facts.caps.connect_timeout_us / 1e3,
-        keep_idle=facts.caps.keepalive_us / 1e3,
-        nines=facts.goal.availability / max(1e-9, facts.goal.total()),
-        full_at_nines=facts.goal.full_at_nines,
+        zone_names=tuple(settings.dcs) or ("",),
+        connect_time_out=settings.caps.connect_timeout_us / 1e3,
+        keep_idle=settings.caps.keepalive_us / 1e3,
+        nines=settings.goal.availability / max(1e-9, settings.goal.total()),
+        full_at_nines=settings.goal.full_at_nines,
     )
 
 
 def address(text: str, lowest_port: int = 1) -> tuple[str, int] | None:
-    """Host and port of `host:port`; None where it is none."""
+    """Host and port of `host:port`; None if it has not that form."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not lowest_port <= int(port) < 65_536:
         return None
     return host.strip("[]"), int(port)
 
 
-def _address(key: str, text: str, lowest_port: int = 1) -> tuple[str, int]:
+def _require_address(key: str, text: str, lowest_port: int = 1) -> tuple[str, int]:
     found = address(text, lowest_port)
     if found is None:
-        raise FactError(f"{key}: {text!r} is no address of the form host:port")
+        raise FactError(f"{key}: {text!r} is not an address of the form host:port")
     return found
 
 
-def _plain(error: Exception, root: str) -> str:
-    """What msgspec says, with the path of the key first."""
+def _error_text(error: Exception, root: str) -> str:
+    """The message of a msgspec error, with the path of the key first."""
     what, at, path = str(error).partition(" - at `$")
     path = path.rstrip("`").removeprefix(".")
     return f"{root}{path}: {what}" if at else f"{root.rstrip('.') or 'the file'}: {what}"
 
 
-def _facts(text: bytes, root: str) -> _Facts:
+def _decode_settings(text: bytes, root: str) -> _Settings:
+    """Decodes and checks the settings; `root` is the prefix of keys in error texts."""
     try:
-        facts = _DECODER.decode(text)
+        settings = _SETTINGS_DECODER.decode(text)
     except msgspec.MsgspecError as error:
-        raise FactError(_plain(error, root)) from error
-    for i, p in enumerate(facts.path_prefixes):
+        raise FactError(_error_text(error, root)) from error
+    for i, p in enumerate(settings.path_prefixes):
         at = f"{root}PathPrefixes[{i}]."
         if p.semantics not in _KINDS:
             raise FactError(f"{at}Semantics: unknown {p.semantics!r}")
         if p.key_scope not in _SCOPES:
             raise FactError(f"{at}KeyScope: unknown {p.key_scope!r}")
         if not p.client_timeout_us > 0:
-            raise FactError(f"{at}ClientTimeoutUs: {p.client_timeout_us} is no time")
-        for key, figure in (
+            raise FactError(f"{at}ClientTimeoutUs: {p.client_timeout_us} is not a positive duration")
+        for key, number in (
             ("TargetLatencyUs", p.target_latency_us),
             ("WindowUs", p.window_us),
             ("Gain", p.gain),
             ("LateGain", p.late_gain),
         ):
-            if not 0 <= figure < inf:
-                raise FactError(f"{at}{key}: {figure} is under 0 or no figure")
-    for key, span in (
-        ("ConnectTimeoutUs", facts.caps.connect_timeout_us),
-        ("KeepaliveUs", facts.caps.keepalive_us),
+            if not 0 <= number < inf:
+                raise FactError(f"{at}{key}: {number} is negative or not finite")
+    for key, duration in (
+        ("ConnectTimeoutUs", settings.caps.connect_timeout_us),
+        ("KeepaliveUs", settings.caps.keepalive_us),
     ):
-        if not span > 0:
-            raise FactError(f"{root}Caps.{key}: {span} is no time")
-    rules, goal = facts.invariants, facts.goal
-    for key, figure in (
-        ("Caps.MaxRetryAfterUs", facts.caps.max_retry_after_us),
-        ("Fees.CrossZone", facts.fees.cross_zone),
-        ("Fees.Probe", facts.fees.probe),
+        if not duration > 0:
+            raise FactError(f"{root}Caps.{key}: {duration} is not a positive duration")
+    rules, goal = settings.invariants, settings.goal
+    for key, number in (
+        ("Caps.MaxRetryAfterUs", settings.caps.max_retry_after_us),
+        ("Fees.CrossZone", settings.fees.cross_zone),
+        ("Fees.Probe", settings.fees.probe),
         ("Goal.Whole", goal.whole),
         ("Goal.WorstClass", goal.worst_class),
         ("Goal.WorstTenant", goal.worst_tenant),
@@ -285,27 +291,27 @@
         ("Invariants.TipAfterUs", rules.tip_after_us),
         ("Invariants.WarmWithinUs", rules.warm_within_us),
     ):
-        if not 0 <= figure < inf:
-            raise FactError(f"{root}{key}: {figure} is under 0 or no figure")
+        if not 0 <= number < inf:
+            raise FactError(f"{root}{key}: {number} is negative or not finite")
     if not 0 < goal.full_at_nines < inf:
-        raise FactError(f"{root}Goal.FullAtNines: {goal.full_at_nines} is not over 0")
+        raise FactError(f"{root}Goal.FullAtNines: {goal.full_at_nines} is not positive and finite")
     if not rules.must_ask_in_us > 0:
-        raise FactError(f"{root}Invariants.MustAskInUs: {rules.must_ask_in_us} is no time")
+        raise FactError(f"{root}Invariants.MustAskInUs: {rules.must_ask_in_us} is not a positive duration")
     if not rules.drain_grace_us >= 0:
-        raise FactError(f"{root}Invariants.DrainGraceUs: {rules.drain_grace_us} is no time")
-    if facts.discovery not in ("ask", "push"):
-        raise FactError(f"{root}Discovery: unknown {facts.discovery!r}, 'ask' or 'push' is")
-    if facts.balancers < 1 or facts.caps.most_backend_fetches < 1:
-        key = "Balancers" if facts.balancers < 1 else "Caps.MostBackendFetches"
-        raise FactError(f"{root}{key}: under 1")
-    if len(set(facts.dcs)) < len(facts.dcs):
-        raise FactError(f"{root}Dcs: a zone is named twice")
-    if facts.zone < 0 or facts.zone >= max(1, len(facts.dcs)):
-        raise FactError(f"{root}Zone: {facts.zone} is not the place of a zone in Dcs")
-    return facts
-
-
-def _deployment(facts: _Facts) -> Deployment:
+        raise FactError(f"{root}Invariants.DrainGraceUs: {rules.drain_grace_us} is negative")
+    if settings.discovery not in ("ask", "push"):
+        raise FactError(f"{root}Discovery: unknown {settings.discovery!r}, must be 'ask' or 'push'")
+    if settings.balancers < 1 or settings.caps.most_backend_fetches < 1:
+        key = "Balancers" if settings.balancers < 1 else "Caps.MostBackendFetches"
+        raise FactError(f"{root}{key}: is less than 1")
+    if len(set(settings.dcs)) < len(settings.dcs):
+        raise FactError(f"{root}Dcs: a zone is listed twice")
+    if settings.zone < 0 or settings.zone >= max(1, len(settings.dcs)):
+        raise FactError(f"{root}Zone: {settings.zone} is not the index of a zone in Dcs")
+    return settings
+
+
+def _to_deployment(settings: _Settings) -> Deployment:
     prefixes = tuple(
         PathPrefix(
             kind=_KINDS[p.semantics],
@@ -317,30 +323,30 @@
             late_gain=p.late_gain,
             name=p.name,
         )
-        for p in facts.path_prefixes
+        for p in settings.path_prefixes
     )
-    caps, rules = facts.caps, facts.invariants
+    caps, rules = settings.caps, settings.invariants
     return Deployment(
-        zone=facts.zone,
-        zones=max(1, len(facts.dcs)),
-        balancers=max(1, facts.balancers),
-        number=facts.me,
+        zone=settings.zone,
+        zones=max(1, len(settings.dcs)),
+        balancers=max(1, settings.balancers),
+        number=settings.me,
         prefixes=prefixes,
         max_fetches=caps.most_backend_fetches,
         may_cancel=caps.cancel,
         may_probe=caps.probing,
         may_tell=caps.may_tell,
         max_retry_after=caps.max_retry_after_us / 1e3 if caps.retry_after else 0.0,
-        ask_for_list=facts.discovery == "ask",
+        ask_for_list=settings.discovery == "ask",
         must_ask_in=rules.must_ask_in_us / 1e3,
         drain_grace=rules.drain_grace_us / 1e3,
         cold_from=rules.cold_from,
         warm_within=rules.warm_within_us / 1e3,
         overload_factor=rules.overload_factor,
         tip_after=rules.tip_after_us / 1e3,
-        cross_fee=facts.fees.cross_zone,
-        probe_fee=facts.fees.probe,
-        worst_prefix=facts.goal.worst_class / max(1e-9, facts.goal.total()),
-        zone_names=tuple(facts.dcs) or ("",),
-        report_fields=tuple(REPORT_WORDS.get(f, f) for f in facts.feedback.fields),
+        cross_fee=settings.fees.cross_zone,
+        probe_fee=settings.fees.probe,
+        worst_prefix=settings.goal.worst_class / max(1e-9, settings.goal.total()),
+        zone_names=tuple(settings.dcs) or ("",),
+        report_fields=tuple(REPORT_WORDS.get(f, f) for f in settings.feedback.fields),
     )
--- a/ospreyline/operator.py
+++ b/ospreyline/operator.py
@@ -1,8 +1,9 @@
-"""The operator's file: the one place where a part that is off by default is switched on.
+"""The operator file: the one place where features that are off by default are switched on.
 
-TOML, read into msgspec structs; `serve CONFIG --operator FILE` or `OSPREYLINE_OPERATOR` names it. Without
-one, or with an empty one, all is off and nothing of it is imported. Each key says what it does and whether
-SIGHUP applies it. What is wrong comes out as a `FactError` that names file, key and nearest known key.
+TOML, decoded into msgspec structs; `serve CONFIG --operator FILE` or `OSPREYLINE_OPERATOR` names it. Without
+one, or with an empty one, everything is off and no code of these features is imported. Each key says what it
+does and whether SIGHUP applies it. Invalid input raises a `FactError` with the file, the key and the nearest
+known key.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 from ospreyline.facts import FactError
 
 RELOADED, AT_START = {"sighup": True}, {"sighup": False}
-MOST_WATCHED = 1_024  # addresses of one range
+MAX_RANGE_ADDRESSES = 1_024
 _UNKNOWN = re.compile(r"Object contains unknown field `(.*)`")
 
 
 class Lists(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[list]`: how the list of upstreams is had."""
+    """`[list]`: how the upstream list is obtained."""
 
     calls_per_s: Annotated[
         float,
@@ -37,9 +38,8 @@
             le=1e6,
             extra=RELOADED,
             description=(
-                "what the list service can do, all together; the bank's calls are then spread evenly over "
-                "the time "
-                "that it needs for all, and tried again no faster. 0: each balancer guesses alone"
+                "calls that the list service can serve in total; the bank spreads its calls evenly over the "
+                "time that takes, and retries no faster. 0: each balancer uses its own polling schedule"
             ),
         ),
     ] = 0.0
@@ -48,41 +48,41 @@
         Meta(
             extra=AT_START,
             description=(
-                "file in which the last accepted list is kept, for the next start; empty: none is kept. "
-                "Every "
-                "balancer needs one of its own"
+                "file in which the last accepted list is cached for the next start; empty: no cache. "
+                "Every balancer needs a file of its own"
             ),
         ),
     ] = ""
     keep_for_s: Annotated[
-        float, Meta(ge=1, le=1e9, extra=AT_START, description=("how old a kept list may be at a start"))
+        float, Meta(ge=1, le=1e9, extra=AT_START, description=("maximum age of a cached list at a start"))
     ] = 86_400.0
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`: links to the other balancers of the bank; off without a bank's name."""
+    """`[fleet]`: links to the other balancers of the bank; off without a bank name."""
 
     bank: Annotated[
         str,
         Meta(
             extra=AT_START,
             description=(
-                "name of the bank; only balancers that say the same speak to one another. Empty: no links"
+                "name of the bank; only balancers with the same name connect to one another. Empty: no links"
             ),
         ),
     ] = ""
     listen: Annotated[str, Meta(extra=AT_START, description="host:port for links of other balancers")] = ""
     address: Annotated[
-        str, Meta(extra=AT_START, description=("host:port under which others reach us; empty: as `listen`"))
+        str,
+        Meta(extra=AT_START, description=("host:port at which others reach this one; empty: as `listen`")),
     ] = ""
     peers: Annotated[
         tuple[str, ...],
         Meta(
             extra=AT_START,
             description=(
-                "others as `name=host:port`; some are enough, the rest is heard from them. Or addresses "
-                "that are "
-                "watched for them, as `10.1.0.0/27:7071`: who comes up there is found, under whatever name"
+                "other balancers as `name=host:port`; some are enough, the rest is learned from them. Or "
+                "address ranges that are dialled, as `10.1.0.0/27:7071`: any balancer that starts there is "
+                "found, under any name"
             ),
         ),
     ] = ()
@@ -91,9 +91,8 @@
         Meta(
             extra=AT_START,
             description=(
-                "a few of each zone call the list service first and pass the list on. Only where all are "
-                "told the "
-                "same addresses of the upstreams; needs list.calls_per_s"
+                "a few balancers of each zone call the list service first and forward the list. Only where "
+                "all receive the same upstream addresses; needs list.calls_per_s"
             ),
         ),
     ] = False
@@ -102,36 +101,36 @@
         Meta(
             extra=AT_START,
             description=(
-                "file in which the state is written every two seconds, for `fleet status`; empty: none"
+                "file to which the state is written every two seconds, for `fleet status`; empty: none"
             ),
         ),
     ] = ""
 
     def named(self) -> Iterator[tuple[str, str]]:
-        """The peers that have a name, as (name, host:port)."""
+        """The named peers, as (name, host:port)."""
         for peer in self.peers:
-            name, named, at = peer.partition("=")
-            if named:
-                yield name, at
+            name, separator, address = peer.partition("=")
+            if separator:
+                yield name, address
 
     def watched(self) -> list[str]:
-        """The addresses that are watched for peers of any name, as host:port, without our own."""
-        out = []
+        """All addresses of the configured ranges, as host:port, without our own."""
+        addresses = []
         for peer in self.peers:
             if "=" not in peer:
                 hosts, _, port = peer.rpartition(":")
-                out += [f"{host}:{port}" for host in ip_network(hosts).hosts()]
-        return [at for at in out if at not in (self.listen, self.address)]
+                addresses += [f"{host}:{port}" for host in ip_network(hosts).hosts()]
+        return [address for address in addresses if address not in (self.listen, self.address)]
 
 
 class Takeover(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[takeover]`: work in hand survives its balancer; needs `[fleet]`."""
+    """`[takeover]`: other balancers finish the visits of one that is lost; needs `[fleet]`."""
 
     on: Annotated[
         bool,
         Meta(
             extra=AT_START,
-            description=("other balancers guard the visits in hand, and finish those of one that is lost"),
+            description=("other balancers store takeover records of visits, and finish those of a lost one"),
         ),
     ] = False
     wait_ms: Annotated[
@@ -140,7 +139,7 @@
             ge=1,
             le=10_000,
             extra=AT_START,
-            description=("the longest that a fetch or a refusal waits for its guardians"),
+            description=("longest time that a fetch or a refusal waits for its acceptors"),
         ),
     ] = 150.0
     keep_s: Annotated[
@@ -150,9 +149,8 @@
             le=3_600,
             extra=AT_START,
             description=(
-                "how long a guardian keeps a visit and its answer, in bounded memory; over the longest "
-                "client "
-                "timeout"
+                "how long an acceptor keeps a visit and its answer, in bounded memory; longer than the "
+                "longest client timeout"
             ),
         ),
     ] = 30.0
@@ -161,9 +159,8 @@
         Meta(
             extra=AT_START,
             description=(
-                "where too few guardians are there: serve without cover, or refuse (they never ran) the "
-                "visits that "
-                "must not run twice"
+                "with too few acceptors: serve without takeover, or refuse (without running them) the visits "
+                "that must not run twice"
             ),
         ),
     ] = "serve"
@@ -179,12 +176,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Key:
-    """One key of the file, its value, and where that comes from."""
+    """One key of the file, its effective value and the origin of that."""
 
     name: str
     value: Any
-    origin: str
-    sighup: bool
+    origin: str  # the file's path, or "default"
+    sighup: bool  # SIGHUP applies it
     about: str
 
 
@@ -195,12 +192,13 @@
     return {name: kind for name, kind in get_type_hints(Operator).items()}
 
 
-def _known() -> list[str]:
+def _known_names() -> list[str]:
+    """The names of all tables and keys."""
     return [*_tables(), *(f for table in _tables().values() for f in table.__struct_fields__)]
 
 
 def parse(text: str) -> Operator:
-    """The file's text, checked; `FactError` that names the key."""
+    """Decodes and checks the text of the file; `FactError` names the key."""
     try:
         found = msgspec.convert(tomllib.loads(text), Operator, strict=False)
     except tomllib.TOMLDecodeError as error:
@@ -209,7 +207,7 @@
         what, _, path = str(error).partition(" - at `$")
         where = path.rstrip("`").removeprefix(".")
         if unknown := _UNKNOWN.match(what):
-            near = get_close_matches(unknown[1], _known(), 1)
+            near = get_close_matches(unknown[1], _known_names(), 1)
             at = f"{where}.{unknown[1]}" if where else unknown[1]
             raise FactError(f"{at}: unknown key" + (f", {near[0]!r}?" if near else "")) from None
         raise FactError(f"{where}: {what}" if where else what) from None
@@ -219,14 +217,14 @@
 
 
 def _problems(o: Operator) -> Iterator[tuple[str, str]]:
-    """What the types do not say."""
+    """Checks that the types cannot express; yields (key, problem)."""
     fleet = o.fleet
     if o.takeover.on and not fleet.bank:
         yield "takeover.on", "needs fleet.bank"
     if not fleet.bank:
         for key in ("listen", "address", "peers", "lists", "status"):
             if getattr(fleet, key):
-                yield "fleet.bank", f"is missing, and fleet.{key} is there"
+                yield "fleet.bank", f"is missing, but fleet.{key} is set"
         return
     if facts.address(fleet.listen, lowest_port=0) is None:
         yield "fleet.listen", f"{fleet.listen!r} is no host:port"
@@ -234,9 +232,9 @@
         yield "fleet.address", f"{fleet.address!r} is no host:port"
     names: set[str] = set()
     for i, peer in enumerate(fleet.peers):
-        name, named, at = peer.partition("=")
-        if not named:
-            if why := _no_range(peer):
+        name, separator, at = peer.partition("=")
+        if not separator:
+            if why := _range_problem(peer):
                 yield f"fleet.peers[{i}]", why
             continue
         if not name or facts.address(at) is None:
@@ -250,22 +248,22 @@
         yield "fleet.lists", "needs list.calls_per_s"
 
 
-def _no_range(peer: str) -> str:
-    """What is wrong with addresses to be watched; empty if nothing is."""
+def _range_problem(peer: str) -> str:
+    """What is wrong with an address range of peers; empty if nothing is."""
     hosts, _, port = peer.rpartition(":")
     if "/" not in hosts or facts.address(f"h:{port}") is None:
-        return f"{peer!r} is no name=host:port and no network/length:port"
+        return f"{peer!r} is no name=host:port or network/prefix_length:port"
     try:
         network = ip_network(hosts)
     except ValueError as error:
         return f"{peer!r}: {error}"
-    if network.num_addresses > MOST_WATCHED:
-        return f"{peer!r} has {network.num_addresses} addresses, {MOST_WATCHED} are the most"
+    if network.num_addresses > MAX_RANGE_ADDRESSES:
+        return f"{peer!r} has {network.num_addresses} addresses, the maximum is {MAX_RANGE_ADDRESSES}"
     return ""
 
 
 def load(path: Path | None) -> Operator:
-    """The operator's file; without one everything is off. `FactError` that names file and key."""
+    """Reads an operator file; without one everything is off. `FactError` names file and key."""
     if path is None:
         return OFF
     try:
@@ -277,7 +275,7 @@
 
 
 def keys(operator: Operator, path: Path | None) -> Iterator[Key]:
-    """Every key with its effective value and where it comes from."""
+    """Yields every key with its effective value and the origin of that."""
     given = tomllib.loads(path.read_text("utf-8")) if path is not None else {}
     for table, kind in _tables().items():
         hints = get_type_hints(kind, include_extras=True)
@@ -294,6 +292,6 @@
 
 
 def needs_restart(old: Operator, new: Operator) -> list[str]:
-    """The keys that differ and that a reload leaves as they are."""
+    """The keys that differ and that a reload does not apply."""
     before = {key.name: key for key in keys(old, None)}
     return [key.name for key in keys(new, None) if not key.sighup and key.value != before[key.name].value]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("size", [100, 400, 1_600])
 def test_names_of_path_prefixes_are_checked_once_each(size, monkeypatch):
-    read = facts._facts
+    read = facts._decode_settings
 
     def counting(text, root):
         found = read(text, root)
@@ -92,7 +92,7 @@
             prefix.name = Counted(prefix.name)
         return found
 
-    monkeypatch.setattr(facts, "_facts", counting)
+    monkeypatch.setattr(facts, "_decode_settings", counting)
     Counted.compared = 0
     post = facts.post(scale.configuration(1, size, "127.0.0.1:1"), {})
     assert len(post.prefix_names) == size
