--- a/ospreyline/net/listing.py
+++ b/ospreyline/net/listing.py
@@ -1,4 +1,4 @@
-"""Parses the list service's JSON: entries, updates, and what can be told from a part of an update."""
+"""Parses the list service's JSON: entries, updates, and what can be read from a part of an update."""
 
 from __future__ import annotations
 
--- a/tests/test_call_ends.py
+++ b/tests/test_call_ends.py
@@ -1,18 +1,15 @@
-"""Each end that a call to the list service can have while it is written the news of a drain: real processes.
-
-Story. During a release a balancer sent six requests to a draining server, 0.61 to 0.69 s after the list
-service had written it the list in which that server drains. Its watch had been reset in that very moment, and
-no byte of the writing arrived. The balancer took that for a call that had failed, kept its list in force and
-asked again 0.25 to 0.8 s later, as after any failure.
-
-Cause: a call that ended with an unknown outcome was taken for one that had told nothing. An earlier repair
-held an update in doubt once a byte of it had come; with none the same mistake was left. Evidence: on a drawn
-day with whole logs three watches ended (one reset, two closed before the end of their answers) in the moment
-in which other balancers were told a new version, and the next list came 0.55 to 0.76 s later.
-
-The rows are the ends that a call can have once its request has left: what of the writing arrives, and what
-ends the connection. What counts is the moment of the writing, whatever arrives. After it the service turns
-all calls away for a while.
+"""Each way in which a list call can end while the notice of a drain is written on it: real processes.
+
+Guards against treating a call with an unknown outcome as one on which nothing was written, even if not a byte
+of an update arrived. Observed during a release: a balancer sent six requests to a draining server, 0.61 to
+0.69 s after the list service had written the drain, as its watch was reset at that moment; it kept its list
+in effect and called again 0.25 to 0.8 s later. In a seeded run with complete logs three watches ended (one
+reset, two closed before the end of their answers) at the moment in which other balancers received a new
+version, and the next list came 0.55 to 0.76 s later.
+
+The rows are the ends that a call can have once its request was sent: what arrives of the data, and what ends
+the connection. What counts is when the data was written, whatever arrives. Afterwards the service rejects all
+calls for a while.
 """
 
 from __future__ import annotations
@@ -25,18 +22,18 @@
 
 import pytest
 from stand_ins import reset
-from test_list_answers import BUSY, CROWDED, END, HEAD, TURNED_AWAY_AFTER, Call, Story, chunk, play
+from test_list_answers import BUSY, END, HEAD, OVERLOADED_FOR, REJECTED_AFTER, Call, Scenario, chunk, play
 
-WAITS = 0.3  # s that a call waits for the writing that is lost
-QUIET, CROWD = 0, 2  # calls that are turned away before
+WAITS = 0.3  # s that a call waits for the update that is lost
+QUIET, CROWD = 0, 2  # calls that are rejected before
 
 
 @dataclass(frozen=True)
 class Ending:
-    """How the call ends on which the news is written."""
+    """How the call ends on which the update is written."""
 
-    stands: bool  # it is a watch that has told something; else a call that waits for its first byte
-    arrives: Callable[[bytes], bytes]  # what arrives of the writing
+    stands: bool  # an open watch that has been answered; else a call that waits for its first byte
+    arrives: Callable[[bytes], bytes]  # what arrives of the data
     then: str  # "reset" or "close"
 
 
@@ -92,7 +89,7 @@
     "a call that waits": Ending(False, nothing, "close"),
     "a call that waits, behind the head": Ending(False, head, "close"),
 }
-# enough of it arrives to know that there is one
+# enough of the update arrives to know that there is one
 SEEN = {
     "a watch that stands, half a line, reset": Ending(True, half_a_line, "reset"),
     "a watch that stands, half a line, closed": Ending(True, half_a_line, "close"),
@@ -106,30 +103,30 @@
 @pytest.mark.parametrize("before", [QUIET, CROWD], ids=["quiet", "crowd"])
 @pytest.mark.parametrize("ending", UNSEEN)
 def test_nothing_goes_to_a_draining_server_when_the_news_of_it_was_lost_unseen(ending, before, tmp_path):
-    lost(UNSEEN[ending], before, CROWDED, tmp_path)
+    lost(UNSEEN[ending], before, OVERLOADED_FOR, tmp_path)
 
 
 @pytest.mark.parametrize("ending", SEEN)
 def test_nothing_goes_to_a_draining_server_when_a_part_of_the_news_was_seen(ending, tmp_path):
-    lost(SEEN[ending], QUIET, CROWDED, tmp_path)
+    lost(SEEN[ending], QUIET, OVERLOADED_FOR, tmp_path)
 
 
 @pytest.mark.parametrize("ending", CLOSED)
 def test_nothing_goes_to_a_draining_server_when_the_news_was_lost_behind_a_closed_call(ending, tmp_path):
-    lost(CLOSED[ending], QUIET, CROWDED, tmp_path)
+    lost(CLOSED[ending], QUIET, OVERLOADED_FOR, tmp_path)
 
 
 def lost(ending: Ending, turned_away_before: int, crowded: float, folder: Path) -> None:
-    """Play the end of a call over one process, and judge its requests by the moment of the writing."""
+    """Runs the end of a call against one process, and judges its requests by when the update was written."""
 
-    async def story() -> None:
+    async def run() -> None:
         calls = 0
         written = 0.0
 
         async def write_what_arrives(call: Call) -> None:
             nonlocal written
             written = time.monotonic()
-            news = call.list(4, [{**day.known[0], "state": "leaving"}], whole=False)
+            news = call.list(4, [{**scenario.known[0], "state": "leaving"}], whole=False)
             call.write(ending.arrives(news))
             if ending.then == "reset":
                 await asyncio.sleep(0.001)  # what arrives is on its way
@@ -141,11 +138,11 @@
             nonlocal calls
             calls += 1
             if calls <= turned_away_before:
-                await asyncio.sleep(TURNED_AWAY_AFTER)
+                await asyncio.sleep(REJECTED_AFTER)
                 call.write(BUSY)
             elif calls == turned_away_before + 1:
-                call.write(HEAD + chunk(call.list(3, day.known)))
-                await day.holds(lambda: day.all_served_by(b"draining", 0.0))
+                call.write(HEAD + chunk(call.list(3, scenario.known)))
+                await scenario.until(lambda: scenario.all_served_by(b"draining", 0.0))
                 if ending.stands:
                     await write_what_arrives(call)
                 else:
@@ -155,19 +152,19 @@
                 await asyncio.sleep(WAITS)
                 await write_what_arrives(call)
             elif time.monotonic() < written + crowded:
-                await asyncio.sleep(TURNED_AWAY_AFTER)
+                await asyncio.sleep(REJECTED_AFTER)
                 call.write(BUSY)
             else:
-                call.write(HEAD + chunk(call.list(4, day.known[1:])))
+                call.write(HEAD + chunk(call.list(4, scenario.known[1:])))
 
-        day = Story(serve, folder, processes=1)
-        async with day:
-            await day.holds(lambda: written > 0.0)
-            await day.holds(lambda: time.monotonic() > written + crowded)
+        scenario = Scenario(serve, folder, processes=1)
+        async with scenario:
+            await scenario.until(lambda: written > 0.0)
+            await scenario.until(lambda: time.monotonic() > written + crowded)
             back = time.monotonic()
-            await day.holds(lambda: day.all_served_by(b"staying", back))
-            assert not day.late(written)
-            # nobody was left waiting, and what was not served was told that trying again is harmless
-            assert {status for status, _ in day.loads[0].since(written)} <= {200, 503}
+            await scenario.until(lambda: scenario.all_served_by(b"staying", back))
+            assert not scenario.late(written)
+            # every request was answered: served, or told that a retry is safe
+            assert {status for status, _ in scenario.loads[0].since(written)} <= {200, 503}
 
-    play(story)
+    play(run)
--- a/tests/test_crowded_list_service.py
+++ b/tests/test_crowded_list_service.py
@@ -1,12 +1,13 @@
-"""A bank at a list service that has fewer hands than callers: everybody is told 6 s after it is back.
+"""A bank at a list service with less capacity than callers: all get the list within 6 s of its return.
 
-Story. The list service works calls off in turn, also those whose caller has gone, and turns away who has
-waited for 2 s. Each balancer made a call beside the one that waited, every 1.4 s, and another soon after one
-that was turned away. Together they asked faster than the service could answer; from then on each call that
-came to its turn had been turned away before, and nobody was told anything until the day was over.
+Guards against a polling schedule that keeps an overloaded service from answering at all. The service handles
+calls in turn, also those whose caller has gone, and rejects calls that have waited for 2 s. With a call every
+1.4 s beside the one that waits, and another one soon after a rejection, a bank calls faster than the service
+can answer; from then on each call that gets its turn has been rejected before.
 
-Evidence: in a replay with 44 balancers two of four heard nothing for 16 s; of 60 balancers none heard
-anything for 12 s, with 40 to 50 calls a second. With calls 3.0 or 4.5 s apart all were told, with 2.2 s not.
+Observed: in a replay with 44 balancers two of four received nothing for 16 s; of 60 balancers none received
+anything for 12 s, at 40 to 50 calls per second. With calls 3.0 or 4.5 s apart all got the list, with 2.2 s
+not.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 from ospreyline.asking import Asking
 
-TOLD = 6_000.0  # ms
-QUEUE = 2_000.0  # ms after which the service turns a call away
-WAITING = 3  # calls of one balancer that wait at a time
-DOWN = 8_000.0  # ms
+NOTIFIED_WITHIN = 6_000.0  # ms
+QUEUE = 2_000.0  # ms after which the service rejects a queued call
+WAITING = 3  # open calls of one balancer at a time
+DOWN = 8_000.0  # ms for which the service is down at first
 
 
-class Impatient(Asking):
-    """As it was: a call beside the one that waits each period, and no growth after being turned away."""
+class FaultySchedule(Asking):
+    """The faulty schedule: a call beside the one that waits each period, and no growth after a rejection."""
 
     def called(self, now: float, anew: bool = False) -> None:
         super().called(now, anew)
@@ -42,17 +43,17 @@
 
     def __init__(self, policy: type[Asking], balancers: int, calls_per_s: float, seed: int) -> None:
         draw = Random(seed).random
-        self.asking = [policy(draw()) for _ in range(balancers)]
+        self.schedules = [policy(draw()) for _ in range(balancers)]
         self.out: list[list[int]] = [[] for _ in range(balancers)]
-        self.told_at = [inf] * balancers
+        self.notified_at = [inf] * balancers
         self.work, self.free_at = 1e3 / calls_per_s, 0.0
         self.now = 0.0
         self.events: list[tuple[float, int, str, int, int]] = []
         self.numbers = count()
-        for who, asking in enumerate(self.asking):
-            asking.fit(balancers, 30_000.0)
-            asking.begin(0.0, asks=True)
-            self.at(asking.due, "due", who)
+        for who, schedule in enumerate(self.schedules):
+            schedule.fit(balancers, 30_000.0)
+            schedule.begin(0.0, asks=True)
+            self.at(schedule.due, "due", who)
 
     def at(self, time: float, what: str, who: int, call: int = 0) -> None:
         if time < inf:
@@ -67,11 +68,11 @@
                 self.answered(who) if what == "served" else self.turned_away(who, call)
 
     def due(self, who: int) -> None:
-        asking = self.asking[who]
-        if self.now < asking.due:
+        schedule = self.schedules[who]
+        if self.now < schedule.due:
             return
-        asking.called(self.now)
-        self.at(asking.due, "due", who)
+        schedule.called(self.now)
+        self.at(schedule.due, "due", who)
         call = next(self.numbers)
         if len(self.out[who]) == WAITING:
             self.out[who].pop()
@@ -83,39 +84,39 @@
 
     def answered(self, who: int) -> None:
         self.out[who].clear()
-        self.told_at[who] = self.now
-        self.asking[who].told()
+        self.notified_at[who] = self.now
+        self.schedules[who].told()
 
     def turned_away(self, who: int, call: int) -> None:
         self.out[who].remove(call)
         if not self.out[who]:
-            self.asking[who].failed(self.now, turned_away=True)
-            self.at(self.asking[who].due, "due", who)
+            self.schedules[who].failed(self.now, turned_away=True)
+            self.at(self.schedules[who].due, "due", who)
 
 
-def last_told(policy: type[Asking], balancers: int, hands: float, seed: int) -> float:
-    """ms from the return of a service that could serve the whole bank in `hands` s until all were told."""
-    bank = Bank(policy, balancers, balancers / hands, seed)
+def ms_until_all_notified(policy: type[Asking], balancers: int, work_s: float, seed: int) -> float:
+    """ms from the return of a service that can serve the whole bank in `work_s` s until all have the list."""
+    bank = Bank(policy, balancers, balancers / work_s, seed)
     bank.play(DOWN + 60_000.0)
-    return max(bank.told_at) - DOWN
+    return max(bank.notified_at) - DOWN
 
 
 @pytest.mark.parametrize("balancers", [8, 44, 60, 200])
-@pytest.mark.parametrize("hands", [0.5, 1.5, 2.5])
-def test_a_bank_is_told_in_time_by_a_service_that_has_fewer_hands_than_callers(balancers, hands):
-    took = [last_told(Asking, balancers, hands, seed) for seed in range(20)]
-    assert max(took) <= TOLD, took
+@pytest.mark.parametrize("work_s", [0.5, 1.5, 2.5])
+def test_a_bank_is_told_in_time_by_a_service_that_has_fewer_hands_than_callers(balancers, work_s):
+    took = [ms_until_all_notified(Asking, balancers, work_s, seed) for seed in range(20)]
+    assert max(took) <= NOTIFIED_WITHIN, took
 
 
 @pytest.mark.parametrize("balancers", [44, 60, 200])
 def test_a_service_that_needs_most_of_the_time_is_not_kept_from_answering(balancers):
-    # 4.5 s of work for the bank: it takes more than 6 s, as work is lost on those who were turned away
-    took = [last_told(Asking, balancers, 4.5, seed) for seed in range(20)]
-    assert max(took) <= 2 * TOLD, took
+    # 4.5 s of work for the bank takes more than 6 s, as the service also works on calls it has rejected
+    took = [ms_until_all_notified(Asking, balancers, 4.5, seed) for seed in range(20)]
+    assert max(took) <= 2 * NOTIFIED_WITHIN, took
 
 
 @pytest.mark.parametrize("balancers", [44, 60, 200])
 def test_calls_beside_those_that_wait_keep_a_service_crowded_for_good(balancers):
-    # the checks above can fail: with the calls as they were somebody is never told
-    took = [last_told(Impatient, balancers, 4.5, seed) for seed in range(20)]
+    # shows that the checks above can fail: with the faulty schedule some balancer never gets the list
+    took = [ms_until_all_notified(FaultySchedule, balancers, 4.5, seed) for seed in range(20)]
     assert min(took) == inf
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -1,18 +1,14 @@
-"""Answers of the list service that do not arrive whole, come late, or wait in a queue: several processes.
+"""Answers of the list service that arrive partly, come late, or wait in a queue: several processes.
 
-Story. During a release, while the list service was crowded, one balancer went on sending to a server that
-drained and to its successor on the way out. The service had written it the list without that server, on both
-calls that it had out; a reset in the same millisecond took the answers away. The balancer logged two failed
-calls, kept its old list in force as if nothing had been said, and was turned away by the crowded service for
-seconds. What the service has written counts as told, so from the end of the grace each request to that
-server broke the rule on drains.
+Guards against treating an answer with an unknown outcome as one that was never given. Observed during a
+release with an overloaded list service: it wrote version 4 on both open calls of a balancer, and a reset in
+the same millisecond (6.127 s) discarded both. The balancer logged two failed calls, kept its old list in
+effect, was rejected for seconds, and sent requests to a draining server from 0.63 s after the write. What the
+service has written counts as received, so each of them after the grace broke the rule on drains.
 
-Cause: an answer whose outcome is unknown was taken for an answer that was never given. Evidence: the records
-of the service (version 4 written on two calls) beside the balancer's log (reset on both at 6.127 s, no change
-of the list taken); the first misplaced request came 0.63 s after the write.
-
-Beside it: a service that needs longer than 2.5 s for an answer was never heard, since the call was given up
-and lost its place; and a second call beside the first made a crowded service do everything twice.
+Also guards against giving up a call after 2.5 s, as a slower service would never be heard since the call
+loses its place in the queue, and against a second call beside the first, which doubles the work of an
+overloaded service.
 """
 
 from __future__ import annotations
@@ -31,11 +27,11 @@
 from stand_ins import Peer, configuration, ok, read_message, request, reset, target
 from test_descriptors import PATIENT, Running
 
-GRACE = 0.5  # s after it was told in which sends to a draining server must end
+GRACE = 0.5  # s after a drain notice within which sends to the server must end
 SLACK = 0.05  # s that the rule allows beyond it on sockets
-TOLD_AT_LAST = 6.0  # s after which a change counts as told, if the list service could be reached
-CROWDED = 1.6  # s for which the service turns all calls away after the broken answer
-TURNED_AWAY_AFTER = 0.2  # s that a call waits until it is
+NOTIFIED_AFTER = 6.0  # s after which a change counts as received, if the list service was reachable
+OVERLOADED_FOR = 1.6  # s for which the service rejects all calls after the broken answer
+REJECTED_AFTER = 0.2  # s that a call waits until it is rejected
 EMPTY_LINE_EVERY = 1.0  # s on a watch
 DEADLINE = 5.0  # s that a client waits
 PROCESSES = 3
@@ -49,19 +45,19 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Noted(list[Any]):
-    """What came, each with its time."""
+class Timestamped(list[Any]):
+    """A list that stores each item with its time."""
 
     def append(self, item: Any) -> None:
         super().append((time.monotonic(), item))
 
 
 class Server(Peer):
-    """An upstream that notes when each request came."""
+    """An upstream that records when each request came."""
 
     def __init__(self, body: bytes) -> None:
         super().__init__(ok(body))
-        self.requests = Noted()
+        self.requests = Timestamped()
 
     def times(self, balancer: int) -> list[float]:
         """When requests of one balancer came."""
@@ -70,7 +66,7 @@
 
 
 class Call:
-    """One call that came to the list service."""
+    """One call to the list service, on its side."""
 
     def __init__(self, balancer: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.balancer = balancer
@@ -82,10 +78,10 @@
         if self.open:
             self.writer.write(data)
 
-    async def stand(self, line: bytes) -> None:
-        """Answer as a watch that stands: a line at once, and empty ones for as long as both sides are there.
+    async def stay_open(self, line: bytes) -> None:
+        """Answers as an open watch: a line at once, then empty ones as long as both sides are connected.
 
-        Without these the balancer takes it for broken after 2.5 s, and calls again.
+        Without these the balancer times out after 2.5 s, and calls again.
         """
         self.write(HEAD + chunk(line))
         while not self.writer.is_closing() and not self.reader.at_eof():
@@ -97,7 +93,7 @@
 
 
 class ListService:
-    """The list service at the address of one balancer: `serve` decides what becomes of each call."""
+    """The list service at the address of one balancer: `serve` handles each call."""
 
     def __init__(self, balancer: int, serve: Callable[[Call], Any]) -> None:
         self.balancer, self.serve = balancer, serve
@@ -129,14 +125,14 @@
             call.writer.transport.abort()
 
 
-# `serve` that is held up twice for as long as a balancer may be: before it reads what came on a later call to
-# the list service, and between the last look and the write of a request, while an update is in doubt
-HELD_UP = """
+# `serve` with two stalls of the longest allowed time: before it reads data of a later list call, and between
+# the last check and the write of a request, while an update may be lost
+STALLING_SERVE = """
 import sys, time
 from ospreyline.__main__ import main
 from ospreyline.net import list_call, turn, upstreams
 
-HELD_UP = 0.15
+STALL_S = 0.15
 turns = []
 begin, received, look = turn.Turn.__init__, list_call.ListCall.data_received, upstreams.Peer._may_begin
 
@@ -146,13 +142,13 @@
 
 def read_late(call, data):
     if call.number == 2:
-        time.sleep(HELD_UP)
+        time.sleep(STALL_S)
     received(call, data)
 
 def written_late(peer, errand):
     found = look(peer, errand)
     if found and turn.clock() > turns[0].balancer.lease.expires - 30.0:
-        time.sleep(HELD_UP)
+        time.sleep(STALL_S)
     return found
 
 turn.Turn.__init__, list_call.ListCall.data_received = noted, read_late
@@ -165,16 +161,16 @@
 async def process(
     folder: Path, number: int, known: list[dict[str, Any]], service: ListService, shim: str = ""
 ) -> AsyncIterator[Running]:
-    """`serve` in a process of its own; `shim`: a program that runs it in its place."""
-    told = configuration(known, service.port)
-    told["name"] = f"n{number}"
-    told["settings"] |= {
+    """Runs `serve` in a process of its own; `shim`: a program that runs it with changes."""
+    config = configuration(known, service.port)
+    config["name"] = f"n{number}"
+    config["settings"] |= {
         "Balancers": PROCESSES,
         "Me": number,
         "Invariants": {"DrainGraceUs": 1e6 * GRACE, "MustAskInUs": 10_000_000},
     }
     file = folder / f"n{number}.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(config))
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         *(["-c", shim] if shim else ["-m", "ospreyline", "serve"]),
@@ -195,7 +191,7 @@
 
 
 class Load:
-    """Clients of one process, that ask one request after another; `answers` are (time, status, body)."""
+    """A client of one process that sends one request after another; `answers` are (time, status, body)."""
 
     def __init__(self, one: Running, number: int) -> None:
         self.one, self.path = one, f"/read/{number}"
@@ -215,8 +211,8 @@
         return [(status, body) for asked, status, body in self.answers if asked >= at]
 
 
-class Story:
-    """Processes with clients, two servers and a list service; whatever fails, their logs are printed."""
+class Scenario:
+    """Processes with clients, two servers and a list service; after a failure their logs are printed."""
 
     def __init__(
         self, serve: Callable[[Call], Any], folder: Path, processes: int = PROCESSES, shim: str = ""
@@ -229,7 +225,7 @@
         self.loads: list[Load] = []
         self.stack = AsyncExitStack()
 
-    async def __aenter__(self) -> Story:
+    async def __aenter__(self) -> Scenario:
         for peer in (self.draining, self.staying, *self.services):
             await peer.start()
         self.known = [target("u0", self.draining.port), target("u1", self.staying.port)]
@@ -251,8 +247,8 @@
             for one in self.running:
                 print(*[line for line in one.log if line["event"] not in ("counts", "retry")], sep="\n")
 
-    async def holds(self, condition: Callable[[], bool]) -> None:
-        """Wait until something is so; a client that had no answer is a failure at once."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits until the condition holds; a client without an answer is a failure at once."""
         async with asyncio.timeout(PATIENT):
             while not condition():
                 for load in self.loads:
@@ -261,29 +257,29 @@
                 await asyncio.sleep(0.002)
 
     def late(self, told: float, balancer: int = 0) -> list[float]:
-        """Requests of a balancer that came to the draining server after the grace: s since it was told."""
+        """Requests of a balancer that came to the draining server after the grace, in s since the notice."""
         return [round(at - told, 3) for at in self.draining.times(balancer) if at > told + GRACE + SLACK]
 
     def all_served_by(self, body: bytes, since: float) -> bool:
         return all((200, body) in load.since(since) for load in self.loads)
 
 
-def play(story: Any) -> None:
-    uvloop.run(asyncio.wait_for(story(), 2 * PATIENT))
+def play(run: Any) -> None:
+    uvloop.run(asyncio.wait_for(run(), 2 * PATIENT))
 
 
-# an answer that was written and does not arrive whole
+# an answer that was written and arrives only partly
 
 
-def cut_changes(story: Story, call: Call) -> bytes:
-    return call.list(4, [{**story.known[0], "state": "leaving"}], whole=False)
+def cut_changes(scenario: Scenario, call: Call) -> bytes:
+    return call.list(4, [{**scenario.known[0], "state": "leaving"}], whole=False)
 
 
-def cut_whole(story: Story, call: Call) -> bytes:
-    return call.list(4, story.known[1:])
+def cut_whole(scenario: Scenario, call: Call) -> bytes:
+    return call.list(4, scenario.known[1:])
 
 
-CUTS: dict[str, tuple[Callable[[Story, Call], bytes], float, str]] = {
+CUTS: dict[str, tuple[Callable[[Scenario, Call], bytes], float, str]] = {
     # what is written, the part of its line that goes out, what follows that
     "changes, half, reset": (cut_changes, 0.5, "reset"),
     "whole, half, reset": (cut_whole, 0.5, "reset"),
@@ -300,91 +296,95 @@
 
 
 def test_an_update_in_doubt_is_kept_by_a_process_that_is_held_up_twice(tmp_path):
-    # after the repair a replay had one request left, 0.63 s after it was told: one hold-up of 0.15 s
-    # was set apart of the grace, and there may be one before the bytes are read, and one before the write
-    cut_off("whole, half, reset", tmp_path, HELD_UP)
+    # the reserve within the grace must cover two stalls of 0.15 s, one before the data is read and one before
+    # the write; with a reserve for one, a replay had a request 0.63 s after the notice
+    cut_off("whole, half, reset", tmp_path, STALLING_SERVE)
 
 
 def cut_off(cut: str, folder: Path, shim: str = "") -> None:
-    async def story():
-        words, part, then = CUTS[cut]
-        told: dict[int, float] = {}  # by balancer: when its broken answer was written
+    async def run():
+        make_answer, part, then = CUTS[cut]
+        written: dict[int, float] = {}  # by balancer: when its broken answer was written
         draining = False
 
         async def serve(call: Call) -> None:
             if not draining:
-                standing.append(call)
-                await call.stand(call.list(3, day.known))
-            elif call.balancer not in told:
-                told[call.balancer] = time.monotonic()
-                line = words(day, call)
+                open_watches.append(call)
+                await call.stay_open(call.list(3, scenario.known))
+            elif call.balancer not in written:
+                written[call.balancer] = time.monotonic()
+                line = make_answer(scenario, call)
                 call.write(HEAD + b"%x\r\n" % len(line) + line[: max(1, int(part * len(line)))])
                 await call.writer.drain()
-                await asyncio.sleep(0.02)  # the bytes are on their way before what follows them
+                await asyncio.sleep(0.02)  # the data is on its way before what follows
                 if then == "reset":
                     reset(call.writer.transport)
                 elif then == "end":
                     call.writer.close()
-            elif len(told) < PROCESSES or time.monotonic() < max(told.values()) + CROWDED:
-                await asyncio.sleep(TURNED_AWAY_AFTER)
+            elif len(written) < PROCESSES or time.monotonic() < max(written.values()) + OVERLOADED_FOR:
+                await asyncio.sleep(REJECTED_AFTER)
                 call.write(BUSY)
             else:
-                call.write(HEAD + chunk(call.list(4, day.known[1:])))
-
-        standing: list[Call] = []
-        day = Story(serve, folder, shim=shim)
-        async with day:
-            await day.holds(lambda: len(standing) == PROCESSES and day.all_served_by(b"draining", 0.0))
+                call.write(HEAD + chunk(call.list(4, scenario.known[1:])))
+
+        open_watches: list[Call] = []
+        scenario = Scenario(serve, folder, shim=shim)
+        async with scenario:
+            await scenario.until(
+                lambda: len(open_watches) == PROCESSES and scenario.all_served_by(b"draining", 0.0)
+            )
             draining = True
-            for call in standing:  # a watch may end instead of telling
+            for call in open_watches:  # a watch may end without an update
                 call.writer.close()
-            await day.holds(lambda: len(told) == PROCESSES)
-            last = max(told.values())
-            await day.holds(lambda: time.monotonic() > last + CROWDED)
+            await scenario.until(lambda: len(written) == PROCESSES)
+            last = max(written.values())
+            await scenario.until(lambda: time.monotonic() > last + OVERLOADED_FOR)
             back = time.monotonic()
-            await day.holds(lambda: day.all_served_by(b"staying", back))
-            late = [day.late(since, number) for number, since in told.items()]
+            await scenario.until(lambda: scenario.all_served_by(b"staying", back))
+            late = [scenario.late(since, number) for number, since in written.items()]
             assert not any(late), late
-            # nobody was left waiting, and whatever was not served was told that trying again is harmless
-            statuses = {status for load in day.loads for status, _ in load.since(last)}
+            # every request was answered: served, or told that a retry is safe
+            statuses = {status for load in scenario.loads for status, _ in load.since(last)}
             assert statuses <= {200, 503}
 
-    play(story)
+    play(run)
 
 
-# a service that answers slowly, or has too many callers
+# a service that answers slowly, or is overloaded
 
 
 @pytest.mark.parametrize("needs", [3.0, 4.0])
 def test_a_service_that_needs_seconds_for_each_answer_is_heard(needs, tmp_path):
-    # calls were given up after 2.5 s without a byte, and the next ones began anew: nobody was told for 30 s
-    async def story():
+    # with calls given up after 2.5 s without a byte, each next one queues again: no update for 30 s
+    async def run():
         changed = 0.0
 
         async def serve(call: Call) -> None:
             if not changed:
-                standing.append(call)
-                return await call.stand(call.list(3, day.known))
+                open_watches.append(call)
+                return await call.stay_open(call.list(3, scenario.known))
             await asyncio.sleep(needs)
-            call.write(HEAD + chunk(call.list(4, day.known[1:])))
-
-        standing: list[Call] = []
-        day = Story(serve, tmp_path)
-        async with day:
-            await day.holds(lambda: len(standing) == PROCESSES and day.all_served_by(b"draining", 0.0))
+            call.write(HEAD + chunk(call.list(4, scenario.known[1:])))
+
+        open_watches: list[Call] = []
+        scenario = Scenario(serve, tmp_path)
+        async with scenario:
+            await scenario.until(
+                lambda: len(open_watches) == PROCESSES and scenario.all_served_by(b"draining", 0.0)
+            )
             changed = time.monotonic()
-            for call in standing:
+            for call in open_watches:
                 call.writer.close()
-            await day.holds(lambda: time.monotonic() > changed + TOLD_AT_LAST + GRACE + 0.5)
-            late = [day.late(changed + TOLD_AT_LAST, number) for number in range(len(day.loads))]
+            await scenario.until(lambda: time.monotonic() > changed + NOTIFIED_AFTER + GRACE + 0.5)
+            late = [scenario.late(changed + NOTIFIED_AFTER, number) for number in range(len(scenario.loads))]
             assert not any(late), late
-            assert day.all_served_by(b"staying", changed + TOLD_AT_LAST)
+            assert scenario.all_served_by(b"staying", changed + NOTIFIED_AFTER)
 
-    play(story)
+    play(run)
 
 
 class Queue:
-    """A service that works calls off in turn, one at a time, also those that were given up."""
+    """A service that handles calls in turn, one at a time, also those that were given up."""
 
     def __init__(self, needs: float) -> None:
         self.needs, self.free_at = needs, 0.0
@@ -396,28 +396,30 @@
 
 
 def test_a_service_that_works_calls_off_in_turn_has_told_everybody_in_time(tmp_path):
-    # eight processes, half a second each: 4 s for all, if no call is made twice before it is served
+    # eight processes, 0.5 s each: 4 s for all, if no call is repeated before it is served
     processes = 8
 
-    async def story():
+    async def run():
         changed, queue = 0.0, Queue(0.5)
 
         async def serve(call: Call) -> None:
             if not changed:
-                standing.append(call)
-                return await call.stand(call.list(3, day.known))
+                open_watches.append(call)
+                return await call.stay_open(call.list(3, scenario.known))
             await queue.turn()
-            call.write(HEAD + chunk(call.list(4, day.known[1:])))
-
-        standing: list[Call] = []
-        day = Story(serve, tmp_path, processes)
-        async with day:
-            await day.holds(lambda: len(standing) == processes and day.all_served_by(b"draining", 0.0))
+            call.write(HEAD + chunk(call.list(4, scenario.known[1:])))
+
+        open_watches: list[Call] = []
+        scenario = Scenario(serve, tmp_path, processes)
+        async with scenario:
+            await scenario.until(
+                lambda: len(open_watches) == processes and scenario.all_served_by(b"draining", 0.0)
+            )
             changed = time.monotonic()
-            for call in standing:
+            for call in open_watches:
                 call.writer.close()
-            await day.holds(lambda: time.monotonic() > changed + TOLD_AT_LAST + GRACE + 0.5)
-            late = [day.late(changed + TOLD_AT_LAST, number) for number in range(len(day.loads))]
+            await scenario.until(lambda: time.monotonic() > changed + NOTIFIED_AFTER + GRACE + 0.5)
+            late = [scenario.late(changed + NOTIFIED_AFTER, number) for number in range(len(scenario.loads))]
             assert not any(late), late
 
-    play(story)
+    play(run)
--- a/tests/test_list_losses.py
+++ b/tests/test_list_losses.py
@@ -1,9 +1,9 @@
-"""A written change of the list that does not arrive, and what becomes of the calls after it: real processes.
+"""A written list update that does not arrive, followed by various outcomes of later calls: real processes.
 
-A row is a start (which call of a process loses the change) and the steps that calls meet from then on, one
-each; the last step stays. The moment of each writing is noted by the stand-in that writes. A request that
-begins at the draining server over the grace and its slack after that moment is late. Where nothing was
-written, a change counts as told 6 s after it was made: each call reached the service.
+A row is a start (which call of a process loses the update) and the steps that later calls go through, one
+each; the last step is repeated. The fake service records when it writes the update. A request that starts at
+the draining server later than the grace and its slack after that is late. Where nothing was written, a change
+counts as received 6 s after it was made, as each call reached the service.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     BUSY,
     END,
     HEAD,
-    TOLD_AT_LAST,
+    NOTIFIED_AFTER,
     Call,
     ListService,
     Load,
-    Story,
+    Scenario,
     chunk,
     play,
     process,
@@ -39,17 +39,17 @@
     "a call after a move",
     "a call after a restart",
 )
-SPAN = 3.0  # s after the change counts as told for which the steps go on
+SPAN = 3.0  # s after the change counts as received for which the steps go on
 
 
 @dataclass(frozen=True)
 class Step:
-    """What one call meets: after a wait something of what is written arrives, and its connection ends."""
+    """The outcome of one call: after a wait a part of the written data arrives, and its connection ends."""
 
     then: str  # "reset", "closed", "last chunk", "stays" or "refused"
     wait: float = 0.0
-    arrives: Callable[[bytes, bool], bytes] | None = None  # of the news; None: the news is not written
-    plain: bytes = b""  # what is written that is no news
+    arrives: Callable[[bytes, bool], bytes] | None = None  # of the update; None: no update is written
+    plain: bytes = b""  # other data that is written
 
 
 def nothing(answer: bytes, stands: bool) -> bytes:
@@ -64,19 +64,19 @@
     return Step(then, wait, nothing)
 
 
-AWAY = Step("closed", 0.0, plain=BUSY)
-AWAY_LATE = Step("closed", 2.0, plain=BUSY)
-AWAY_AFTER_A_SECOND = Step("closed", 1.2, plain=BUSY)
+REJECT = Step("closed", 0.0, plain=BUSY)
+REJECT_AFTER_2_S = Step("closed", 2.0, plain=BUSY)
+REJECT_AFTER_1_2_S = Step("closed", 1.2, plain=BUSY)
 REFUSED = Step("refused", 2.5)
 HANGS = Step("stays")
 RESET = Step("reset", 0.3)
 CLOSED = Step("closed", 0.3)
 ENDS = Step("last chunk")
-TOLD = Step("stays", 0.0, all_of_it)
+ANSWER = Step("stays", 0.0, all_of_it)
 
 
-class Losses(Story):
-    """One process, whose calls meet the steps of a row."""
+class Losses(Scenario):
+    """One process, whose calls go through the steps of a row."""
 
     def __init__(self, start: str, steps: tuple[Step, ...], folder: Path) -> None:
         super().__init__(self._serve, folder, processes=1)
@@ -98,9 +98,9 @@
             call.write(HEAD + chunk(call.list(4, self.known[1:])))
         elif first_call and self.start != NEW:
             call.write(HEAD + chunk(call.list(3, self.known)))
-            await self.holds(lambda: self.all_served_by(b"draining", 0.0))
+            await self.until(lambda: self.all_served_by(b"draining", 0.0))
             if self.start == STANDS:
-                await self._meet(call, stands=True)
+                await self._run_step(call, stands=True)
             elif self.start == WAITS:
                 call.write(END)
                 call.writer.close()
@@ -111,11 +111,11 @@
                     await asyncio.sleep(0.5)
         else:
             if first_call:
-                await self.holds(lambda: self.all_served_by(b"draining", 0.0))
-            await self._meet(call, stands=False)
+                await self.until(lambda: self.all_served_by(b"draining", 0.0))
+            await self._run_step(call, stands=False)
 
-    async def _meet(self, call: Call, stands: bool) -> None:
-        """The next step, on this call."""
+    async def _run_step(self, call: Call, stands: bool) -> None:
+        """Runs the next step on this call."""
         step = self.steps.pop(0) if len(self.steps) > 1 else self.steps[0]
         self.began = self.began or time.monotonic()
         await asyncio.sleep(step.wait)
@@ -146,7 +146,7 @@
             call.writer.close()
 
     async def _refuse(self, span: float, call: Call, step: Step) -> None:
-        """New connections are refused from the end of this call on for so long."""
+        """Ends this call, and refuses new connections for `span` s from then on."""
         service = self.elsewhere if self.start == MOVED else self.services[0]
         service.server.close()
         await self._end_now(call, step)
@@ -161,10 +161,10 @@
             call.writer.close()
 
     async def prepare(self) -> None:
-        """A move or a restart, where the row has one."""
+        """Makes a move or a restart, where the row has one."""
         if self.start not in (MOVED, RESTARTED):
             return
-        await self.holds(lambda: self.ready)
+        await self.until(lambda: self.ready)
         one = self.running[0]
         if self.start == MOVED:
             await self.elsewhere.start()
@@ -181,19 +181,19 @@
         self.loads.append(Load(self.running[-1], 0))
 
     async def play(self) -> list[float]:
-        """Play the row; the requests that were late, in s since the change was told."""
+        """Runs the row; returns late requests, in s since the change counts as received."""
         await self.prepare()
-        await self.holds(lambda: self.began > 0.0)
+        await self.until(lambda: self.began > 0.0)
         if self.writes:
-            await self.holds(lambda: self.written > 0.0)
-        told = self.written or self.began + TOLD_AT_LAST
-        await self.holds(lambda: time.monotonic() > told + SPAN)
+            await self.until(lambda: self.written > 0.0)
+        told = self.written or self.began + NOTIFIED_AFTER
+        await self.until(lambda: time.monotonic() > told + SPAN)
         self.over = True
         self.report(told)
         return self.late(told)
 
     def report(self, told: float) -> None:
-        """What the stand-in did, and when requests went on, for who reads a red row."""
+        """Prints the steps and the late requests, to diagnose a failure."""
         for at, text in self.notes:
             print(f"{at - told:+.3f} {text}")
         ages = [round(at - told, 3) for at in self.draining.times(0)]
@@ -208,25 +208,25 @@
 
 
 def plays(start: str, steps: tuple[Step, ...], folder: Path) -> None:
-    async def story() -> None:
-        async with Losses(start, steps, folder) as day:
-            late = await day.play()
+    async def run() -> None:
+        async with Losses(start, steps, folder) as scenario:
+            late = await scenario.play()
             assert not late, f"{len(late)} late requests, {late[0]} to {late[-1]} s after the change was told"
 
-    play(story)
+    play(run)
 
 
 UNSETTLED = {
-    "503 after 1.2 s": (STANDS, (Step("reset"), AWAY_AFTER_A_SECOND, lost("reset", wait=0.3), AWAY)),
-    "503 after 2 s": (STANDS, (Step("reset"), AWAY_LATE, lost("reset", wait=0.3), AWAY)),
-    "refused": (STANDS, (Step("reset"), REFUSED, lost("reset", wait=0.3), AWAY)),
-    "hangs": (STANDS, (Step("reset"), HANGS, lost("reset", wait=0.3), AWAY)),
-    "a new process": (NEW, (Step("reset"), AWAY_LATE, lost("reset", wait=0.3), AWAY)),
-    "after a restart": (RESTARTED, (Step("reset"), AWAY_LATE, lost("reset", wait=0.3), AWAY)),
-    "after a move": (MOVED, (Step("reset"), AWAY_LATE, lost("reset", wait=0.3), AWAY)),
+    "503 after 1.2 s": (STANDS, (Step("reset"), REJECT_AFTER_1_2_S, lost("reset", wait=0.3), REJECT)),
+    "503 after 2 s": (STANDS, (Step("reset"), REJECT_AFTER_2_S, lost("reset", wait=0.3), REJECT)),
+    "refused": (STANDS, (Step("reset"), REFUSED, lost("reset", wait=0.3), REJECT)),
+    "hangs": (STANDS, (Step("reset"), HANGS, lost("reset", wait=0.3), REJECT)),
+    "a new process": (NEW, (Step("reset"), REJECT_AFTER_2_S, lost("reset", wait=0.3), REJECT)),
+    "after a restart": (RESTARTED, (Step("reset"), REJECT_AFTER_2_S, lost("reset", wait=0.3), REJECT)),
+    "after a move": (MOVED, (Step("reset"), REJECT_AFTER_2_S, lost("reset", wait=0.3), REJECT)),
 }
 LASTING = {
-    "503 after 2 s": (STANDS, (lost("reset"), AWAY_LATE)),
+    "503 after 2 s": (STANDS, (lost("reset"), REJECT_AFTER_2_S)),
     "refused": (STANDS, (lost("reset"), REFUSED)),
     "hangs": (STANDS, (lost("reset"), HANGS)),
     "reset": (STANDS, (lost("reset"), RESET)),
@@ -235,12 +235,12 @@
     "hangs": (STANDS, (ENDS, HANGS)),
     "closed, hangs": (STANDS, (ENDS, CLOSED, HANGS)),
     "reset, hangs": (STANDS, (ENDS, RESET, HANGS)),
-    "reset, 503": (STANDS, (ENDS, RESET, AWAY)),
-    "reset, 503 after 2 s": (STANDS, (ENDS, RESET, AWAY_LATE)),
+    "reset, 503": (STANDS, (ENDS, RESET, REJECT)),
+    "reset, 503 after 2 s": (STANDS, (ENDS, RESET, REJECT_AFTER_2_S)),
 }
 UNENDED = {
-    "503": (STANDS, (lost("closed"), AWAY)),
-    "answered, a call that waited": (WAITS, (lost("closed"), TOLD)),
+    "503": (STANDS, (lost("closed"), REJECT)),
+    "answered, a call that waited": (WAITS, (lost("closed"), ANSWER)),
 }
 EMPTY = {"reset": (STANDS, (lost("reset"), Step("stays", plain=HEAD + chunk(b"\n"))))}
 
@@ -271,8 +271,8 @@
 
 
 def test_a_loss_on_a_call_that_we_end_as_another_is_answered(tmp_path):
-    # the service works calls off in turn: the old version on one, the news on the other, on the first later
-    async def story() -> None:
+    # the service handles calls in turn: the old version on one, the update on the other, later on the first
+    async def run() -> None:
         calls: list[Call] = []
         written = 0.0
 
@@ -280,8 +280,8 @@
             nonlocal written
             calls.append(call)
             if len(calls) == 1:
-                call.write(HEAD + chunk(call.list(3, day.known)))
-                await day.holds(lambda: day.all_served_by(b"draining", 0.0))
+                call.write(HEAD + chunk(call.list(3, scenario.known)))
+                await scenario.until(lambda: scenario.all_served_by(b"draining", 0.0))
                 call.write(END)
                 call.writer.close()
             elif len(calls) == 2:
@@ -290,16 +290,16 @@
                 print(f"{time.monotonic() - written:+.3f} our end is seen; reset")
                 reset(call.writer.transport)
             elif len(calls) == 3:
-                call.write(HEAD + chunk(call.list(3, day.known)))
+                call.write(HEAD + chunk(call.list(3, scenario.known)))
                 written = time.monotonic()
                 await asyncio.sleep(1.5)
-                call.write(chunk(call.list(4, [{**day.known[0], "state": "leaving"}], whole=False)))
+                call.write(chunk(call.list(4, [{**scenario.known[0], "state": "leaving"}], whole=False)))
 
-        day = Story(serve, tmp_path, processes=1)
-        async with day:
-            await day.holds(lambda: written > 0.0)
-            await day.holds(lambda: time.monotonic() > written + SPAN)
-            late = day.late(written)
+        scenario = Scenario(serve, tmp_path, processes=1)
+        async with scenario:
+            await scenario.until(lambda: written > 0.0)
+            await scenario.until(lambda: time.monotonic() > written + SPAN)
+            late = scenario.late(written)
             assert not late, f"{len(late)} late requests, {late[0]} to {late[-1]} s after the change was told"
 
-    play(story)
+    play(run)
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -1,8 +1,8 @@
-"""News of a drain that is written while the process is stopped, or held up: real processes.
+"""The notice of a drain that is written while the process is stopped or stalled: real processes.
 
-What the list service has written counts as told, though a process that is stopped reads it only when it goes
-on. Then the requests that waited in its sockets and the news are there at once: nothing may be decided by the
-list of before.
+What the list service has written counts as received, though a stopped process reads it only when it
+continues. Then the requests that waited in its sockets and the update are there at the same time: no request
+may be decided by the old list.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 import pytest
 from stand_ins import Peer, Registry, running, target
-from test_list_answers import HEAD, Call, Load, Story, chunk, play
+from test_list_answers import HEAD, Call, Load, Scenario, chunk, play
 
-CLIENTS = 4  # that ask without a pause
-SETTLES = 0.4  # s after a stop, in which a misplaced request would show
+CLIENTS = 4
+SETTLES = 0.4  # s after a stop within which a misplaced request would be seen
 
 
-class Stopped(Story):
-    """One process with a watch that stands, and clients that go on asking while it is stopped."""
+class Stopped(Scenario):
+    """One process with an open watch, and clients that keep sending while it is stopped."""
 
     async def __aenter__(self) -> Stopped:
         await super().__aenter__()
@@ -29,7 +29,7 @@
         return self
 
     async def stop_while_written(self, news: bytes, stopped: float) -> float:
-        """Stop the process for a while, in which the list service writes; when it wrote."""
+        """Stops the process for `stopped` s, during which the list service writes; returns when it wrote."""
         pid = self.running[0].process
         pid.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.02)
@@ -45,31 +45,32 @@
 def test_a_process_that_was_stopped_sends_nothing_to_a_server_that_began_to_drain_meanwhile(
     stopped, times, tmp_path
 ):
-    async def story() -> None:
+    async def run() -> None:
         def serve(call: Call) -> None:
-            call.write(HEAD + chunk(call.list(version, day.known)))
+            call.write(HEAD + chunk(call.list(version, scenario.known)))
 
         version = 3
-        day = Stopped(serve, tmp_path, processes=1)
-        async with day:
-            await day.holds(lambda: bool(day.services[0].calls) and day.all_served_by(b"draining", 0.0))
-            call = day.services[0].calls[0]
+        scenario = Stopped(serve, tmp_path, processes=1)
+        async with scenario:
+            await scenario.until(
+                lambda: bool(scenario.services[0].calls) and scenario.all_served_by(b"draining", 0.0)
+            )
+            call = scenario.services[0].calls[0]
             for _ in range(times):
                 version += 1
-                leaving = call.list(version, [{**day.known[0], "state": "leaving"}], whole=False)
-                written = await day.stop_while_written(chunk(leaving), stopped)
-                assert not day.late(written)
+                leaving = call.list(version, [{**scenario.known[0], "state": "leaving"}], whole=False)
+                written = await scenario.stop_while_written(chunk(leaving), stopped)
+                assert not scenario.late(written)
                 version += 1
-                day.services[0].calls[-1].write(chunk(call.list(version, day.known)))
+                scenario.services[0].calls[-1].write(chunk(call.list(version, scenario.known)))
                 back = time.monotonic()
-                await day.holds(lambda since=back: day.all_served_by(b"draining", since))
+                await scenario.until(lambda since=back: scenario.all_served_by(b"draining", since))
 
-    play(story)
+    play(run)
 
 
-# `serve` that is held up once, for longer than the grace, at a named place, as soon as a file is there, which
-# it removes
-HELD_UP_AT = """
+# `serve` with one stall longer than the grace, at a given place, once a flag file exists, which it removes
+STALLING_SERVE = """
 import os, sys, time
 from ospreyline import decide
 from ospreyline.__main__ import main
@@ -102,48 +103,50 @@
     upstreams.Peer._connect = connected
 main(["serve", sys.argv[1]])
 """
-HELD_UP_FOR = 0.7  # s
+STALL_S = 0.7  # s
 
 
 @pytest.mark.parametrize("place", ["the decision", "the write", "the connection has come up"])
 def test_a_send_that_is_held_up_for_longer_than_the_grace_looks_for_news_of_the_list(place, tmp_path):
-    # seen with a process that was stopped for 0.7 s under load: what was decided before went out when it went
-    # on, 3 ms later, with the news unread
-    async def story() -> None:
+    # observed with a process that was stopped for 0.7 s under load: 3 ms after it continued, requests that
+    # were decided before were sent, with the update unread
+    async def run() -> None:
         def serve(call: Call) -> None:
-            call.write(HEAD + chunk(call.list(version, day.known)))
+            call.write(HEAD + chunk(call.list(version, scenario.known)))
 
         version = 3
         flag = tmp_path / "hold up"
-        shim = HELD_UP_AT.format(place=place, flag=str(flag), held_up=HELD_UP_FOR)
-        day = Stopped(serve, tmp_path, processes=1, shim=shim)
-        async with day:
-            await day.holds(lambda: bool(day.services[0].calls) and day.all_served_by(b"draining", 0.0))
-            call = day.services[0].calls[0]
+        shim = STALLING_SERVE.format(place=place, flag=str(flag), held_up=STALL_S)
+        scenario = Stopped(serve, tmp_path, processes=1, shim=shim)
+        async with scenario:
+            await scenario.until(
+                lambda: bool(scenario.services[0].calls) and scenario.all_served_by(b"draining", 0.0)
+            )
+            call = scenario.services[0].calls[0]
             for _ in range(4):
                 version += 1
-                news = chunk(call.list(version, [{**day.known[0], "state": "leaving"}], whole=False))
+                news = chunk(call.list(version, [{**scenario.known[0], "state": "leaving"}], whole=False))
                 flag.touch()
                 if place == "the connection has come up":
-                    for writer in day.draining.writers:  # those that are kept
+                    for writer in scenario.draining.writers:  # kept-alive connections
                         writer.close()
-                await day.holds(lambda: not flag.exists())
+                await scenario.until(lambda: not flag.exists())
                 call.write(news)
                 written = time.monotonic()
-                await asyncio.sleep(HELD_UP_FOR + SETTLES)
-                assert not day.late(written)
+                await asyncio.sleep(STALL_S + SETTLES)
+                assert not scenario.late(written)
                 version += 1
-                call.write(chunk(call.list(version, day.known)))
+                call.write(chunk(call.list(version, scenario.known)))
                 back = time.monotonic()
-                await day.holds(lambda since=back: day.all_served_by(b"draining", since))
+                await scenario.until(lambda since=back: scenario.all_served_by(b"draining", since))
 
-    play(story)
+    play(run)
 
 
 def test_what_is_put_off_until_the_list_is_read_waits_for_it_through_a_reload():
-    # a SIGHUP right behind a long stop: a reload takes a turn before the new settings and one after them, and
-    # the second carried out what the first had put off, with the news unread
-    async def story() -> None:
+    # a SIGHUP right after a long stop: a reload runs one event batch before the new settings and one after
+    # them, and the second must not execute what the first has deferred while the update is unread
+    async def run() -> None:
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             turn = service.turn
@@ -159,4 +162,4 @@
                 await asyncio.sleep(0)
             assert known_at_the_act == [5]
 
-    play(story)
+    play(run)
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -1,14 +1,12 @@
-"""A list service that turns all calls away for longer than a change may go untold: real processes.
-
-Story. On a drawn day (44 balancers, 31 restarted at 11.7 s, a list service that turns most calls away)
-servers began to drain at 11.97 s, and requests went to them up to 18.8 s, 0.7 s after the change counted as
-told: 47, 45, 3 and 8 of them in four runs, the last two with all other repairs in.
-
-Cause: a call that is turned away counted as one that failed, and the list of before stayed in force, for a
-balancer that had just started even the list of its settings. But a service that answers can be reached, and
-from 6 s after a change on that change counts as told, whatever becomes of the calls. Evidence: 14 of the 31
-restarted balancers had no list from their start at 13.9 s to 18.8 s and later, and held no request back in
-that time. With requests held back there the same day had none.
+"""A list service that rejects all calls for longer than a change takes to count as received: real processes.
+
+Guards against using the old list (after a start, the list of the settings) while calls are rejected: a
+service that answers is reachable, so a change counts as received 6 s after it was made, whatever becomes of
+the calls. Observed in a seeded run (44 balancers, 31 restarted at 11.7 s, most list calls rejected): servers
+began to drain at 11.97 s, and requests went to them up to 18.8 s, 0.7 s after the change counted as received:
+47, 45, 3 and 8 in four runs, the last two with all other fixes. 14 of the restarted balancers had no list
+from their start at 13.9 s until 18.8 s or later, and blocked no send; with sends blocked there were no such
+requests.
 """
 
 from __future__ import annotations
@@ -26,10 +24,10 @@
     BUSY,
     END,
     HEAD,
-    TOLD_AT_LAST,
-    TURNED_AWAY_AFTER,
+    NOTIFIED_AFTER,
+    REJECTED_AFTER,
     Call,
-    Story,
+    Scenario,
     chunk,
     play,
 )
@@ -37,52 +35,52 @@
 from ospreyline.lease import ConnectionRefused, LeaseMessage, MessageComplete, UpdateLost, UpdateRead
 from ospreyline.net.discovery import Discovery
 
-AWAY = 8.5  # s for which the service turns all calls away
+REJECTING_FOR = 8.5  # s for which the service rejects all calls
 
 
-def turned_away(watch_ends: bool, folder: Path) -> None:
-    """A service turns calls away; `watch_ends`: once a watch has ended in order, else from the start."""
+def reject_calls(watch_ends: bool, folder: Path) -> None:
+    """Rejects calls; `watch_ends`: after a watch has ended with its last chunk, else from the start."""
 
-    async def story() -> None:
+    async def run() -> None:
         began = 0.0
 
         async def serve(call: Call) -> None:
             nonlocal began
             if not began and watch_ends:
-                call.write(HEAD + chunk(call.list(3, day.known)))
-                await day.holds(lambda: day.all_served_by(b"draining", 0.0))
+                call.write(HEAD + chunk(call.list(3, scenario.known)))
+                await scenario.until(lambda: scenario.all_served_by(b"draining", 0.0))
                 call.write(END)
                 call.writer.close()
                 began = time.monotonic()
-            elif not began or time.monotonic() < began + AWAY:
-                await asyncio.sleep(TURNED_AWAY_AFTER)
+            elif not began or time.monotonic() < began + REJECTING_FOR:
+                await asyncio.sleep(REJECTED_AFTER)
                 call.write(BUSY)
                 began = began or time.monotonic()
             else:
-                call.write(HEAD + chunk(call.list(4, day.known[1:])))
-
-        day = Story(serve, folder, processes=1)
-        async with day:
-            await day.holds(lambda: began > 0.0)
-            # of a drain that was written as the watch ended, or that came long before the process began
-            told = began
-            await day.holds(lambda: time.monotonic() > began + AWAY)
+                call.write(HEAD + chunk(call.list(4, scenario.known[1:])))
+
+        scenario = Scenario(serve, folder, processes=1)
+        async with scenario:
+            await scenario.until(lambda: began > 0.0)
+            # of a drain that was written as the watch ended, or that started long before the process
+            notified_at = began
+            await scenario.until(lambda: time.monotonic() > began + REJECTING_FOR)
             back = time.monotonic()
-            await day.holds(lambda: day.all_served_by(b"staying", back))
-            assert not day.late(told)
-            # nobody was left waiting, and what was not served was told that trying again is harmless
-            assert {status for status, _ in day.loads[0].since(began)} <= {200, 503}
+            await scenario.until(lambda: scenario.all_served_by(b"staying", back))
+            assert not scenario.late(notified_at)
+            # every request was answered: served, or told that a retry is safe
+            assert {status for status, _ in scenario.loads[0].since(began)} <= {200, 503}
 
-    play(story)
+    play(run)
 
 
 @pytest.mark.parametrize("watch_ends", [True, False], ids=["a-watch-that-ended", "a-new-process"])
 def test_nothing_is_sent_once_a_change_counts_as_told_though_calls_are_turned_away(watch_ends, tmp_path):
-    turned_away(watch_ends, tmp_path)
+    reject_calls(watch_ends, tmp_path)
 
 
 def test_the_end_of_a_watch_is_no_proof_and_a_refused_connection_is_one():
-    async def story() -> None:
+    async def run() -> None:
         registry = Registry()
         await registry.start()
         steps: list[LeaseMessage] = []
@@ -102,7 +100,7 @@
         registry.server.close()
         lists.watch(True)
         await wait_for(lambda: ConnectionRefused(2) in steps)
-        # one whose last line cannot be read has told something that we do not know
+        # a watch with an unreadable last line has lost an update
         steps.clear()
         await registry.start()
         lists.move(("127.0.0.1", registry.port))
@@ -113,20 +111,20 @@
         assert UpdateLost in map(type, steps) and MessageComplete not in map(type, steps)
         lists.close()
 
-    play(story)
+    play(run)
 
 
 @pytest.mark.parametrize("how, counts_later", [("ask", True), ("push", False)])
 def test_a_pushed_list_counts_at_once_and_not_by_calls_that_are_turned_away(how, counts_later):
-    async def story() -> None:
+    async def run() -> None:
         async with running(Peer(), registry=Registry(), Discovery=how) as service:
             lease = service.turn.balancer.lease
             service.turn._renew_lease(0.0, UpdateRead(1, 3, False))
             service.turn._renew_lease(1.0, MessageComplete(2, False))
             assert lease.withholds(600.0) is not counts_later
-            assert lease.withholds(TOLD_AT_LAST * 1e3 + 600.0)
+            assert lease.withholds(NOTIFIED_AFTER * 1e3 + 600.0)
 
-    play(story)
+    play(run)
 
 
 async def wait_for(condition: Callable[[], bool]) -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,4 +1,4 @@
-"""Told after 6 s: the list is in force 6 s after discovery could be reached, whatever went before."""
+"""The list is in effect 6 s after the list service became reachable, whatever failures came before."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 from ospreyline.net.list_call import ListCall
 from ospreyline.net.listing import News, Target
 
-TOLD = 6_000.0  # ms
+NOTIFIED_AFTER = 6_000.0  # ms
 QUEUE = 1_000.0  # ms that a call waits in a queue before it is turned away
 HOUR = 3_600_000.0  # ms, as Retry-After
-STEP = 200.0  # ms between two moments at which discovery can be reached again
+STEP = 200.0  # ms between two tried times at which the list service becomes reachable again
 
 
 class NoLog:
@@ -49,7 +49,7 @@
 
 
 class Loop:
-    """The clock of the walk as the calls see it; their connections are never made."""
+    """The simulated clock as the calls see it; their connections are never made."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -62,8 +62,8 @@
     def cancel(self) -> None: ...
 
 
-class Calls(Discovery):
-    """Calls without connections: how each goes is up to the walk."""
+class SimulatedDiscovery(Discovery):
+    """List calls without connections: the simulation decides how each goes."""
 
     world: World
 
@@ -76,11 +76,11 @@
 
 
 class World(FakeHost):
-    """The decisions, their calls and a service that cannot be reached until some time after the last fate."""
+    """The decisions, their list calls and a service that is unreachable for a time after the last outcome."""
 
     def __init__(
         self,
-        fates: tuple[str, ...],
+        outcomes: tuple[str, ...],
         phase: float,
         answer: float,
         lost: int,
@@ -91,16 +91,16 @@
     ) -> None:
         super().__init__([listed(0)], ask_for_list=True, **terms)
         self.wakes = [(self.now + beat, call) for _, call in self.wakes]
-        self.fates, self.phase, self.answer, self.lost = fates, phase, answer, lost
+        self.outcomes, self.phase, self.answer, self.lost = outcomes, phase, answer, lost
         self.begins: list[float] = []
-        self.reached = self.told_at = inf
+        self.reachable_at = self.told_at = inf
         self.changed = False  # the phase is longer than the wait
         terms_now = self.balancer._terms
         self.balancer._asking.place = place
         self.pace = Pace(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
         if self.pace is not None:
             self.pace.place = place
-        self.discovery = Calls(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
+        self.discovery = SimulatedDiscovery(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
         self.wake(self.now + 1e3 * service_module.TIDY * place, self._tidy)
 
@@ -108,7 +108,7 @@
         self.wake(now + 1e3 * service_module.TIDY, self._tidy)
         self.discovery.tidy()
 
-    # as the turn does
+    # as net/turn.py does it
 
     def watch(self, on: bool) -> None:
         if self.pace is None:
@@ -132,7 +132,7 @@
         if self.pace is not None and own:
             self.pace.told()
         self.balancer.told_changes(self.now, [], own=own)
-        if self.now > self.reached and own and news.targets:  # and the watch stands
+        if self.now > self.reachable_at and own and news.targets:  # and the watch is open
             self.told_at = min(self.told_at, self.now)
 
     def _failed(self, failure: CallFailure) -> None:
@@ -153,83 +153,83 @@
     def begun(self, call: ListCall) -> None:
         number = len(self.begins)
         self.begins.append(self.now)
-        if number < len(self.fates):
-            self._meet(call, self.fates[number])
-            if number == len(self.fates) - 1:
-                self.reached = self.now + self.phase
-        elif self.now < self.reached:
+        if number < len(self.outcomes):
+            self._apply_outcome(call, self.outcomes[number])
+            if number == len(self.outcomes) - 1:
+                self.reachable_at = self.now + self.phase
+        elif self.now < self.reachable_at:
             self.changed = True
         elif self.lost:
             self.lost -= 1
-            self._meet(call, "turned away")
+            self._apply_outcome(call, "turned away")
         else:
             self.wake(self.now + self.answer, lambda now: self._answer(call))
 
-    def _say(self, call: ListCall, news: News | None) -> None:
+    def _receive(self, call: ListCall, news: News | None) -> None:
         if not call.over:
             call.heard_at = self.now / 1e3
             self.discovery.update_received(call, news)
 
     def _answer(self, call: ListCall) -> None:
-        self._say(call, News(call.newest_elsewhere + 9, True, [(Target("u0"), None)]))
+        self._receive(call, News(call.newest_elsewhere + 9, True, [(Target("u0"), None)]))
         if not call.watching:
             call.stop("")
 
-    def _meet(self, call: ListCall, fate: str) -> None:
-        if fate == "refused":
+    def _apply_outcome(self, call: ListCall, outcome: str) -> None:
+        if outcome == "refused":
             self.wake(self.now + 1.0, lambda now: call.stop("refused"))
-        elif fate == "turned away":
-            call.retry_after_ms, call.rejected = HOUR if self.now < self.reached else 0.0, True
+        elif outcome == "turned away":
+            call.retry_after_ms, call.rejected = HOUR if self.now < self.reachable_at else 0.0, True
             self.wake(self.now + QUEUE, lambda now: call.stop("status 503"))
-        elif fate == "moved":  # it says nothing, and SIGHUP names another service
+        elif outcome == "moved":  # it is not answered, and SIGHUP names another service
             self.wake(self.now + 300.0, self._move)
-        elif fate == "ends":  # a watch that spoke and ended
-            self.wake(self.now + 5.0, lambda now: self._say(call, None))
+        elif outcome == "ends":  # a watch that was answered and ended
+            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
             self.wake(self.now + 9.0, lambda now: call.stop("the watch has ended"))
-        elif fate == "spoke":  # and fell silent
-            self.wake(self.now + 5.0, lambda now: self._say(call, None))
+        elif outcome == "spoke":  # a watch that was answered and then receives nothing
+            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
 
     def play(self) -> float:
-        """ms from when the service could be reached until the list was in force; -inf for no such phase."""
+        """ms from when the service was reachable until the list was in effect; -inf for no such phase."""
         if self.pace is not None:
             self.pace.start(self.now)
             self._plan()
         until = self.now + 60_000.0
         while self.told_at == inf and self.now < until and not self.changed:
             self.pass_time(50.0)
-        return -inf if self.changed else self.told_at - self.reached
+        return -inf if self.changed else self.told_at - self.reachable_at
 
 
-FATES = "refused", "turned away", "says nothing", "moved", "ends"
+OUTCOMES = "refused", "turned away", "says nothing", "moved", "ends"
 
 
 def chains(most: int) -> Iterator[tuple[str, ...]]:
     """Every chain of failures."""
     for n in range(1, most + 1):
-        yield from product(FATES, repeat=n)
+        yield from product(OUTCOMES, repeat=n)
 
 
 def longest(
-    fates: Iterable[tuple[str, ...]],
+    outcomes: Iterable[tuple[str, ...]],
     balancers: int,
     paced: bool,
     answer: float,
     lost: int,
-    stop: float = TOLD,
+    stop: float = NOTIFIED_AFTER,
 ) -> tuple[float, tuple[str, ...], float]:
-    """The longest time to the list over all chains, phases, places and beats, its chain and phase; or the
-    first one over `stop`."""
+    """The longest time (ms) to the list over all chains, phases, places and ticks, with its chain and phase;
+    or the first one over `stop`."""
     found: tuple[float, tuple[str, ...], float] = (0.0, (), 0.0)
-    for chain, place, beat in product(fates, (0.0, 0.5, 0.999), (1.0, 199.0)):
+    for chain, place, beat in product(outcomes, (0.0, 0.5, 0.999), (1.0, 199.0)):
         for phase in count(1.0, STEP):
             world = World(
                 chain, phase, answer, lost, place, beat, paced, balancers=balancers, must_ask_in=30_000.0
             )
             took = world.play()
-            if world.changed or phase > 2 * TOLD:  # the next call begins before; or far too late
+            if world.changed or phase > 2 * NOTIFIED_AFTER:  # the next call begins before; or far too late
                 break
             found = max(found, (took, chain, phase))
-            if phase > TOLD:
+            if phase > NOTIFIED_AFTER:
                 found = max(found, (inf, chain, phase))
             if found[0] > stop:
                 return found
@@ -237,36 +237,36 @@
 
 
 def not_turned_away(most: int) -> list[tuple[str, ...]]:
-    """Every chain of failures at a service that is away, not crowded."""
+    """Every chain of failures at a service that is down, not overloaded."""
     return [chain for chain in chains(most) if "turned away" not in chain]
 
 
-WALKS = {
-    # the service was away: one call more may be turned away after a second, and the next takes 1 s
+SIMULATIONS = {
+    # the service was down: one more call may be rejected after a second, and the next takes 1 s
     "up to 200": ([*not_turned_away(3), *(("spoke", *c) for c in chains(1))], 200, False, 1_000.0, 1),
     "hundreds": ([*not_turned_away(2), *(("spoke", *c) for c in chains(1))], 1_000, False, 1_000.0, 1),
-    # it turned calls away: the next one, once it has time again, takes 1.5 s. That two more may be lost then
-    # asked for the very calls which keep such a service crowded: test_crowded_list_service.py
+    # it rejected calls: the next one, once it has time again, takes 1.5 s. Allowing for two more lost calls
+    # would require the very calls that keep such a service overloaded: test_crowded_list_service.py
     "crowded": (chains(3), 200, False, 1_500.0, 0),
     "crowded, hundreds": (chains(3), 1_000, False, 1_500.0, 0),
-    # with the pace of the operator's file, where a refusal puts the next call off as well
+    # with the pacing of the operator file, where a rejection delays the next call as well
     "paced": ([*chains(2), *(("spoke", *c) for c in chains(1))], 200, True, 500.0, 1),
     "paced, 400": ([*chains(2), *(("spoke", *c) for c in chains(1))], 400, True, 500.0, 0),
-    # counted from when a watch fell silent, which takes 2.5 s to be noticed
+    # counted from when a watch fell silent; detecting that takes 2.5 s
     "silent": ([("spoke",), *((*c, "spoke") for c in chains(1))], 200, False, 500.0, 1),
     "silent, hundreds": ([("spoke",), *((*c, "spoke") for c in chains(1))], 1_000, False, 1_000.0, 0),
     "silent, paced": ([("spoke",), *((*c, "spoke") for c in chains(1))], 400, True, 500.0, 0),
 }
 
 
-@pytest.mark.parametrize("walk", WALKS)
-def test_whatever_went_before_the_list_is_in_force_6_s_after_the_service_could_be_reached(walk):
-    took, chain, phase = longest(*WALKS[walk])
-    assert 3_000.0 < took <= TOLD, (chain, phase)
+@pytest.mark.parametrize("simulation", SIMULATIONS)
+def test_whatever_went_before_the_list_is_in_force_6_s_after_the_service_could_be_reached(simulation):
+    took, chain, phase = longest(*SIMULATIONS[simulation])
+    assert 3_000.0 < took <= NOTIFIED_AFTER, (chain, phase)
 
 
 class Growing(Asking):
-    """The waits up to now: they grow with each failure, and a call that is out is repeated after 4 s."""
+    """Waits that are too long: they grow with each failure, and an open call is repeated after 4 s."""
 
     wait = 500.0
 
@@ -283,24 +283,24 @@
         self.wait = min(2 * self.wait, 7_500.0)
 
 
-class Patient(Asking):
-    """One that waits for its call as long as that is out, whatever it says."""
+class SingleCall(Asking):
+    """A schedule that makes no other call while one is open, answered or not."""
 
     def called(self, now: float, anew: bool = False) -> None:
         super().called(now, anew)
         self.due = inf
 
 
-@pytest.mark.parametrize("waits", [Growing, Patient])
+@pytest.mark.parametrize("waits", [Growing, SingleCall])
 def test_the_walk_finds_waits_that_are_too_long(waits, monkeypatch):
     monkeypatch.setattr("ospreyline.decide.Asking", waits)
     took, _, _ = longest([*chains(5)][-700::3], 200, False, 1_000.0, 2)
-    assert took > TOLD
+    assert took > NOTIFIED_AFTER
 
 
 @pytest.mark.parametrize("kept", [False, True])
 def test_the_walk_finds_a_call_that_loses_its_place_to_the_next_one(kept, monkeypatch):
-    # a service that answers within 2.5 s, in turn: who calls anew in between would start from the end of it
+    # a service that answers within 2.5 s, in turn: a new call in between would join the end of its queue
     def replaced(self, on):
         if self._watch is not None and not self._watch.answered:
             self._end_call(self._watch)
@@ -308,18 +308,18 @@
         Discovery.watch(self, on)
 
     if not kept:
-        monkeypatch.setattr(Calls, "watch", replaced)
+        monkeypatch.setattr(SimulatedDiscovery, "watch", replaced)
     took, _, _ = longest([*chains(1)], 200, False, 2_500.0, 0)
-    assert (took <= TOLD) is kept
+    assert (took <= NOTIFIED_AFTER) is kept
 
 
 def test_a_period_lets_two_or_three_calls_of_any_bank_fit_and_a_bank_calls_no_faster_than_before():
     for balancers in range(1, 3_000):
         period = asking.period_of(balancers, 30_000.0)
         assert 1_400.0 <= period <= 2_200.0 and (period == 1_400.0) == (balancers <= 200)
-        # a small bank is no storm anywhere; hundreds keep to the mean wait that they had grown to
+        # a small bank overloads no service; hundreds call no more often than with grown waits
         assert balancers / period * 1e3 <= max(143.0, balancers / 2.2 + 1e-6)
-    assert asking.period_of(200, 1_000.0) == 400.0  # well before it counts as told of everything
+    assert asking.period_of(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
 
 
 # over loopback
@@ -327,33 +327,33 @@
 
 @pytest.fixture
 def short(monkeypatch):
-    """Periods of 0.3 s, far under the time after which a call counts as silent."""
+    """Periods of 0.3 s, far below the time after which a call times out."""
     monkeypatch.setattr(asking, "MIN_PERIOD_MS", 300.0)
     monkeypatch.setattr(asking, "MAX_PERIOD_MS", 300.0)
     monkeypatch.setattr(asking, "MAX_REJECTED_PERIOD_MS", 600.0)
 
 
-class Mute(Registry):
-    """Discovery that answers calls as the story says, by their number; the rest are watches that stand."""
+class ScriptedRegistry(Registry):
+    """A list service that answers the first calls as given, in order; the rest are watches that stay open."""
 
-    def __init__(self, *fates: bytes) -> None:
+    def __init__(self, *outcomes: bytes) -> None:
         super().__init__()
-        self.fates = list(fates)
-        self.mute: list[asyncio.StreamWriter] = []  # calls that are open and have not been answered
+        self.outcomes = list(outcomes)
+        self.scripted: list[asyncio.StreamWriter] = []  # open calls with a given answer
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.requests) >= len(self.fates):
+        if len(self.requests) >= len(self.outcomes):
             return await super()._serve(reader, writer)
         try:
             self.requests.append(await read_message(reader))
-            writer.write(self.fates[len(self.requests) - 1])
-            self.mute.append(writer)
+            writer.write(self.outcomes[len(self.requests) - 1])
+            self.scripted.append(writer)
             self.changed.set()
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.mute.remove(writer)
+            self.scripted.remove(writer)
             self.changed.set()
             writer.close()
 
@@ -366,79 +366,81 @@
 @pytest.mark.parametrize("paced", [False, True])
 @pytest.mark.parametrize("said", [b"", HEAD, HALF])
 def test_a_call_that_says_nothing_has_another_beside_it(said, paced, short):
-    # it was let be for 2.5 s and then dropped, and only after that was the service called again
-    async def story():
-        registry, peers = Mute(said), (Peer(ok(b"0")), Peer(ok(b"1")))
+    # the next call must not wait until the first one is given up after 2.5 s
+    async def scenario():
+        registry, peers = ScriptedRegistry(said), (Peer(ok(b"0")), Peer(ok(b"1")))
         on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: bool(registry.writers))
-            assert len(registry.mute) == 1  # the first is out yet
+            assert len(registry.scripted) == 1  # the first is still open
             registry.plain = listing(
                 40, target("u0", peers[0].port, state="leaving"), target("u1", peers[1].port), whole=True
             )
             await registry.tell(40, target("u0", peers[0].port, state="leaving"))
             await served_by(service, {b"1"})
-            await registry.until(lambda: not registry.mute)  # who spoke first stays
-            # what was written on the other as it was ended is asked for beside the watch
+            await registry.until(lambda: not registry.scripted)  # the one that was answered first is kept
+            # what was written on the other as it was ended is polled beside the watch
             await registry.until(lambda: len(registry.requests) == 3)
             assert b"?watch=1" not in registry.requests[2][0]
             await registry.tell(41, target("u0", peers[0].port))
             await served_by(service, {b"0", b"1"})
             assert len(registry.requests) == 3
 
-    play(story)
+    play(scenario)
 
 
 def test_of_two_calls_the_earlier_one_may_be_served_first(short):
-    async def story():
-        registry, peers = Mute(b"", b""), (Peer(ok(b"0")), Peer(ok(b"1")))
+    async def scenario():
+        registry, peers = ScriptedRegistry(b"", b""), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry) as service:
-            await registry.until(lambda: len(registry.mute) == 2)
-            registry.mute[0].write(HEAD + chunk(listing(40, target("u0", peers[0].port, state="leaving"))))
+            await registry.until(lambda: len(registry.scripted) == 2)
+            registry.scripted[0].write(
+                HEAD + chunk(listing(40, target("u0", peers[0].port, state="leaving")))
+            )
             await served_by(service, {b"1"})
-            await registry.until(lambda: len(registry.mute) == 1)
-            registry.mute[0].write(chunk(listing(41, target("u0", peers[0].port))))
+            await registry.until(lambda: len(registry.scripted) == 1)
+            registry.scripted[0].write(chunk(listing(41, target("u0", peers[0].port))))
             await served_by(service, {b"0", b"1"})
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("first", [0, 1])
 def test_of_two_calls_one_may_fail(first, short):
-    async def story():
-        registry, peers = Mute(b"", b""), (Peer(ok(b"0")), Peer(ok(b"1")))
+    async def scenario():
+        registry, peers = ScriptedRegistry(b"", b""), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry) as service:
-            await registry.until(lambda: len(registry.mute) == 2)
-            other = registry.mute[1 - first]
-            registry.mute[first].transport.abort()
+            await registry.until(lambda: len(registry.scripted) == 2)
+            other = registry.scripted[1 - first]
+            registry.scripted[first].transport.abort()
             while len(service.turn.discovery._calls) == 2:
                 await asyncio.sleep(0)
             other.write(HEAD + chunk(listing(40, target("u0", peers[0].port, state="leaving"))))
             await served_by(service, {b"1"})
-            assert service.turn.discovery.told_by_watch and other in registry.mute
+            assert service.turn.discovery.told_by_watch and other in registry.scripted
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("paced", [False, True])
 def test_a_service_that_turns_calls_away_is_asked_again_in_time_whatever_it_says(paced, short, monkeypatch):
-    # waits grew with each refusal, and with the pace a call could be put off by as long as the service said
-    async def story():
+    # neither rejections nor, with pacing, the Retry-After header may delay calls for too long
+    async def scenario():
         monkeypatch.setattr(pace, "HONOUR", 400.0)
-        registry, peers = Mute(*[BUSY] * 6), (Peer(ok(b"0")), Peer(ok(b"1")))
+        registry, peers = ScriptedRegistry(*[BUSY] * 6), (Peer(ok(b"0")), Peer(ok(b"1")))
         on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: len(registry.requests) > 6)
             await registry.tell(40, target("u0", peers[0].port, state="leaving"))
             await served_by(service, {b"1"})
 
-    play(story)
+    play(scenario)
 
 
 def test_a_whole_list_that_trickles_keeps_nobody_waiting(short):
-    # a plain call could trickle for 10 s, and who was gone stayed in use
-    async def story():
-        old, new, peers = Registry(), Mute(), (Peer(ok(b"0")), Peer(ok(b"1")))
+    # a poll could trickle for 10 s, while upstreams that are gone stayed in use
+    async def scenario():
+        old, new, peers = Registry(), ScriptedRegistry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         await new.start()
         async with running(*peers, registry=old) as service:
             await old.tell(7)
@@ -447,20 +449,20 @@
             await new.tell(2, target("u0", peers[0].port))
             await settled(new, service, 2)
             slow = new.writers[1]
-            while len(new.writers) < 3:  # it goes on, byte by byte
+            while len(new.writers) < 3:  # the answer trickles in, byte by byte
                 slow.write(chunk(b" "))
                 await asyncio.sleep(0.02)
             assert slow in new.writers and b"watch" not in new.requests[2][0]
             new.writers[2].write(chunk(listing(2, target("u0", peers[0].port), whole=True)) + END)
             await served_by(service, {b"0"})  # u1 is gone
-            await new.until(lambda: new.writers == new.writers[:1])  # the watch alone goes on
+            await new.until(lambda: new.writers == new.writers[:1])  # only the watch stays open
 
-    play(story)
+    play(scenario)
 
 
 def test_an_answer_that_outlives_its_watch_leaves_nobody_unasked(short):
-    # a plain call's answer was taken for the watch's word: the watch had ended, and nobody was asked any more
-    async def story():
+    # if a poll's answer counted as one of the watch, nothing would be called once the watch has ended
+    async def scenario():
         old, new, peers = Registry(), Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         await new.start()
         async with running(*peers, registry=old) as service:
@@ -480,30 +482,30 @@
             await new.tell(3, target("u0", peers[0].port, state="leaving"))
             await served_by(service, {b"1"})
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("paced", [False, True])
 def test_a_service_that_discovery_moved_to_and_that_says_nothing_is_called_again(paced, short):
-    # the move counted as an answer: only when that call had been given up was there another
-    async def story():
-        old, new = Registry(), Mute(b"")
+    # if the move counted as an answer, there would be no other call until that one was given up
+    async def scenario():
+        old, new = Registry(), ScriptedRegistry(b"")
         peers = Peer(ok(b"0")), Peer(ok(b"1"))
         await new.start()
         on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
         async with running(*peers, registry=old, operator=on) as service:
             await old.tell(7)
-            while (service.turn._pace or service.turn.balancer._asking).due < inf:  # it has been told
+            while (service.turn._pace or service.turn.balancer._asking).due < inf:  # until it is answered
                 await asyncio.sleep(0)
             service.reload(lambda: (moved_post(new), on))
-            await new.until(lambda: len(new.mute) == 1)
-            await old.tell(8)  # what the former watch tells says nothing of the new one
+            await new.until(lambda: len(new.scripted) == 1)
+            await old.tell(8)  # updates on the former watch say nothing about the new one
             await new.until(lambda: bool(new.writers))
-            assert len(new.mute) == 1
+            assert len(new.scripted) == 1
             await new.tell(2, target("u1", peers[1].port), whole=True)
             await served_by(service, {b"1"})
 
-    play(story)
+    play(scenario)
 
 
 def moved_post(registry: Registry) -> facts.Post:
@@ -511,7 +513,7 @@
 
 
 def test_one_that_was_spared_by_others_asks_in_time_once_they_are_gone():
-    # its own call was as rare as the rule allows, up to 22 s, and a failure before kept it from haste
+    # its own call may be up to 22 s away, as rare as the rule allows, and an earlier failure must not matter
     rare = Pace(150, 200, 250.0, 30_000.0)
     rare.start(0.0)
     for _ in range(3):
@@ -521,15 +523,15 @@
     assert rare.due - now > 20_000.0
     rare.hasten(now + 5_000.0)
     assert rare.due - now <= 5_000.0 + rare.period
-    rare.hasten(now + 5_100.0)  # whoever says so again puts nothing off
+    rare.hasten(now + 5_100.0)  # a repetition delays nothing
     assert rare.due - now <= 5_000.0 + rare.period
 
 
 def test_a_bank_says_when_nobody_asks_for_us_any_more(monkeypatch):
-    async def story():
+    async def scenario():
         stand, hastened = await Stand("a").start(), []
         stand.bank._hasten = lambda: hastened.append(1)
-        stand.bank.lists._begun = -inf  # it has long begun, and hears nobody
+        stand.bank.lists._begun = -inf  # it started long ago, and receives nothing
         stand.bank._alone, asks = True, [True]
         monkeypatch.setattr(Lists, "asked_for_us", lambda self, now: asks[0])
         monkeypatch.setattr(Lists, "tick", lambda self, now: None)
@@ -542,24 +544,24 @@
         assert hastened == [1]
         stand.bank.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_there_is_never_a_period_without_a_call_while_nobody_has_told_us():
-    # a balancer cannot know since when it counts as told of something: it may be at any time, so it asks all
-    # the time; nothing is left for a time at which it would have to begin. A call that waits has another
-    # beside it after 2.2 s, not before, and a service that turns calls away is called ever later, to 4.2 s
+    # a balancer cannot know when a change counts as received, so it keeps calling without longer pauses. A
+    # call that waits gets another one beside it after 2.2 s, not before; the interval between rejected calls
+    # grows up to 4.2 s
     most = {"says nothing": 2_200.0, "turned away": 4_200.0}
-    for fate in FATES:
-        world = World((fate,) * 40, 1.0, 500.0, 0, 0.5, 1.0, False, balancers=200, must_ask_in=30_000.0)
+    for outcome in OUTCOMES:
+        world = World((outcome,) * 40, 1.0, 500.0, 0, 0.5, 1.0, False, balancers=200, must_ask_in=30_000.0)
         world.play()
         gaps = [b - a for a, b in zip(world.begins, world.begins[1:], strict=False)]
-        assert len(gaps) >= 12 and max(gaps) <= most.get(fate, 1_400.0) + 200.0, fate
-        assert fate not in most or sorted(gaps)[1] >= 2_200.0, fate
+        assert len(gaps) >= 12 and max(gaps) <= most.get(outcome, 1_400.0) + 200.0, outcome
+        assert outcome not in most or sorted(gaps)[1] >= 2_200.0, outcome
 
 
 def test_a_long_list_is_in_force_in_the_turn_in_which_it_was_read():
-    async def story():
+    async def scenario():
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry) as service:
             client = await caller(service)
@@ -568,7 +570,7 @@
             await registry.tell(40, *others, target("u1", peers[1].port), last, whole=True)
             while service.turn.discovery.rev != 40:
                 await asyncio.sleep(0)
-            # a request that is read in the same pass is decided by the new list
+            # a request that is read in the same event batch is decided by the new list
             assert {(await client.ask(request()))[2] for _ in range(8)} == {b"1"}
 
-    play(story)
+    play(scenario)
