--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -13,10 +13,10 @@
 from ospreyline.capacity.size import Size
 from ospreyline.capacity.slopes import Slope
 from ospreyline.decide import SHARED_BY, USED
-from ospreyline.fleet.frames import MOST
+from ospreyline.fleet.frames import MAX_MESSAGE_BYTES
 from ospreyline.fleet.links import MOST_LINKS
 from ospreyline.fleet.lists import BEAT, SOURCES
-from ospreyline.fleet.members import MOST_MEMBERS
+from ospreyline.fleet.members import MAX_MEMBERS
 from ospreyline.fleet.publisher import MOST_SUBSCRIBERS
 from ospreyline.net.list_call import MOST_LINE
 
@@ -164,7 +164,7 @@
         "state: members",
         "members",
         counted("fleet/members", s.balancers),
-        budget=MOST_MEMBERS,
+        budget=MAX_MEMBERS,
         name="members kept",
     )
     t.add(
@@ -283,7 +283,7 @@
         "state: the list in one frame",
         "bytes",
         t.part("fleet/lists", "list_bytes", s.upstreams),
-        budget=MOST,
+        budget=MAX_MESSAGE_BYTES,
         name="longest frame that is read",
     )
     t.add(FLAT, role, "messages", "a second", counted("fleet/lists, beats and changes", words))
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -22,18 +22,18 @@
     SUSPECT,
     Entry,
     Hint,
-    Listen,
     Message,
-    Passed,
     Pulse,
+    RelayedList,
+    RelaySubscribe,
+    RelayUnavailable,
     Say,
     Sit,
 )
-from ospreyline.fleet.frames import Deaf as DeafMessage
 from ospreyline.fleet.kept import write
 from ospreyline.fleet.links import Links
 from ospreyline.fleet.lists import Lists, News
-from ospreyline.fleet.members import Members, State
+from ospreyline.fleet.members import STATE_NAMES, Members
 from ospreyline.fleet.takeover import Takeover
 
 LOOK = 0.05  # s between two looks at what is due
@@ -107,7 +107,9 @@
         found = await self.links.listen(at)
         if not self._on.address:
             me = self.members.me
-            self.members.me = Entry(me.name, "{}:{}".format(*found), me.zone, me.start, me.bumps, me.state)
+            self.members.me = Entry(
+                me.name, "{}:{}".format(*found), me.zone, me.start, me.incarnation, me.state
+            )
         self._log.info("fleet listens", bank=self._on.bank, listen="{}:{}".format(*found))
         self._look()
 
@@ -128,7 +130,7 @@
                 self._hasten()
         wanted = set(self.members.neighbours) | set(self.lists.sources if self.lists else ())
         if self.takeover is not None:
-            hears, of = self.members.hears()
+            hears, of = self.members.reachability()
             self.takeover.meeting = hears < of
             self.takeover.tick(now)
             wanted.update(self.takeover.links())
@@ -141,7 +143,7 @@
     def carry_out(self) -> None:
         """What the pure modules want sent and said."""
         out, self.members.out = self.members.out, []
-        news, self.members.news = self.members.news, []
+        news, self.members.changes = self.members.changes, []
         if self.lists is not None:
             out += self.lists.out
             self.lists.out = []
@@ -154,13 +156,13 @@
             self.links.send(name, facts.address(self.members.address(name)), message)
         for entry, before in news:
             if entry.state >= SUSPECT or before > ALIVE:
-                self._log.info("member", peer=entry.name, state=State[entry.state], zone=entry.zone)
+                self._log.info("member", peer=entry.name, state=STATE_NAMES[entry.state], zone=entry.zone)
         if news:
             self._roles()
             if self.takeover is not None:
                 self._covers(self.takeover, news)
         # guards: a bank that starts changes it with each member
-        if self._now() >= self._said_at and (hears := self.members.hears()) != self._hears:
+        if self._now() >= self._said_at and (hears := self.members.reachability()) != self._hears:
             self._hears, self._said_at = hears, self._now() + 1e3 * STATUS
             self._log.info("fleet", hears=hears[0], of=hears[1], words=words(*hears))
         if self.takeover is not None and self._now() >= self._said_at:
@@ -202,7 +204,7 @@
         self.members.linked_to(now, entry.name)
         if self.takeover is not None:
             self.takeover.linked(now, entry.name)
-        self.members.greeted(now, entry, wanted)
+        self.members.hello_received(now, entry, wanted)
         self.carry_out()
 
     def _heard(self, name: str, message: Message) -> None:
@@ -212,13 +214,13 @@
                 self.takeover.heard(now, name, message)
         elif isinstance(message, Hint):
             self._hinted(message.body)
-        elif isinstance(message, Listen | Passed | DeafMessage):
+        elif isinstance(message, RelaySubscribe | RelayedList | RelayUnavailable):
             if self.lists is not None:
                 news = self.lists.heard(now, name, message)
                 if news is not None:
                     self._listed(news)
         else:
-            self.members.heard(now, name, message)
+            self.members.receive(now, name, message)
         self.carry_out()
 
     def _lost(self, name: str) -> None:
@@ -267,7 +269,7 @@
 
     def counts(self) -> dict[str, Any]:
         """For the line of counts."""
-        hears, of = self.members.hears()
+        hears, of = self.members.reachability()
         return {
             "fleet_hears": hears,
             "fleet_of": of,
@@ -287,7 +289,7 @@
     # status
 
     def status(self) -> dict[str, Any]:
-        hears, of = self.members.hears()
+        hears, of = self.members.reachability()
         now = self._now()
         return {
             "name": self.members.me.name,
@@ -297,7 +299,7 @@
             "of": of,
             "words": words(hears, of),
             "superseded": self.members.superseded,
-            "doubt": self.members.doubt,
+            "doubt": self.members.health_score,
             "neighbours": self.members.neighbours,
             "linked": sorted(self.links.by_name),
             "passes_the_list_on": bool(self.lists and self.lists.passing),
@@ -310,8 +312,8 @@
                     "name": n,
                     "address": m.entry.address,
                     "zone": m.entry.zone,
-                    "state": State[m.entry.state],
-                    "for_s": round((now - m.since) / 1e3, 1),
+                    "state": STATE_NAMES[m.entry.state],
+                    "for_s": round((now - m.state_since) / 1e3, 1),
                 }
                 for n, m in sorted(self.members.members.items())
             ],
--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -1,8 +1,10 @@
-"""What balancers of one bank say to one another, and its form on the wire. Pure: messages to bytes and back.
+"""Messages that the balancers of one bank exchange, and their wire format. Pure: messages to bytes and back.
 
-A frame is a head (mark, version, length, checksum) and one message in MessagePack, a map with a tag. A reader
-passes over fields that it does not know, so versions that differ by one understand each other; anything else
-that cannot be read ends the link that it came on (`FrameError`) and nothing more.
+A frame is a header (magic bytes, version, length, checksum) and one message in MessagePack, a map with a tag.
+A reader ignores unknown fields, so versions that differ by one are compatible; anything else that cannot be
+decoded closes the link that it came on (`FrameError`) and has no other effect.
+
+Membership messages are those of SWIM. `msgspec.field(name=...)` keeps the encoded name of an attribute.
 """
 
 from __future__ import annotations
@@ -13,29 +15,29 @@
 import msgspec
 
 VERSION = 3
-MOST = 1 << 20  # bytes of a message
-HEAD = Struct(">2sBxII")  # mark, version, length, checksum
-MARK = b"os"
+MAX_MESSAGE_BYTES = 1 << 20
+HEAD = Struct(">2sBxII")  # magic, version, length, checksum
+MAGIC = b"os"
 
 
 class FrameError(ValueError):
-    """What came is no frame of ours; the link that it came on ends."""
+    """The bytes received are not a valid frame; the link that they came on is closed."""
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a member. `start` tells its process, `bumps` how often that one has refuted."""
+    """The known state of one member."""
 
     name: str
     address: str  # host:port
     zone: str
-    start: int  # Unix time in ms at which the process began
-    bumps: int
+    start: int  # Unix time in ms at which the process started; tells a restarted process from the one before
+    incarnation: int = msgspec.field(name="bumps")  # raised by the member each time it refutes a suspicion
     state: int  # ALIVE, SUSPECT, DEAD or LEFT
 
     @property
-    def order(self) -> tuple[int, int, int]:
-        """News with a greater one wins."""
-        return self.start, self.bumps, self.state
+    def precedence(self) -> tuple[int, int, int]:
+        """Of two entries of a member the one with the greater precedence is newer and wins."""
+        return self.start, self.incarnation, self.state
 
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
@@ -46,122 +48,127 @@
 
 
 class Hello(_Message, tag="h", kw_only=True):
-    """The first on a link, from both sides."""
+    """The first message on a link, from both sides."""
 
     bank: str
-    me: Entry
-    to: str  # the name that was dialled; empty on the answer
+    sender: Entry = msgspec.field(name="me")
+    to: str  # the name that was dialled; empty in the answer
     version: int = VERSION
 
 
-class Ask(_Message, tag="a", kw_only=True):
-    """Are you there? Answered by `Here` with the same number."""
+class Ping(_Message, tag="a", kw_only=True):
+    """Checks that the receiver is alive; answered by an `Ack` with the same sequence number."""
+
+    sequence: int = msgspec.field(name="number")
+    updates: list[Entry] = msgspec.field(default_factory=list, name="news")
 
-    number: int
-    news: list[Entry] = []
 
+class Ack(_Message, tag="y", kw_only=True):
+    """Answers a `Ping` or a `PingReq`."""
 
-class Here(_Message, tag="y", kw_only=True):
-    number: int
-    news: list[Entry] = []
+    sequence: int = msgspec.field(name="number")
+    updates: list[Entry] = msgspec.field(default_factory=list, name="news")
 
 
-class AskFor(_Message, tag="f", kw_only=True):
-    """Ask another for me, over a link of your own; answered by `Here` if it was there."""
+class PingReq(_Message, tag="f", kw_only=True):
+    """Asks the receiver to ping `target` over its own link; answered by an `Ack` if the target answered."""
 
-    number: int
-    whom: Entry
-    news: list[Entry] = []
+    sequence: int = msgspec.field(name="number")
+    target: Entry = msgspec.field(name="whom")
+    updates: list[Entry] = msgspec.field(default_factory=list, name="news")
 
 
-class Tell(_Message, tag="n", kw_only=True):
-    """News of members, as soon as it is known."""
+class Gossip(_Message, tag="n", kw_only=True):
+    """Member updates, sent soon after they become known."""
 
-    news: list[Entry] = []
+    updates: list[Entry] = msgspec.field(default_factory=list, name="news")
 
 
-class Whole(_Message, tag="w", kw_only=True):
-    """All that is known of all members, after a hello; `wanted` asks for the same back."""
+class StateSync(_Message, tag="w", kw_only=True):
+    """The entries of all known members, sent after a hello; `reply_wanted` asks for the same in return."""
 
-    news: list[Entry] = []
-    wanted: bool = False
+    updates: list[Entry] = msgspec.field(default_factory=list, name="news")
+    reply_wanted: bool = msgspec.field(default=False, name="wanted")
 
 
 class Hint(_Message, tag="t", kw_only=True):
-    """A hint of the decision module, for its like."""
+    """An opaque hint from the decision module of one balancer to that of another."""
 
     body: bytes
 
 
-class Listen(_Message, tag="l", kw_only=True):
-    """Pass the list on to me; I have this version."""
+class RelaySubscribe(_Message, tag="l", kw_only=True):
+    """Asks a relay to forward the upstream list; the sender has version `rev`."""
 
     rev: int
 
 
-class Passed(_Message, tag="p", kw_only=True):
-    """The list, or what changed since a version, as the list service said it to the one who passes it on."""
+class RelayedList(_Message, tag="p", kw_only=True):
+    """The upstream list, or its changes since a version, as the relay received it from the list service."""
 
     rev: int
-    since: int  # -1: the whole list
-    targets: list[bytes]  # entries in discovery's form
-    age: float  # ms since the service last said something to it
+    since: int  # version that the changes apply to; -1: the whole list
+    targets: list[bytes]  # JSON entries as the list service sends them
+    age: float  # ms since the relay last received something from the service
 
 
-class Deaf(_Message, tag="d", kw_only=True):
-    """I pass nothing on now: ask another, or the service."""
+class RelayUnavailable(_Message, tag="d", kw_only=True):
+    """The sender forwards nothing at present: use another relay, or the list service."""
 
-    asks: bool = False  # I am among those that pass on, and ask the service until it speaks
+    polling: bool = msgspec.field(
+        default=False, name="asks"
+    )  # a relay that calls the service until it answers
 
 
 class Sit(_Message, tag="s", kw_only=True):
-    """I guard what you have in hand: words on this link name this session. Said when it begins."""
+    """Opens an acceptor session: the sender stores takeover records of the receiver, whose messages on this
+    link name this session."""
 
     session: int
 
 
 class Pulse(_Message, tag="u", kw_only=True):
-    """Are you there? Between those that guard for one another; answered by the same with `back`."""
+    """Heartbeat between an owner of visits and its acceptors; answered by the same with `back` set."""
 
     back: bool = False
 
 
-Ballot = tuple[int, str]  # round, and who; an owner's is (0, name)
+Ballot = tuple[int, str]  # (round, proposer); the owner of a visit has (0, name)
 NOBODY: Ballot = (-1, "")
-# a backend fetch that may have been written: whose, its number, zone, cell, ms since it was recorded
+# a backend fetch that may have been sent: ballot, fetch number, zone, cell, ms since it was recorded
 Permit = tuple[Ballot, int, str, int, float]
 
 
 class Say(msgspec.Struct, frozen=True, tag_field="k", tag="g", omit_defaults=True):
-    """One word between who has a visit in hand and a guardian of it."""
+    """A takeover message between the proposer of a visit (its owner or a successor) and an acceptor."""
 
-    what: str  # register, permit, claim, answer; and back: yes, no
-    work: str
+    what: str  # request: register, permit, claim or answer; reply: yes or no
+    work: str  # id of the takeover record
     ballot: Ballot
-    session: int = 0  # of the link, as its guardian gave it out
-    to: str = ""  # the guardian, or who is answered
-    by: str = ""
+    session: int = 0  # of the link, as its acceptor announced it
+    to: str = ""  # the receiver: an acceptor, or the proposer that is answered
+    by: str = ""  # the sender
     body: bytes = b""
     permits: tuple[Permit, ...] = ()
     promised: Ballot = (0, "")
-    about: str = ""  # of yes and no: what they answer
-    guards: tuple[str, ...] = ()  # as the owner named them; empty in an answer: the visit is not known
+    about: str = ""  # of a reply: the kind of request that it answers
+    guards: tuple[str, ...] = ()  # acceptors as the owner chose them; empty in a reply: the visit is unknown
     answered: bool = False
-    number: int = 0  # of the fetch that is to be permitted
-    zone: str = ""  # where it goes
+    number: int = 0  # of the fetch that the grant is for
+    zone: str = ""  # destination of the fetch
     cell: int = 0
-    left: float = 0.0  # ms that the client still waits
-    serial: int = 0  # of a registration among those of its link: one that came before is never taken again
-    here: bool = False  # of an answer: who has a permit is linked to the guardian
-    closed: Ballot = NOBODY  # of an answer: nothing of this ballot and those before it runs any more
+    left: float = 0.0  # ms until the client gives up
+    serial: int = 0  # of a registration on its link; one not greater than the last is refused
+    here: bool = False  # of a reply: the holder of a grant is linked to the acceptor
+    closed: Ballot = NOBODY  # of a reply: nothing runs any more under this ballot or earlier ones
 
 
-# a scope as a subscriber holds it: its name, epoch and number of its version, digest of what is in it
+# version of a scope that a subscriber has: (name, epoch, number, digest of its contents)
 Named = tuple[str, int, int, int]
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A route or an upstream of a scope, as of number `n`; `told`: ms since the source said it leaves."""
+    """A route or an upstream of a scope, as of version `n`; `told`: ms since the source said it drains."""
 
     key: str
     n: int
@@ -171,38 +178,40 @@
 
 
 class Subscribe(_Message, tag="b", kw_only=True):
-    """Tell me of these scopes from now on; this is what I have of them."""
+    """Subscribes to scopes, and says which versions of them the subscriber has."""
 
-    session: int  # of the subscriber with this publisher; a later one is greater
-    edition: int  # of what is wanted: the next one adds and drops, or names all anew (`whole`)
+    session: int  # of the subscriber with this publisher; grows with each session
+    edition: int  # of the set of scopes; the next one adds and removes scopes, or lists all again (`whole`)
     at: float  # ms on the subscriber's clock
-    rate: int  # bytes a second that it takes
+    rate: int  # bytes per second that the subscriber accepts
     scopes: list[Named] = []
     drop: list[str] = []
     whole: bool = False
-    more: bool = False  # the next edition goes on with the names
-    everything: bool = False  # all scopes, the ones to come as well
-    seen: int = 0  # the greatest epoch of which it has heard
+    more: bool = False  # the list of scopes continues in the next edition
+    everything: bool = False  # all scopes, also those created later
+    seen: int = 0  # greatest epoch that the subscriber knows of
 
 
 class Unsubscribe(_Message, tag="q", kw_only=True):
+    """Ends a subscription."""
+
     session: int
 
 
 class Got(_Message, tag="o", kw_only=True):
-    """What came, and that I am here."""
+    """Acknowledges changes, and is the heartbeat of a subscriber."""
 
     session: int
     edition: int
     at: float
-    holds: int = 0  # digest of all versions that are held
-    scopes: list[Named] = []  # as they are now, of those that something came for
-    answer: bool = True  # by `Told`
+    holds: int = 0  # digest of the versions of all scopes that the subscriber has
+    scopes: list[Named] = []  # current versions of the scopes that changes were received for
+    answer: bool = True  # whether a `Told` is requested
     seen: int = 0
 
 
 class Change(_Message, tag="c", kw_only=True):
-    """A scope's newest state: what changed since a version, or all of it (`since` is 0, 0)."""
+    """The newest version of a scope: its changes since a version, or all of it (`since` is 0, 0)."""
 
     session: int
     scope: str
@@ -210,40 +219,40 @@
     n: int
     since: tuple[int, int] = (0, 0)
     items: list[Item] = []
-    digest: int = 0  # of the scope as it is then
-    gone: bool = False  # the scope is no more
-    drains: bool = False  # ahead of the rest: these leave, whatever else is still to be told
+    digest: int = 0  # of the scope at the new version
+    gone: bool = False  # the scope was removed
+    drains: bool = False  # sent before other pending changes: these items are draining
     part: int = 0
     parts: int = 1
-    echo: float = 0.0  # the latest `at` that came from the subscriber
+    echo: float = 0.0  # latest `at` received from the subscriber
 
 
 class Told(_Message, tag="r", kw_only=True):
-    """Answers `Got`: how old what the subscriber holds is."""
+    """Answers `Got`: the age of the data that the subscriber has."""
 
     session: int
     edition: int
     echo: float
-    age: float = -1.0  # ms; all that it said to hold was the source's state then or later; -1: not known
-    own: float = -1.0  # the same of what the publisher holds itself
-    clean: bool = False  # nothing is to be told now
-    epoch: int = 0  # the publisher knows all up to this version
+    age: float = -1.0  # ms; all versions in the `Got` were current at the source then or later; -1: unknown
+    own: float = -1.0  # likewise for the data of the publisher itself
+    clean: bool = False  # no changes are pending
+    epoch: int = 0  # the publisher has all changes up to this version
     n: int = 0
-    again: bool = False  # name all that you want and hold
-    full: bool = False  # ask another
+    again: bool = False  # the subscriber is to list all its scopes and versions again
+    full: bool = False  # the publisher is full: use another one
 
 
 Message = (
     Hello
-    | Ask
-    | Here
-    | AskFor
-    | Tell
-    | Whole
+    | Ping
+    | Ack
+    | PingReq
+    | Gossip
+    | StateSync
     | Hint
-    | Listen
-    | Passed
-    | Deaf
+    | RelaySubscribe
+    | RelayedList
+    | RelayUnavailable
     | Sit
     | Pulse
     | Say
@@ -258,42 +267,42 @@
 
 
 def encode(message: Message) -> bytes:
-    """One frame."""
+    """The message as one frame."""
     body = _ENCODER.encode(message)
-    return HEAD.pack(MARK, VERSION, len(body), crc32(body)) + body
+    return HEAD.pack(MAGIC, VERSION, len(body), crc32(body)) + body
 
 
 class Reader:
-    """Takes bytes of one link as they come; `feed` gives the whole messages among them."""
+    """Incremental decoder of the byte stream of one link."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._rest = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole now; `FrameError` at what is none of ours."""
-        rest = self._rest
-        rest += data
-        out: list[Message] = []
-        while len(rest) >= HEAD.size:
-            mark, version, length, checksum = HEAD.unpack_from(rest)
-            if mark != MARK:
-                raise FrameError("no frame of a balancer")
+        """Adds received bytes; returns the messages that are complete now. `FrameError` at invalid bytes."""
+        buffer = self._buffer
+        buffer += data
+        messages: list[Message] = []
+        while len(buffer) >= HEAD.size:
+            magic, version, length, checksum = HEAD.unpack_from(buffer)
+            if magic != MAGIC:
+                raise FrameError("not a balancer frame")
             if abs(version - VERSION) > 1:
-                raise FrameError(f"version {version}, ours is {VERSION}")
-            if length > MOST:
-                raise FrameError(f"a message of {length} bytes, {MOST} is the most")
-            if len(rest) < HEAD.size + length:
+                raise FrameError(f"unsupported protocol version {version}, ours is {VERSION}")
+            if length > MAX_MESSAGE_BYTES:
+                raise FrameError(f"message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")
+            if len(buffer) < HEAD.size + length:
                 break
-            body = bytes(rest[HEAD.size : HEAD.size + length])
-            del rest[: HEAD.size + length]
+            body = bytes(buffer[HEAD.size : HEAD.size + length])
+            del buffer[: HEAD.size + length]
             if crc32(body) != checksum:
-                raise FrameError("a wrong checksum")
+                raise FrameError("checksum mismatch")
             try:
-                out.append(_DECODER.decode(body))
+                messages.append(_DECODER.decode(body))
             except (msgspec.MsgspecError, RecursionError) as error:
                 if version == VERSION:
-                    raise FrameError(f"unreadable: {error}") from error
-                continue  # a kind of message that only the other version knows
-        return out
+                    raise FrameError(f"cannot decode message: {error}") from error
+                continue  # a message type that only the other version has
+        return messages
--- a/ospreyline/fleet/links.py
+++ b/ospreyline/fleet/links.py
@@ -48,7 +48,7 @@
             self.close("too many links")
         elif self.dialled:
             to = ANYBODY if self.name.startswith(ANYBODY) else self.name
-            self.write(Hello(bank=self.links.bank, me=self.links.me(), to=to))
+            self.write(Hello(bank=self.links.bank, sender=self.links.me(), to=to))
 
     def data_received(self, data: bytes) -> None:
         now = self.heard = self.links.loop.time()
@@ -77,20 +77,20 @@
         me = self.links.me()
         if message.bank != self.links.bank:
             return self.close(f"of another bank, {message.bank[:40]!r}")
-        if message.me.name == me.name:
-            if message.me.start == me.start and self.name.startswith(ANYBODY):
+        if message.sender.name == me.name:
+            if message.sender.start == me.start and self.name.startswith(ANYBODY):
                 return self.close("")  # an address of our own, among those that are watched
-            self.links.namesake(message.me)
+            self.links.namesake(message.sender)
             return self.close("under our own name")
-        if self.dialled and message.me.name != self.name and not self.name.startswith(ANYBODY):
-            return self.close(f"another member than was dialled, {message.me.name[:40]!r}")
+        if self.dialled and message.sender.name != self.name and not self.name.startswith(ANYBODY):
+            return self.close(f"another member than was dialled, {message.sender.name[:40]!r}")
         if not self.dialled:
             if message.to not in (me.name, ANYBODY):
                 return self.close(f"dialled for {message.to[:40]!r}")
-            self.write(Hello(bank=self.links.bank, me=me, to=""))
-        called, self.name = self.name, message.me.name
+            self.write(Hello(bank=self.links.bank, sender=me, to=""))
+        called, self.name = self.name, message.sender.name
         self.greeted = True
-        self.links.greeted(self, message.me, called)
+        self.links.greeted(self, message.sender, called)
 
     def write(self, message: Message) -> None:
         """Send, or let it wait; beyond the bound the oldest of its kind goes, then the oldest of all."""
--- a/ospreyline/fleet/lists.py
+++ b/ospreyline/fleet/lists.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from ospreyline.fleet.frames import Deaf, Listen, Message, Passed
+from ospreyline.fleet.frames import Message, RelayedList, RelaySubscribe, RelayUnavailable
 
 PASSERS = 2  # of a zone
 SOURCES = 2  # that one listens to
@@ -130,7 +130,7 @@
         for name in self.sources:
             if now - self._heard.get(name, -inf) > FRESH and now - self._asked.get(name, -inf) > AGAIN:
                 self._asked[name] = now
-                self.out.append((name, Listen(rev=self.rev)))
+                self.out.append((name, RelaySubscribe(rev=self.rev)))
         if now >= self._beat_at:
             self._beat_at = now + BEAT
             speaks = self._speaks(now)
@@ -138,7 +138,7 @@
                 if speaks:
                     self._pass(now, name, rev)
                 else:
-                    self.out.append((name, Deaf(asks=True)))
+                    self.out.append((name, RelayUnavailable(polling=True)))
 
     def _speaks(self, now: float) -> bool:
         """Whether we may pass on: the service itself has spoken to us of late."""
@@ -158,7 +158,7 @@
         for name, had in list(self._listeners.items()):
             if had == since or since < 0:
                 self._listeners[name] = rev
-                self.out.append((name, Passed(rev=rev, since=since, targets=changed, age=0.0)))
+                self.out.append((name, RelayedList(rev=rev, since=since, targets=changed, age=0.0)))
             else:
                 self._pass(now, name, had)
 
@@ -167,39 +167,39 @@
         if self._watching:
             self._watching = False
             for name in self._listeners:
-                self.out.append((name, Deaf(asks=self.passing)))
+                self.out.append((name, RelayUnavailable(polling=self.passing)))
 
     def _pass(self, now: float, name: str, had: int) -> None:
         """The whole list, or that nothing has changed."""
         age = now - self._service_at
         if had == self.rev:
-            self.out.append((name, Passed(rev=self.rev, since=had, targets=[], age=age)))
+            self.out.append((name, RelayedList(rev=self.rev, since=had, targets=[], age=age)))
         else:
             self._listeners[name] = self.rev
             whole = list(self._entries.values())
-            self.out.append((name, Passed(rev=self.rev, since=-1, targets=whole, age=age)))
+            self.out.append((name, RelayedList(rev=self.rev, since=-1, targets=whole, age=age)))
 
     # others
 
     def heard(self, now: float, name: str, message: Message) -> News | None:
         """A message of another member; what the list is to become by it, if anything."""
-        if isinstance(message, Listen):
+        if isinstance(message, RelaySubscribe):
             if len(self._listeners) < MOST_LISTENERS or name in self._listeners:
                 self._listeners[name] = message.rev
                 if self._speaks(now):
                     self._pass(now, name, message.rev)
                 else:
-                    self.out.append((name, Deaf(asks=self.passing)))
-        elif isinstance(message, Deaf):
+                    self.out.append((name, RelayUnavailable(polling=self.passing)))
+        elif isinstance(message, RelayUnavailable):
             self._heard.pop(name, None)
             self._trying.pop(name, None)
-            if message.asks and name in self.sources:
+            if message.polling and name in self.sources:
                 self._trying[name] = now
-        elif isinstance(message, Passed):
+        elif isinstance(message, RelayedList):
             return self._take(now, name, message)
         return None
 
-    def _take(self, now: float, name: str, message: Passed) -> News | None:
+    def _take(self, now: float, name: str, message: RelayedList) -> News | None:
         if name not in self.sources or not 0 <= message.age < FRESH:
             self.ignored += 1
             return None
@@ -210,7 +210,9 @@
         whole = message.since < 0
         if not whole and message.since != self.rev:
             self._asked[name] = now
-            self.out.append((name, Listen(rev=self.rev)))  # something is missing between: all of it, please
+            self.out.append(
+                (name, RelaySubscribe(rev=self.rev))
+            )  # something is missing between: all of it, please
             return None
         try:
             read = [
--- a/ospreyline/fleet/members.py
+++ b/ospreyline/fleet/members.py
@@ -1,13 +1,14 @@
-"""Who is in the bank, as one balancer knows it: suspicion before death, refuted by a higher incarnation.
+"""Membership of the bank as one balancer knows it: SWIM with suspicion, refutation and local health.
 
-Pure: time and messages in, messages and news out; the service, the laboratory's clock and tests drive it
-alike. Styled after what is published of SWIM and of Lifeguard's local health. A member is watched by those
-that chose it as a neighbour: its `NEXT` predecessors in a ring that is the same everywhere, and `FAR` others
-by chance. Each asks its neighbours once a period; one that is silent is asked through others, then suspected,
-then dead. News is passed on at once to all links, a bounded number a time; what a member hears of itself that
-is not so it refutes. One that was stopped, or fails to hear many, doubts itself first.
+Pure: times and messages in, messages and membership changes out; the service, the simulator's clock and tests
+all drive it. Based on the papers on SWIM and Lifeguard. A member is monitored by those that chose it as a
+neighbour: its `RING_NEIGHBOURS` predecessors in a ring that is the same for all, and `RANDOM_NEIGHBOURS`
+others at random. Each pings its neighbours once a period; one that does not answer is pinged through others,
+then suspected, then declared dead. Updates are gossiped at once over all links, a bounded number per message;
+a member refutes wrong updates about itself. One that was stalled, or gets no answer from many, first assumes
+that it is unhealthy itself, and suspects others later.
 
-What is said here is a hint to everything else: no rule rests on it. docs/fleet.md has the promises.
+The result is a hint to all other modules: no rule depends on it. docs/fleet.md has the guarantees.
 """
 
 from __future__ import annotations
@@ -17,42 +18,54 @@
 from hashlib import blake2b
 from math import inf
 
-from ospreyline.fleet.frames import ALIVE, DEAD, LEFT, SUSPECT, Ask, AskFor, Entry, Here, Message, Tell, Whole
-
-PERIOD = 1_000.0  # ms between two asks of a neighbour
-ANSWER = 300.0  # ms in which it has to answer; then others are asked to ask it
-THROUGH = 3  # others that are asked to
-SUSPECTED = 1_600.0  # ms from suspicion to death, in which it can refute
-NEXT, FAR = 3, 3  # neighbours: in the ring, and by chance
-MOST_NEWS = 32  # entries in a message
-FLUSH = 30.0  # ms for which news is gathered before it is passed on
-UNHEARD = 3_000.0  # ms without a word of a neighbour after which it does not count as heard
-KNOCK = 2_000.0  # ms between two tries at somebody who is not there
-FORGET = 120_000.0  # ms after which one that has gone is forgotten
-MOST_MEMBERS = 4_096  # that are kept in mind, whatever others say
-AT_ONCE = 3  # addresses of a watched range that are tried together while nobody is known
-MOST_DOUBT = 6  # of itself: times are as many times longer, and one more
-STOPPED = 1_500.0  # ms between two looks that mean that this process stood still
-
-State = {ALIVE: "alive", SUSPECT: "suspected", DEAD: "dead", LEFT: "left"}
+from ospreyline.fleet.frames import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    Ack,
+    Entry,
+    Gossip,
+    Message,
+    Ping,
+    PingReq,
+    StateSync,
+)
+
+PING_PERIOD_MS = 1_000.0  # between two pings of a neighbour
+PING_TIMEOUT_MS = 300.0  # after it the neighbour is pinged through others
+INDIRECT_PINGS = 3  # members that are asked to ping one that did not answer
+SUSPICION_MS = 1_600.0  # from suspicion to death, in which the member can refute
+RING_NEIGHBOURS, RANDOM_NEIGHBOURS = 3, 3
+MAX_UPDATES_PER_MESSAGE = 32
+GOSSIP_DELAY_MS = 30.0  # in which updates are collected before they are sent
+UNHEARD_AFTER_MS = 3_000.0  # without a message from a neighbour it no longer counts as reachable
+DIAL_PERIOD_MS = 2_000.0  # between two attempts to reach a dead or unmet member
+REMOVE_AFTER_MS = 120_000.0  # after it a dead or left member is removed
+MAX_MEMBERS = 4_096  # that are stored, whatever others report
+DIALS_WHILE_ALONE = 3  # candidate addresses that are dialled together while no member is known
+MAX_HEALTH_SCORE = 6  # ping timeouts are multiplied by the score plus one
+STALLED_AFTER_MS = 1_500.0  # between two ticks: the process was stalled
+
+STATE_NAMES = {ALIVE: "alive", SUSPECT: "suspected", DEAD: "dead", LEFT: "left"}
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """All that is known of one other member."""
+    """The local record of one other member. Times are in ms."""
 
     entry: Entry
-    since: float  # ms; it has been in this state
-    heard: float = -inf  # it last said something to us itself
-    dies_at: float = inf
-    asked_at: float = -inf
-    number: int = 0  # of the ask that is out; 0: none
-    through_at: float = inf  # others are asked then
-    gives_up_at: float = inf
+    state_since: float
+    last_heard: float = -inf  # last message from the member itself
+    suspicion_ends_at: float = inf
+    pinged_at: float = -inf
+    ping_sequence: int = 0  # of the unanswered ping; 0: none
+    indirect_ping_at: float = inf
+    ping_fails_at: float = inf
 
 
 class Members:
-    """The bank as one member sees it. `out` holds what is to be sent: (name, message) in order."""
+    """The bank as one member knows it. `out` holds messages to send: (name, message), in order."""
 
     def __init__(
         self,
@@ -60,44 +73,45 @@
         seeds: Iterable[Entry],
         draw: Callable[[], float],
         now: float,
-        watched: Iterable[str] = (),
+        candidate_addresses: Iterable[str] = (),
     ) -> None:
-        """`seeds` are entries of configured peers, with start 0: only where they are is known. `watched` are
-        addresses at which members may be, under whatever name; a message to one goes to `@` and it."""
+        """`seeds` are entries of configured peers, with start 0: only their addresses are known. At each of
+        `candidate_addresses` there may be a member of any name; messages to it are addressed `@host:port`."""
         self.me = me
         self.out: list[tuple[str, Message]] = []
-        self.news: list[tuple[Entry, int]] = []  # entries that changed, and the state before (-1: new)
-        self.superseded = False  # another process under our name is newer: we speak no more
+        self.changes: list[tuple[Entry, int]] = []  # changed entries, and their previous state (-1: new)
+        self.superseded = False  # a newer process has our name: we send nothing any more
         self.leaving = False
         self.members: dict[str, Member] = {}
-        self.doubt = 0  # of ourselves
+        self.health_score = 0  # our own, as in Lifeguard; 0: healthy
         self._seeds = {seed.name: seed for seed in seeds if seed.name != me.name}
-        self._watched = list(watched)
+        self._candidate_addresses = list(candidate_addresses)
         self._draw = draw
-        self._number = 0
-        self._asked_for: dict[int, tuple[str, int]] = {}  # number of our ask: who wants it, their number
-        self._to_tell: dict[str, Entry] = {}
+        self._last_sequence = 0
+        self._forwarded_pings: dict[int, tuple[str, int]] = {}  # our sequence: who requested it, its sequence
+        self._pending_updates: dict[str, Entry] = {}
         self._flush_at = inf
-        self._knock_at = now + KNOCK * draw() / 4
-        self._looked = now
-        self.linked: set[str] = set()  # names that can be sent to now
+        self._dial_at = now + DIAL_PERIOD_MS * draw() / 4
+        self._last_tick = now
+        self.linked: set[str] = set()  # members with an open link
         self.neighbours: list[str] = []
-        self._ring_stale = True
+        self._neighbours_stale = True
 
-    # what is known
+    # state
 
-    def living(self) -> list[str]:
-        """Names of all others that are thought to live, suspected ones included; sorted."""
+    def alive(self) -> list[str]:
+        """Names of all other members that are alive or suspected, sorted."""
         return sorted(n for n, m in self.members.items() if m.entry.state <= SUSPECT)
 
-    def hears(self) -> tuple[int, int]:
-        """How many are heard of as alive, and how many the bank has; both with ourselves."""
-        # guards: one that is cut off doubts itself and accuses nobody, yet it has not heard them
-        since = self._looked - UNHEARD
+    def reachability(self) -> tuple[int, int]:
+        """How many members are reachable, and how many the bank has; both with ourselves."""
+        # a member that is cut off takes itself for unhealthy and suspects nobody: without this check it would
+        # count all others as reachable
+        since = self._last_tick - UNHEARD_AFTER_MS
         unheard = {
             n
             for n in self.neighbours
-            if n in self.members and max(self.members[n].heard, self.members[n].since) < since
+            if n in self.members and max(self.members[n].last_heard, self.members[n].state_since) < since
         }
         alive = sum(m.entry.state == ALIVE and n not in unheard for n, m in self.members.items())
         bank = sum(m.entry.state != LEFT for m in self.members.values())
@@ -105,6 +119,7 @@
         return 1 + alive, 1 + bank + unmet
 
     def address(self, name: str) -> str:
+        """host:port of a member, a seed or a candidate address; empty if unknown."""
         if name.startswith("@"):
             return name[1:]
         if name in self.members:
@@ -114,240 +129,246 @@
     # time
 
     def tick(self, now: float) -> float:
-        """Do what is due; the time of the next look."""
+        """Does what is due; returns the time of the next tick."""
         if self.superseded or self.leaving:
-            self._flush(now)
-            return now + PERIOD
-        stood, self._looked = now - self._looked, now
-        if stood > STOPPED:
-            # guards: a process that was stopped has heard nothing; it doubts itself and accuses nobody
-            self.doubt = MOST_DOUBT
+            self._flush_gossip(now)
+            return now + PING_PERIOD_MS
+        since_last, self._last_tick = now - self._last_tick, now
+        if since_last > STALLED_AFTER_MS:
+            # a stalled process has received nothing: it takes itself for unhealthy and suspects nobody
+            self.health_score = MAX_HEALTH_SCORE
             for member in self.members.values():
-                self._call_off(member)
+                self._cancel_ping(member)
                 if member.entry.state == SUSPECT:
-                    member.dies_at = max(member.dies_at, now + SUSPECTED)
-        self._choose(now)
-        slow = 1 + self.doubt
+                    member.suspicion_ends_at = max(member.suspicion_ends_at, now + SUSPICION_MS)
+        self._choose_neighbours(now)
+        slowdown = 1 + self.health_score
         for name, member in list(self.members.items()):
             entry = member.entry
-            if member.number and now >= member.through_at:
-                member.through_at = inf
-                self._ask_through(name, member)
-            if member.number and now >= member.gives_up_at:
-                self._call_off(member)
-                self.doubt = min(MOST_DOUBT, self.doubt + 1)
-                if entry.state == ALIVE and self.doubt < MOST_DOUBT:
-                    self._learn(now, _as(entry, SUSPECT))
-            if entry.state == SUSPECT and now >= member.dies_at:
-                self._learn(now, _as(entry, DEAD))
-            elif entry.state >= DEAD and now - member.since > FORGET:
+            if member.ping_sequence and now >= member.indirect_ping_at:
+                member.indirect_ping_at = inf
+                self._ping_indirectly(name, member)
+            if member.ping_sequence and now >= member.ping_fails_at:
+                self._cancel_ping(member)
+                self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
+                if entry.state == ALIVE and self.health_score < MAX_HEALTH_SCORE:
+                    self._apply_update(now, _with_state(entry, SUSPECT))
+            if entry.state == SUSPECT and now >= member.suspicion_ends_at:
+                self._apply_update(now, _with_state(entry, DEAD))
+            elif entry.state >= DEAD and now - member.state_since > REMOVE_AFTER_MS:
                 del self.members[name]
-                self._ring_stale = True
-            elif name in self.neighbours and not member.number and now >= member.asked_at + PERIOD:
-                self._ask(now, name, member, slow)
-        if now >= self._knock_at:
-            # one that knows nobody is in haste: nobody else knows of it either
-            haste = 1.0 if self.members else 0.25
-            self._knock_at = now + haste * KNOCK * (0.75 + 0.5 * self._draw())
-            self._knock()
+                self._neighbours_stale = True
+            elif (
+                name in self.neighbours
+                and not member.ping_sequence
+                and now >= member.pinged_at + PING_PERIOD_MS
+            ):
+                self._ping(now, name, member, slowdown)
+        if now >= self._dial_at:
+            # a member that knows no other dials more often: no other member knows of it either
+            factor = 1.0 if self.members else 0.25
+            self._dial_at = now + factor * DIAL_PERIOD_MS * (0.75 + 0.5 * self._draw())
+            self._dial_missing()
         if now >= self._flush_at:
-            self._flush(now)
+            self._flush_gossip(now)
         return min(self._flush_at, now + 100.0)
 
-    def _ask(self, now: float, name: str, member: Member, slow: int) -> None:
-        self._number += 1
-        member.number, member.asked_at = self._number, now
-        member.through_at = now + ANSWER * slow
-        member.gives_up_at = now + 2.25 * ANSWER * slow
-        self._send(name, Ask(number=self._number, news=self._some()))
+    def _ping(self, now: float, name: str, member: Member, slowdown: int) -> None:
+        self._last_sequence += 1
+        member.ping_sequence, member.pinged_at = self._last_sequence, now
+        member.indirect_ping_at = now + PING_TIMEOUT_MS * slowdown
+        member.ping_fails_at = now + 2.25 * PING_TIMEOUT_MS * slowdown
+        self._send(name, Ping(sequence=self._last_sequence, updates=self._piggybacked_updates()))
 
-    def _ask_through(self, name: str, member: Member) -> None:
+    def _ping_indirectly(self, name: str, member: Member) -> None:
+        """Asks some members, drawn at random, to ping one that did not answer."""
         others = [
             n
             for n in sorted(self.linked)
             if n != name and n in self.members and self.members[n].entry.state == ALIVE
         ]
-        for _ in range(min(THROUGH, len(others))):
+        for _ in range(min(INDIRECT_PINGS, len(others))):
             other = others.pop(int(self._draw() * len(others)))
-            self._send(other, AskFor(number=member.number, whom=member.entry))
+            self._send(other, PingReq(sequence=member.ping_sequence, target=member.entry))
 
     @staticmethod
-    def _call_off(member: Member) -> None:
-        member.number, member.through_at, member.gives_up_at = 0, inf, inf
-
-    def _knock(self) -> None:
-        """Try somebody who is not there: how a bank that was cut in two finds itself again."""
-        away = [n for n, m in self.members.items() if m.entry.state == DEAD]
-        away += [n for n in self._seeds if n not in self.members]
-        if away:
-            away.sort()
-            self._send(away[int(self._draw() * len(away))], Whole(news=self._everything(), wanted=True))
-        if self._watched:
+    def _cancel_ping(member: Member) -> None:
+        member.ping_sequence, member.indirect_ping_at, member.ping_fails_at = 0, inf, inf
+
+    def _dial_missing(self) -> None:
+        """Dials a dead or unmet member and candidate addresses: this rejoins a bank that was partitioned."""
+        missing = [n for n, m in self.members.items() if m.entry.state == DEAD]
+        missing += [n for n in self._seeds if n not in self.members]
+        if missing:
+            missing.sort()
+            name = missing[int(self._draw() * len(missing))]
+            self._send(name, StateSync(updates=self._full_state(), reply_wanted=True))
+        if self._candidate_addresses:
             taken = {m.entry.address for m in self.members.values() if m.entry.state <= SUSPECT}
-            free = [at for at in self._watched if at not in taken and at != self.me.address]
-            for _ in range(min(len(free), 1 if self.members else AT_ONCE)):
+            free = [at for at in self._candidate_addresses if at not in taken and at != self.me.address]
+            for _ in range(min(len(free), 1 if self.members else DIALS_WHILE_ALONE)):
                 at = free.pop(int(self._draw() * len(free)))
-                self._send("@" + at, Whole(news=self._everything(), wanted=True))
+                self._send("@" + at, StateSync(updates=self._full_state(), reply_wanted=True))
 
-    def _everything(self) -> list[Entry]:
+    def _full_state(self) -> list[Entry]:
         return [self.me, *(m.entry for m in self.members.values() if m.entry.state != LEFT)]
 
-    def _choose(self, now: float) -> None:
-        """Neighbours: the next in the ring, and some by chance that stay the same while they live."""
-        if not self._ring_stale:
+    def _choose_neighbours(self, now: float) -> None:
+        """The next members in the ring, and random ones that stay the same while they are alive."""
+        if not self._neighbours_stale:
             return
-        self._ring_stale = False
-        living = [n for n, m in self.members.items() if m.entry.state <= SUSPECT]
-        ring = sorted([*living, self.me.name], key=_place)
-        at = ring.index(self.me.name)
-        after = ring[at + 1 :] + ring[:at]
-        mine = self.me.name.encode()
-        far = sorted(after[NEXT:], key=lambda n: _place(n, mine))[:FAR]
-        self.neighbours = after[:NEXT] + far
+        self._neighbours_stale = False
+        alive = [n for n, m in self.members.items() if m.entry.state <= SUSPECT]
+        ring = sorted([*alive, self.me.name], key=_ring_position)
+        index = ring.index(self.me.name)
+        after = ring[index + 1 :] + ring[:index]
+        salt = self.me.name.encode()
+        random = sorted(after[RING_NEIGHBOURS:], key=lambda n: _ring_position(n, salt))[:RANDOM_NEIGHBOURS]
+        self.neighbours = after[:RING_NEIGHBOURS] + random
 
     # messages
 
     def linked_to(self, now: float, name: str) -> None:
-        """A link to a member stands: both tell all that they know."""
+        """A link to a member has opened."""
         self.linked.add(name)
 
     def unlinked(self, now: float, name: str) -> None:
-        """A link has ended. Of a neighbour that is a reason to ask at once, and no more."""
+        """A link has closed. A neighbour is then pinged at once; it is not suspected for that alone."""
         self.linked.discard(name)
         member = self.members.get(name)
-        if member is not None and not member.number and name in self.neighbours:
-            member.asked_at = -inf
-
-    def greeted(self, now: float, entry: Entry, wanted: bool) -> None:
-        """A member has said hello; to whoever dialled us we tell all."""
-        self._learn(now, entry)
-        self._alive(now, entry.name)
-        if wanted:
-            self._send(entry.name, Whole(news=self._everything(), wanted=True))
-
-    def heard(self, now: float, name: str, message: Message) -> None:
-        """A message of a member that said hello."""
-        self._alive(now, name)
-        if isinstance(message, Ask):
-            self._take(now, message.news)
-            self._send(name, Here(number=message.number, news=self._some()))
-        elif isinstance(message, Here):
-            self._take(now, message.news)
-            self._answered(now, message.number)
-        elif isinstance(message, AskFor):
-            self._take(now, [*message.news, message.whom])
-            target = message.whom.name
+        if member is not None and not member.ping_sequence and name in self.neighbours:
+            member.pinged_at = -inf
+
+    def hello_received(self, now: float, entry: Entry, send_state: bool) -> None:
+        """A member has said hello; `send_state`: it dialled us, and gets our full state."""
+        self._apply_update(now, entry)
+        self._mark_heard(now, entry.name)
+        if send_state:
+            self._send(entry.name, StateSync(updates=self._full_state(), reply_wanted=True))
+
+    def receive(self, now: float, name: str, message: Message) -> None:
+        """Handles a message of a member that has said hello."""
+        self._mark_heard(now, name)
+        if isinstance(message, Ping):
+            self._apply_updates(now, message.updates)
+            self._send(name, Ack(sequence=message.sequence, updates=self._piggybacked_updates()))
+        elif isinstance(message, Ack):
+            self._apply_updates(now, message.updates)
+            self._ack_received(now, message.sequence)
+        elif isinstance(message, PingReq):
+            self._apply_updates(now, [*message.updates, message.target])
+            target = message.target.name
             if target != self.me.name and target in self.members:
-                self._number += 1
-                if len(self._asked_for) < 256:  # guards: whatever others ask, it is kept in bounds
-                    self._asked_for[self._number] = (name, message.number)
-                    self._send(target, Ask(number=self._number))
-        elif isinstance(message, Tell):
-            self._take(now, message.news)
-        elif isinstance(message, Whole):
-            self._take(now, message.news)
-            if message.wanted:
-                self._send(name, Whole(news=self._everything()))
-
-    def _alive(self, now: float, name: str) -> None:
+                self._last_sequence += 1
+                if len(self._forwarded_pings) < 256:  # bounds the state that requests of others can create
+                    self._forwarded_pings[self._last_sequence] = (name, message.sequence)
+                    self._send(target, Ping(sequence=self._last_sequence))
+        elif isinstance(message, Gossip):
+            self._apply_updates(now, message.updates)
+        elif isinstance(message, StateSync):
+            self._apply_updates(now, message.updates)
+            if message.reply_wanted:
+                self._send(name, StateSync(updates=self._full_state()))
+
+    def _mark_heard(self, now: float, name: str) -> None:
         member = self.members.get(name)
         if member is not None:
-            member.heard = now
+            member.last_heard = now
 
-    def _answered(self, now: float, number: int) -> None:
-        wanted = self._asked_for.pop(number, None)
-        if wanted is not None:
-            self._send(wanted[0], Here(number=wanted[1]))
+    def _ack_received(self, now: float, sequence: int) -> None:
+        forwarded = self._forwarded_pings.pop(sequence, None)
+        if forwarded is not None:
+            self._send(forwarded[0], Ack(sequence=forwarded[1]))
             return
         for member in self.members.values():
-            if member.number == number:
-                self._call_off(member)
-                self.doubt = max(0, self.doubt - 1)
+            if member.ping_sequence == sequence:
+                self._cancel_ping(member)
+                self.health_score = max(0, self.health_score - 1)
                 return
 
-    def _take(self, now: float, news: list[Entry]) -> None:
-        for entry in news[:MOST_MEMBERS]:
-            self._learn(now, entry)
+    def _apply_updates(self, now: float, updates: list[Entry]) -> None:
+        for entry in updates[:MAX_MEMBERS]:
+            self._apply_update(now, entry)
 
-    def _learn(self, now: float, entry: Entry) -> None:
-        """One entry, from somebody or by ourselves: it counts if it is newer than what is known."""
+    def _apply_update(self, now: float, entry: Entry) -> None:
+        """Applies an entry, received or our own, if it is newer than what is known."""
         if entry.name == self.me.name:
-            self._of_me(now, entry)
+            self._apply_update_about_self(now, entry)
             return
         member = self.members.get(entry.name)
         if member is None:
-            if entry.state >= DEAD or len(self.members) >= MOST_MEMBERS:
-                return  # guards: who has gone is not brought back into mind by others
+            if entry.state >= DEAD or len(self.members) >= MAX_MEMBERS:
+                return  # others must not bring back a member that was removed as dead or left
             member = self.members[entry.name] = Member(entry, now)
-            self._changed(now, member, entry, -1)
+            self._entry_changed(now, member, entry, -1)
             return
-        if entry.order <= member.entry.order:
+        if entry.precedence <= member.entry.precedence:
             return
         before, member.entry = member.entry.state, entry
-        self._changed(now, member, entry, before)
+        self._entry_changed(now, member, entry, before)
 
-    def _changed(self, now: float, member: Member, entry: Entry, before: int) -> None:
+    def _entry_changed(self, now: float, member: Member, entry: Entry, before: int) -> None:
         if entry.state != before:
-            member.since = now
+            member.state_since = now
         if entry.state == SUSPECT:
-            member.dies_at = now + SUSPECTED * (1 + self.doubt)
+            member.suspicion_ends_at = now + SUSPICION_MS * (1 + self.health_score)
         else:
-            member.dies_at = inf
-            self._call_off(member)
-        self._ring_stale = True
-        self.news.append((entry, before))
-        self._spread(now, entry)
+            member.suspicion_ends_at = inf
+            self._cancel_ping(member)
+        self._neighbours_stale = True
+        self.changes.append((entry, before))
+        self._enqueue_gossip(now, entry)
 
-    def _of_me(self, now: float, entry: Entry) -> None:
+    def _apply_update_about_self(self, now: float, entry: Entry) -> None:
         if entry.start > self.me.start:
-            # guards: two processes under one name: the older one stops speaking
+            # of two processes with one name the older one stops sending
             self.superseded = True
         elif entry.start < self.me.start:
-            # news of a process before us: ours is told again, so that it wins everywhere
-            self._spread(now, self.me)
-        elif entry.state != ALIVE and entry.bumps >= self.me.bumps and not self.leaving:
+            # an update about the process before us: gossip our entry again, which wins over it
+            self._enqueue_gossip(now, self.me)
+        elif entry.state != ALIVE and entry.incarnation >= self.me.incarnation and not self.leaving:
             me = self.me
-            self.me = Entry(me.name, me.address, me.zone, me.start, entry.bumps + 1, ALIVE)
-            self.doubt = min(MOST_DOUBT, self.doubt + 1)
-            self._spread(now, self.me)
-
-    # passing on
-
-    def _spread(self, now: float, entry: Entry) -> None:
-        self._to_tell[entry.name] = entry
-        self._flush_at = min(self._flush_at, now + FLUSH)
-
-    def _some(self) -> list[Entry]:
-        """News that rides along; it is told by itself as well."""
-        return list(self._to_tell.values())[:MOST_NEWS]
-
-    def _flush(self, now: float) -> None:
-        """What has changed goes to all links, so many entries a time."""
-        told = list(self._to_tell.items())[:MOST_NEWS]
-        for name, _ in told:
-            del self._to_tell[name]
-        if told:
-            news = [entry for _, entry in told]
+            self.me = Entry(me.name, me.address, me.zone, me.start, entry.incarnation + 1, ALIVE)
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
+            self._enqueue_gossip(now, self.me)
+
+    # gossip
+
+    def _enqueue_gossip(self, now: float, entry: Entry) -> None:
+        self._pending_updates[entry.name] = entry
+        self._flush_at = min(self._flush_at, now + GOSSIP_DELAY_MS)
+
+    def _piggybacked_updates(self) -> list[Entry]:
+        """Pending updates to add to a ping or an ack; they are still gossiped afterwards."""
+        return list(self._pending_updates.values())[:MAX_UPDATES_PER_MESSAGE]
+
+    def _flush_gossip(self, now: float) -> None:
+        """Sends pending updates over all links, as many as one message takes."""
+        batch = list(self._pending_updates.items())[:MAX_UPDATES_PER_MESSAGE]
+        for name, _ in batch:
+            del self._pending_updates[name]
+        if batch:
+            updates = [entry for _, entry in batch]
             for name in sorted(self.linked):
-                self._send(name, Tell(news=news))
-        self._flush_at = now + FLUSH if self._to_tell else inf
+                self._send(name, Gossip(updates=updates))
+        self._flush_at = now + GOSSIP_DELAY_MS if self._pending_updates else inf
 
     def leave(self, now: float) -> None:
-        """This process ends of its own will: it says so and is not suspected."""
+        """Announces that this process ends on purpose, so that it is not suspected."""
         self.leaving = True
-        self.me = _as(self.me, LEFT)
-        self._to_tell = {self.me.name: self.me}
-        self._flush(now)
+        self.me = _with_state(self.me, LEFT)
+        self._pending_updates = {self.me.name: self.me}
+        self._flush_gossip(now)
 
     def _send(self, name: str, message: Message) -> None:
         if not self.superseded:
             self.out.append((name, message))
 
 
-def _as(entry: Entry, state: int) -> Entry:
-    return Entry(entry.name, entry.address, entry.zone, entry.start, entry.bumps, state)
+def _with_state(entry: Entry, state: int) -> Entry:
+    return Entry(entry.name, entry.address, entry.zone, entry.start, entry.incarnation, state)
 
 
-def _place(name: str, salt: bytes = b"") -> bytes:
-    """A place in a ring, the same at every member."""
+def _ring_position(name: str, salt: bytes = b"") -> bytes:
+    """Position in a hash ring, the same at every member; each `salt` gives another ring."""
     return blake2b(name.encode(), digest_size=8, key=salt[:64]).digest()
--- a/ospreyline/lab/mesh.py
+++ b/ospreyline/lab/mesh.py
@@ -57,7 +57,7 @@
 
     def carry_out(self) -> None:
         out, self.members.out = self.members.out, []
-        news, self.members.news = self.members.news, []
+        news, self.members.changes = self.members.changes, []
         for entry, before in news:
             self.mesh.changes.append(Change(self.mesh.world.now, self.name, entry.name, entry.state, before))
         for to, message in out:
@@ -136,7 +136,7 @@
         for one, other, wanted in ((node, peer, False), (peer, node, True)):
             one.members.linked_to(now, other.name)
             if not one.stopped:
-                one.members.greeted(now, other.members.me, wanted)
+                one.members.hello_received(now, other.members.me, wanted)
         if not peer.stopped:
             self.world.after(self._way(), peer.carry_out)
 
@@ -149,7 +149,7 @@
             self._deliver(frm, node, message)
 
     def _deliver(self, frm: str, node: Node, message: Message) -> None:
-        node.members.heard(self.world.now, frm, message)
+        node.members.receive(self.world.now, frm, message)
         node.carry_out()
 
     def _close_idle(self) -> None:
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -28,17 +28,17 @@
     ALIVE,
     DEAD,
     SUSPECT,
-    Ask,
+    Ack,
     Entry,
+    Gossip,
     Hello,
-    Here,
     Message,
+    Ping,
     Reader,
-    Tell,
-    Whole,
+    StateSync,
     encode,
 )
-from ospreyline.fleet.members import MOST_MEMBERS
+from ospreyline.fleet.members import MAX_MEMBERS
 
 SATURATED = 80.0  # % of a core
 START = 240.0  # s that a process may take to serve
@@ -173,7 +173,7 @@
 
 
 LIFTED = (
-    "from ospreyline.fleet import members; members.MOST_MEMBERS = {most}; "
+    "from ospreyline.fleet import members; members.MAX_MEMBERS = {most}; "
     "from ospreyline.__main__ import main; main()"
 )
 
@@ -182,7 +182,7 @@
 async def serving(config: Path, operator: Path | None = None, members: int = 0) -> AsyncIterator[Process]:
     """A `serve` process that has said that it serves. Where more `members` are to be kept than it keeps, that
     bound is lifted in it: what they would cost is to be known before it is."""
-    program = ["-m", "ospreyline"] if members <= MOST_MEMBERS else ["-c", LIFTED.format(most=members)]
+    program = ["-m", "ospreyline"] if members <= MAX_MEMBERS else ["-c", LIFTED.format(most=members)]
     command = [sys.executable, *program, "serve", str(config)]
     if operator is not None:
         command += ["--operator", str(operator)]
@@ -331,7 +331,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         if self.dials:
-            self.write(Hello(bank="scale", me=self.bank.entries[self.name], to="n0"))
+            self.write(Hello(bank="scale", sender=self.bank.entries[self.name], to="n0"))
 
     def write(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -350,16 +350,16 @@
                     if self.name in self.bank.gone or self.name not in self.bank.entries:
                         self.transport.abort()
                         return
-                    self.write(Hello(bank="scale", me=self.bank.entries[self.name], to=""))
-                    self.write(Whole(news=list(self.bank.entries.values()), wanted=True))
+                    self.write(Hello(bank="scale", sender=self.bank.entries[self.name], to=""))
+                    self.write(StateSync(updates=list(self.bank.entries.values()), reply_wanted=True))
                 self.up = True
                 self.bank.links[self.name] = self
-            elif isinstance(message, Ask):
-                self.write(Here(number=message.number))
-            elif isinstance(message, Whole):
+            elif isinstance(message, Ping):
+                self.write(Ack(sequence=message.sequence))
+            elif isinstance(message, StateSync):
                 self.bank.wholes += 1
-                if message.wanted:
-                    self.write(Whole(news=list(self.bank.entries.values())))
+                if message.reply_wanted:
+                    self.write(StateSync(updates=list(self.bank.entries.values())))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.up = False
@@ -403,7 +403,7 @@
                 number += 1
                 for name in free:
                     if name in self.links:
-                        self.links[name].write(Ask(number=number))
+                        self.links[name].write(Ping(sequence=number))
                 await asyncio.sleep(1.0)
 
         self._asking = asyncio.create_task(ask())
@@ -411,7 +411,7 @@
     def tell(self, *news: Entry) -> None:
         """News over all links, as it comes when all pass it on."""
         for link in list(self.links.values()):
-            link.write(Tell(news=list(news)))
+            link.write(Gossip(updates=list(news)))
 
     def counted(self) -> tuple[int, int]:
         """Messages and bytes of the one, both ways."""
@@ -710,7 +710,7 @@
             for state in (SUSPECT, DEAD):
                 for one in lost:
                     bank.gone.add(one.name)
-                    bank.tell(Entry(one.name, one.address, one.zone, one.start, one.bumps, state))
+                    bank.tell(Entry(one.name, one.address, one.zone, one.start, one.incarnation, state))
                     await asyncio.sleep(0.25)
             await asyncio.sleep(0.5)
             span, now = monotonic() - at, bank.counted()
@@ -771,7 +771,7 @@
 def by_listeners(found: Found, count: int) -> None:
     """Processor time of one who passes the list on, for each message to a listener: pure, frames encoded."""
     from ospreyline.fleet import lists
-    from ospreyline.fleet.frames import Listen
+    from ospreyline.fleet.frames import RelaySubscribe
 
     passes = lists.Lists("n0", "a", 1, lambda: 0.5, 0.0)
     passes.members(0.0, [])
@@ -779,7 +779,7 @@
     body = msgspec.json.encode(entry(1))
     passes.told(1_000.0, 1, True, [("svc-0-1", False, body)])
     for i in range(count):
-        passes.heard(1_000.0, f"m{i}", Listen(rev=1))
+        passes.heard(1_000.0, f"m{i}", RelaySubscribe(rev=1))
     passes.out.clear()
     begun, messages, rev = process_time(), 0, 1
     for _ in range(max(2, 20_000 // count)):
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -126,13 +126,16 @@
 @pytest.mark.parametrize(
     ("wire", "why"),
     [
-        (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "no frame"),
-        (frames.HEAD.pack(frames.MARK, frames.VERSION - 1, 1 << 30, 0), "is the most"),
-        (frames.encode(frames.Ask(number=1)), "no hello"),
-        (frames.encode(Hello(bank="other", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")), "another bank"),
-        (frames.encode(Hello(bank="b", me=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")), "dialled for"),
-        (frames.encode(Hello(bank="b", me=Entry("a", "h:1", "z", 1, 0, ALIVE), to="a")), "our own name"),
-        (frames.encode(frames.Deaf())[:9], "silent"),
+        (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "not a balancer frame"),
+        (frames.HEAD.pack(frames.MAGIC, frames.VERSION - 1, 1 << 30, 0), "exceeds the limit"),
+        (frames.encode(frames.Ping(sequence=1)), "no hello"),
+        (
+            frames.encode(Hello(bank="other", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")),
+            "another bank",
+        ),
+        (frames.encode(Hello(bank="b", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")), "dialled for"),
+        (frames.encode(Hello(bank="b", sender=Entry("a", "h:1", "z", 1, 0, ALIVE), to="a")), "our own name"),
+        (frames.encode(frames.RelayUnavailable())[:9], "silent"),
     ],
 )
 def test_what_does_not_belong_costs_its_link_and_nothing_else(wire, why, monkeypatch):
@@ -165,7 +168,7 @@
         host, _, port = a.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port), limit=1)
         me = Entry("x", "127.0.0.1:1", "z", 1, 0, ALIVE)
-        writer.write(frames.encode(Hello(bank="b", me=me, to="a")))
+        writer.write(frames.encode(Hello(bank="b", sender=me, to="a")))
         await until(lambda: "x" in a.bank.links.by_name)
         link = a.bank.links.by_name["x"]
         for _ in range(3_000):
@@ -183,7 +186,7 @@
         a = await Stand("a").start()
         host, _, port = a.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
-        writer.write(frames.encode(Hello(bank="b", me=Entry("a", "h:1", "z", 1 << 50, 0, ALIVE), to="a")))
+        writer.write(frames.encode(Hello(bank="b", sender=Entry("a", "h:1", "z", 1 << 50, 0, ALIVE), to="a")))
         await until(lambda: a.bank.members.superseded)
         assert any("newer process" in event for event, _ in a.log.lines)
         a.bank.close()
@@ -395,7 +398,8 @@
     assert text.count(own) == 1
     path.write_text(
         text.replace(own, later).replace(
-            "class Deaf(_Message", 'class Later(_Message, tag="later"):\n    pass\n\n\nclass Deaf(_Message'
+            "class RelayUnavailable(_Message",
+            'class Later(_Message, tag="later"):\n    pass\n\n\nclass RelayUnavailable(_Message',
         )
     )
     day = Played(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,12 +15,12 @@
     DEAD,
     LEFT,
     SUSPECT,
-    Deaf,
     Entry,
     FrameError,
-    Listen,
-    Passed,
     Reader,
+    RelayedList,
+    RelaySubscribe,
+    RelayUnavailable,
 )
 from ospreyline.fleet.lists import Lists
 from ospreyline.lab.mesh import Mesh
@@ -106,10 +106,13 @@
     net = mesh(6)
     net.cut = lambda a, b: "n2" in (a, b)
     net.world.run(net.world.now + 4_500.0)
-    assert net.nodes["n2"].members.hears()[0] == 1 and net.nodes["n2"].members.doubt == members.MOST_DOUBT
+    assert (
+        net.nodes["n2"].members.reachability()[0] == 1
+        and net.nodes["n2"].members.health_score == members.MAX_HEALTH_SCORE
+    )
     net.cut = lambda a, b: False
     net.world.run(net.world.now + 10_000.0)
-    assert all(node.members.hears() == (6, 6) for node in net.nodes.values())
+    assert all(node.members.reachability() == (6, 6) for node in net.nodes.values())
 
 
 @pytest.mark.parametrize("one_way", [False, True])
@@ -119,7 +122,10 @@
     net.cut = lambda a, b: (a in apart) and (b not in apart) if one_way else (a in apart) != (b in apart)
     net.world.run(net.world.now + 20_000.0)
     if not one_way:
-        assert net.nodes["n0"].members.hears()[0] == 10 and net.nodes["n20"].members.hears()[0] == 20
+        assert (
+            net.nodes["n0"].members.reachability()[0] == 10
+            and net.nodes["n20"].members.reachability()[0] == 20
+        )
     net.cut = lambda a, b: False
     net.world.run(net.world.now + 12_000.0)
     assert net.knows() == (30 * 29, 30 * 29)
@@ -153,7 +159,7 @@
     net.start("n5")  # the old one goes on, too
     net.world.run(net.world.now + 200.0)
     newer = net.nodes["n5"].members.me
-    old.members.heard(net.world.now, "n1", frames.Tell(news=[newer]))
+    old.members.receive(net.world.now, "n1", frames.Gossip(updates=[newer]))
     old.members.out.clear()
     old.members.tick(net.world.now + 1_000.0)
     assert old.members.superseded and not old.members.out
@@ -186,23 +192,23 @@
 def test_those_long_gone_are_forgotten_and_what_is_kept_is_bounded():
     net = mesh(5)
     net.kill("n4")
-    net.world.run(net.world.now + members.FORGET + 20_000.0)
+    net.world.run(net.world.now + members.REMOVE_AFTER_MS + 20_000.0)
     assert all("n4" not in net.nodes[n].members.members for n in others(net))
     one = net.nodes["n0"].members
-    flood = [Entry(f"x{i}", "h:1", "z", 5, 0, ALIVE) for i in range(members.MOST_MEMBERS + 500)]
+    flood = [Entry(f"x{i}", "h:1", "z", 5, 0, ALIVE) for i in range(members.MAX_MEMBERS + 500)]
     for i in range(0, len(flood), 100):
-        one.heard(net.world.now, "n1", frames.Tell(news=flood[i : i + 100]))
-    assert len(one.members) <= members.MOST_MEMBERS
+        one.receive(net.world.now, "n1", frames.Gossip(updates=flood[i : i + 100]))
+    assert len(one.members) <= members.MAX_MEMBERS
 
 
 @pytest.mark.parametrize("mistake", ["never refuted", "incarnation ignored"])
 def test_a_planted_mistake_is_found(mistake, monkeypatch):
     if mistake == "never refuted":
-        monkeypatch.setattr(members.Members, "_of_me", lambda self, now, entry: None)
+        monkeypatch.setattr(members.Members, "_apply_update_about_self", lambda self, now, entry: None)
         net = mesh(30, loss=0.05)
         assert wrong_deaths(net, 120) > 0
         return
-    monkeypatch.setattr(Entry, "order", property(lambda self: (0, 0, self.state)))
+    monkeypatch.setattr(Entry, "precedence", property(lambda self: (0, 0, self.state)))
     net = mesh()
     net.kill("n6", silent=True)
     net.world.run(net.world.now + 6_000.0)
@@ -280,7 +286,7 @@
         b.heard(
             110.0,
             a.name,
-            Passed(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
+            RelayedList(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
         )
         is not None
     )
@@ -297,7 +303,7 @@
     c.tick(200.0)
     taken = exchange(210.0, a, b, c)
     assert c.rev == 9 and taken[-1].rev == 9
-    assert c.heard(220.0, b.name, Passed(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
+    assert c.heard(220.0, b.name, RelayedList(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
 
 
 def test_nobody_passes_on_what_it_has_not_from_the_service():
@@ -307,8 +313,8 @@
     c.tick(200.0)
     exchange(210.0, a, b, c)
     assert c.rev == 5
-    c.heard(220.0, "m9", Listen(rev=0))
-    assert [type(m) for n, m in c.out if n == "m9"] == [Deaf]
+    c.heard(220.0, "m9", RelaySubscribe(rev=0))
+    assert [type(m) for n, m in c.out if n == "m9"] == [RelayUnavailable]
 
 
 @pytest.mark.parametrize("how", ["watch ended", "service silent"])
@@ -363,16 +369,16 @@
 
 def test_one_that_does_not_pass_on_says_nothing_of_asking():
     _, _, c = three()
-    c.heard(100.0, "m9", Listen(rev=0))
+    c.heard(100.0, "m9", RelaySubscribe(rev=0))
     c.tick(600.0)
-    assert [m.asks for n, m in c.out if n == "m9"] == [False]
+    assert [m.polling for n, m in c.out if n == "m9"] == [False]
 
 
 def test_a_stale_or_uncalled_for_word_is_passed_over():
     _, _, c = three()
     source = c.sources[0]
-    assert c.heard(10.0, source, Passed(rev=9, since=-1, targets=[], age=60_000.0)) is None
-    assert c.heard(10.0, "stranger", Passed(rev=9, since=-1, targets=[], age=0.0)) is None
+    assert c.heard(10.0, source, RelayedList(rev=9, since=-1, targets=[], age=60_000.0)) is None
+    assert c.heard(10.0, "stranger", RelayedList(rev=9, since=-1, targets=[], age=0.0)) is None
     assert c.ignored == 2 and not c.hears(10.0)
 
 
@@ -385,11 +391,11 @@
 # frames
 
 MESSAGES: list[frames.Message] = [
-    frames.Hello(bank="b", me=Entry("n", "h:1", "z", 1, 2, ALIVE), to="m"),
-    frames.Ask(number=7, news=[Entry("x", "h:2", "z", 1, 0, DEAD)]),
+    frames.Hello(bank="b", sender=Entry("n", "h:1", "z", 1, 2, ALIVE), to="m"),
+    frames.Ping(sequence=7, updates=[Entry("x", "h:2", "z", 1, 0, DEAD)]),
     frames.Hint(body=b"\0\1"),
-    Passed(rev=4, since=-1, targets=[b"{}"], age=1.5),
-    Deaf(),
+    RelayedList(rev=4, since=-1, targets=[b"{}"], age=1.5),
+    RelayUnavailable(),
 ]
 
 
@@ -402,18 +408,18 @@
 
 def framed(body: bytes, version: int = frames.VERSION, length: int | None = None) -> bytes:
     size = len(body) if length is None else length
-    return frames.HEAD.pack(frames.MARK, version, size, frames.crc32(body)) + body
+    return frames.HEAD.pack(frames.MAGIC, version, size, frames.crc32(body)) + body
 
 
 @pytest.mark.parametrize(
     ("wire", "why"),
     [
-        (framed(b"x", length=1 << 30), "is the most"),
-        (b"GET / HTTP/1.1\r\n\r\n", "no frame"),
-        (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum"),
-        (framed(b"\x93\x01"), "unreadable"),
-        (framed(b"\x81\xa1k\xa1z"), "unreadable"),
-        (framed(b"", version=9), "version 9"),
+        (framed(b"x", length=1 << 30), "exceeds the limit"),
+        (b"GET / HTTP/1.1\r\n\r\n", "not a balancer frame"),
+        (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum mismatch"),
+        (framed(b"\x93\x01"), "cannot decode message"),
+        (framed(b"\x81\xa1k\xa1z"), "cannot decode message"),
+        (framed(b"", version=9), "unsupported protocol version 9"),
     ],
 )
 def test_what_is_no_frame_of_ours_is_refused(wire, why):
@@ -426,8 +432,8 @@
     unknown = frames.msgspec.msgpack.encode({"k": "later", "what": 1})
     later = frames.VERSION + 1
     assert Reader().feed(framed(newer, later) + framed(unknown, later) + framed(newer)) == [
-        frames.Ask(number=3),
-        frames.Ask(number=3),
+        frames.Ping(sequence=3),
+        frames.Ping(sequence=3),
     ]
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,9 +16,19 @@
 
 from ospreyline import decide, facts
 from ospreyline.__main__ import main
-from ospreyline.fleet.frames import ALIVE, MOST, Entry, FrameError, Listen, Passed, Reader, Whole, encode
+from ospreyline.fleet.frames import (
+    ALIVE,
+    MAX_MESSAGE_BYTES,
+    Entry,
+    FrameError,
+    Reader,
+    RelayedList,
+    RelaySubscribe,
+    StateSync,
+    encode,
+)
 from ospreyline.fleet.lists import Lists
-from ospreyline.fleet.members import MOST_MEMBERS, Members
+from ospreyline.fleet.members import MAX_MEMBERS, Members
 from ospreyline.host import Readiness
 from ospreyline.lab.mesh import Mesh
 from ospreyline.net.list_call import MOST_LINE, ListCall
@@ -127,7 +137,7 @@
     bodies = [(f"u{i}", False, msgspec.json.encode(scale.entry(i))) for i in range(entries)]
     lists.told(1_000.0, 1, True, bodies)
     for i in range(listeners):
-        lists.heard(1_000.0, f"m{i}", Listen(rev=1))
+        lists.heard(1_000.0, f"m{i}", RelaySubscribe(rev=1))
     lists.out.clear()
     lists.told(1_001.0, 2, False, bodies[:1])
     return [encode(message) for _, message in lists.out]
@@ -146,12 +156,12 @@
 @pytest.mark.parametrize(("entries", "read"), [(1_000, True), (5_000, True), (20_000, False)])
 def test_a_whole_list_is_passed_on_up_to_what_a_frame_may_hold(entries, read):
     targets = [msgspec.json.encode(scale.entry(i)) for i in range(entries)]
-    frame = encode(Passed(rev=1, since=-1, targets=targets, age=0.0))
-    assert (len(frame) <= MOST) is read
+    frame = encode(RelayedList(rev=1, since=-1, targets=targets, age=0.0))
+    assert (len(frame) <= MAX_MESSAGE_BYTES) is read
     if read:
         assert len(Reader().feed(frame)) == 1
     else:
-        with pytest.raises(FrameError, match="is the most"):
+        with pytest.raises(FrameError, match="exceeds the limit"):
             Reader().feed(frame)
 
 
@@ -165,20 +175,20 @@
         before = sum(node.sent for node in mesh.nodes.values())
         mesh.world.run(12_000.0)
         rest.append((sum(node.sent for node in mesh.nodes.values()) - before) / count / 4)
-        everything = mesh.nodes["n0"].members._everything()
-        whole.append(len(encode(Whole(news=everything))) / count)
+        everything = mesh.nodes["n0"].members._full_state()
+        whole.append(len(encode(StateSync(updates=everything))) / count)
     assert all(11 <= messages <= 14 for messages in rest)
     assert max(whole) < 1.3 * min(whole)
 
 
-@pytest.mark.parametrize("told", [100, MOST_MEMBERS, 7_000])
+@pytest.mark.parametrize("told", [100, MAX_MEMBERS, 7_000])
 def test_members_are_kept_up_to_a_bound(told):
     me = Entry("n0", "h:1", "a", 1, 0, ALIVE)
     members = Members(me, [], lambda: 0.5, 0.0)
     entries = [Entry(f"m{i}", "h:2", "a", 1, 0, ALIVE) for i in range(told)]
     for at in range(0, told, 1_000):
-        members.heard(0.0, "m0", Whole(news=entries[at : at + 1_000]))
-    assert members.hears() == (1 + min(told, MOST_MEMBERS),) * 2
+        members.receive(0.0, "m0", StateSync(updates=entries[at : at + 1_000]))
+    assert members.reachability() == (1 + min(told, MAX_MEMBERS),) * 2
 
 
 def test_first_calls_grow_with_the_bank_unless_they_are_paced():
