--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -15,7 +15,7 @@
 from ospreyline.decide import SHARED_BY, USED
 from ospreyline.fleet.frames import MAX_MESSAGE_BYTES
 from ospreyline.fleet.links import MOST_LINKS
-from ospreyline.fleet.lists import BEAT, SOURCES
+from ospreyline.fleet.lists import HEARTBEAT_MS, RELAYS_USED
 from ospreyline.fleet.members import MAX_MEMBERS
 from ospreyline.fleet.publisher import MOST_SUBSCRIBERS
 from ospreyline.net.list_call import MOST_LINE
@@ -275,8 +275,8 @@
 
 def _passes(t: _Table, s: Size) -> None:
     role, r = "passes lists on", rates(s)
-    listeners = s.balancers * SOURCES / s.control_machines
-    words = listeners * (1e3 / BEAT + min(r.listed, s.lines_per_s))
+    listeners = s.balancers * RELAYS_USED / s.control_machines
+    words = listeners * (1e3 / HEARTBEAT_MS + min(r.listed, s.lines_per_s))
     t.add(
         FLAT,
         role,
@@ -294,7 +294,7 @@
         "bytes",
         "KB/s",
         counted("fleet/lists, changes", _times(bytes_each, listeners * r.listed / 1e3)),
-        counted("fleet/lists, beats", listeners * 1e3 / BEAT * 40 / 1e3),
+        counted("fleet/lists, beats", listeners * 1e3 / HEARTBEAT_MS * 40 / 1e3),
         t.part(
             "fleet/lists, whole for the restarted",
             "list_bytes",
@@ -625,13 +625,13 @@
         "s",
         counted("fleet/pace: balancers / (0.8 x calls)", s.balancers / (0.8 * s.calls_per_s)),
     )
-    r_words = s.balancers * SOURCES * (1e3 / BEAT + min(r.listed, s.lines_per_s))
+    r_words = s.balancers * RELAYS_USED * (1e3 / HEARTBEAT_MS + min(r.listed, s.lines_per_s))
     t.add(
         FLAT,
         CONTROL,
         "machines that are needed, by links",
         "machines",
-        counted("fleet/links", s.balancers * SOURCES / MOST_LINKS),
+        counted("fleet/links", s.balancers * RELAYS_USED / MOST_LINKS),
         budget=s.control_machines,
         name="machines set aside",
     )
@@ -640,7 +640,9 @@
         CONTROL,
         "machines that are needed, by processor time",
         "machines",
-        t.part("fleet/lists", "pass_on_cpu_us", s.balancers * SOURCES / s.control_machines, r_words / 1e6),
+        t.part(
+            "fleet/lists", "pass_on_cpu_us", s.balancers * RELAYS_USED / s.control_machines, r_words / 1e6
+        ),
         budget=s.control_machines,
         name="machines set aside",
     )
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -32,7 +32,7 @@
 )
 from ospreyline.fleet.kept import write
 from ospreyline.fleet.links import Links
-from ospreyline.fleet.lists import Lists, News
+from ospreyline.fleet.lists import Lists, ListUpdate
 from ospreyline.fleet.members import STATE_NAMES, Members
 from ospreyline.fleet.takeover import Takeover
 
@@ -53,7 +53,7 @@
         zone: str,
         on: Any,
         seed: int,
-        listed: Callable[[News], None],
+        listed: Callable[[ListUpdate], None],
         hinted: Callable[[bytes], None],
         hasten: Callable[[], None],
     ) -> None:
@@ -123,12 +123,12 @@
             self._looked = now
             before = self.lists.passing or self._alone
             self.lists.tick(now)
-            self._alone = self.lists.unheard(now)
+            self._alone = self.lists.unserved(now)
             spared, self._spared = self._spared, self.lists.asked_for_us(now)
             # guards: whoever asked a service that is down for us may be gone before it is back
             if ((self.lists.passing or self._alone) and not before) or (spared and not self._spared):
                 self._hasten()
-        wanted = set(self.members.neighbours) | set(self.lists.sources if self.lists else ())
+        wanted = set(self.members.neighbours) | set(self.lists.relays if self.lists else ())
         if self.takeover is not None:
             hears, of = self.members.reachability()
             self.takeover.meeting = hears < of
@@ -195,7 +195,7 @@
                 for n, _ in self._on.named()
                 if n not in members and n != self.lists.name
             ]
-        self.lists.members(self._now(), living)
+        self.lists.set_members(self._now(), living)
 
     # links
 
@@ -216,7 +216,7 @@
             self._hinted(message.body)
         elif isinstance(message, RelaySubscribe | RelayedList | RelayUnavailable):
             if self.lists is not None:
-                news = self.lists.heard(now, name, message)
+                news = self.lists.receive(now, name, message)
                 if news is not None:
                     self._listed(news)
         else:
@@ -233,7 +233,7 @@
                 self.takeover.lost(now, name)  # it ends of its own will, and will finish nothing any more
             self.carry_out()
         if self.lists is not None:
-            self.lists.gone(name)
+            self.lists.remove_peer(name)
 
     def _namesake(self, entry: Entry) -> None:
         """Another process has our name: the older one stops speaking."""
@@ -256,14 +256,14 @@
     def told(self, rev: int, whole: bool, targets: list[tuple[str, bool, bytes]]) -> None:
         """The list service has said something on our own watch."""
         if self.lists is not None:
-            self.lists.told(self._now(), rev, whole, targets)
+            self.lists.service_update(self._now(), rev, whole, targets)
             self.carry_out()
 
     def told_nothing(self) -> bool:
         """Our own watch has ended or a call failed; whether others tell us the list, or ask for it."""
         if self.lists is None:
             return False
-        self.lists.told_nothing(self._now())
+        self.lists.service_lost(self._now())
         self.carry_out()
         return not self.lists.passing and self.lists.asked_for_us(self._now())
 
@@ -303,7 +303,7 @@
             "neighbours": self.members.neighbours,
             "linked": sorted(self.links.by_name),
             "passes_the_list_on": bool(self.lists and self.lists.passing),
-            "listens_to": self.lists.sources if self.lists else [],
+            "listens_to": self.lists.relays if self.lists else [],
             "list_rev": self.lists.rev if self.lists else None,
             "cover": self.takeover.covered(now) if self.takeover else None,
             "guards": len(self.takeover.guardian.works) if self.takeover else 0,
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -774,17 +774,17 @@
     from ospreyline.fleet.frames import RelaySubscribe
 
     passes = lists.Lists("n0", "a", 1, lambda: 0.5, 0.0)
-    passes.members(0.0, [])
+    passes.set_members(0.0, [])
     passes.tick(1_000.0)
     body = msgspec.json.encode(entry(1))
-    passes.told(1_000.0, 1, True, [("svc-0-1", False, body)])
+    passes.service_update(1_000.0, 1, True, [("svc-0-1", False, body)])
     for i in range(count):
-        passes.heard(1_000.0, f"m{i}", RelaySubscribe(rev=1))
+        passes.receive(1_000.0, f"m{i}", RelaySubscribe(rev=1))
     passes.out.clear()
     begun, messages, rev = process_time(), 0, 1
     for _ in range(max(2, 20_000 // count)):
         rev += 1
-        passes.told(1_000.0, rev, False, [("svc-0-1", False, body)])
+        passes.service_update(1_000.0, rev, False, [("svc-0-1", False, body)])
         messages += len(passes.out)
         for _, message in passes.out:
             encode(message)
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -332,7 +332,7 @@
 
 
 def test_those_that_pass_the_list_on_are_killed_at_the_moment_of_a_drain(tmp_path):
-    assert lists.PASSERS == 2  # of zone a: b0 and b2, the oldest there
+    assert lists.RELAYS_PER_ZONE == 2  # of zone a: b0 and b2, the oldest there
     day = Played(
         tmp_path,
         seconds=9.0,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -225,15 +225,15 @@
     starts = {"m2": 1, "m0": 2, "m1": 3}
     found = {n: Lists(n, "z", at, Random(1).random, now) for n, at in starts.items()}
     for name, one in found.items():
-        one.members(now, [(n, "z", at) for n, at in starts.items() if n != name])
+        one.set_members(now, [(n, "z", at) for n, at in starts.items() if n != name])
         one.tick(now)
         assert not one.passing  # not before members were met
-        one.tick(now + lists.SETTLE + 1.0)
+        one.tick(now + lists.SETTLE_MS + 1.0)
         one.out.clear()
-        one._asked.clear()
+        one._subscribed_at.clear()
     passers = [one for one in found.values() if one.passing]
     listener = next(one for one in found.values() if not one.passing)
-    assert [one.name for one in passers] == listener.sources == ["m2", "m0"]
+    assert [one.name for one in passers] == listener.relays == ["m2", "m0"]
     return passers[0], passers[1], listener
 
 
@@ -245,7 +245,7 @@
         for node in nodes:
             out, node.out = node.out, []
             for name, message in out:
-                if name in by and (news := by[name].heard(now, node.name, message)) is not None:
+                if name in by and (news := by[name].receive(now, node.name, message)) is not None:
                     taken.append(news)
     return taken
 
@@ -256,23 +256,23 @@
 
 def test_the_list_goes_from_those_that_watch_to_those_that_listen():
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1"), entry("s2")])
+    a.service_update(100.0, 5, True, [entry("s1"), entry("s2")])
     c.tick(200.0)
     (news,) = exchange(210.0, a, c)
-    assert (news.rev, news.whole, len(news.targets)) == (5, True, 2) and c.hears(210.0)
-    a.told(300.0, 6, False, [entry("s1", left=True)])
+    assert (news.rev, news.whole, len(news.targets)) == (5, True, 2) and c.receiving(210.0)
+    a.service_update(300.0, 6, False, [entry("s1", left=True)])
     (news,) = exchange(310.0, a, c)
     assert (news.rev, news.whole, len(news.targets)) == (6, False, 1) and c.rev == 6
 
 
 def test_what_was_missed_between_is_asked_for_whole():
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, c)
-    a.told(300.0, 6, False, [entry("s2")])
+    a.service_update(300.0, 6, False, [entry("s2")])
     a.out.clear()  # lost
-    a.told(400.0, 7, False, [entry("s3")])
+    a.service_update(400.0, 7, False, [entry("s3")])
     (news,) = exchange(410.0, a, c)
     assert news.whole and news.rev == 7 and len(news.targets) == 3
 
@@ -280,17 +280,17 @@
 def test_one_that_passes_on_after_it_was_told_by_another_has_all_of_it():
     # met on the rig: its own watch brought no changes, and the list that it passed on was empty
     a, b, c = three()
-    a.told(100.0, 5, True, [entry("s1"), entry("s2")])
-    b.sources = [a.name]
+    a.service_update(100.0, 5, True, [entry("s1"), entry("s2")])
+    b.relays = [a.name]
     assert (
-        b.heard(
+        b.receive(
             110.0,
             a.name,
             RelayedList(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
         )
         is not None
     )
-    b.told(200.0, 5, False, [])
+    b.service_update(200.0, 5, False, [])
     c.tick(300.0)
     news = exchange(310.0, b, c)[-1]
     assert news.whole and len(news.targets) == 2
@@ -298,40 +298,40 @@
 
 def test_an_older_list_is_never_taken_whoever_brings_it():
     a, b, c = three()
-    a.told(100.0, 9, True, [entry("s1")])
-    b.told(100.0, 4, True, [entry("s0")])
+    a.service_update(100.0, 9, True, [entry("s1")])
+    b.service_update(100.0, 4, True, [entry("s0")])
     c.tick(200.0)
     taken = exchange(210.0, a, b, c)
     assert c.rev == 9 and taken[-1].rev == 9
-    assert c.heard(220.0, b.name, RelayedList(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
+    assert c.receive(220.0, b.name, RelayedList(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
 
 
 def test_nobody_passes_on_what_it_has_not_from_the_service():
     # a circle of balancers that confirm to each other what nobody has from the service
     a, b, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, b, c)
     assert c.rev == 5
-    c.heard(220.0, "m9", RelaySubscribe(rev=0))
+    c.receive(220.0, "m9", RelaySubscribe(rev=0))
     assert [type(m) for n, m in c.out if n == "m9"] == [RelayUnavailable]
 
 
 @pytest.mark.parametrize("how", ["watch ended", "service silent"])
 def test_one_that_no_longer_hears_the_service_says_so(how):
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, c)
-    assert c.hears(300.0)
+    assert c.receiving(300.0)
     if how == "watch ended":
-        a.told_nothing(400.0)
+        a.service_lost(400.0)
         exchange(410.0, a, c)
     else:
         for now in range(500, 9_000, 500):
             a.tick(float(now))
             exchange(float(now), a, c)
-    assert not c.hears(9_000.0) and c.unheard(9_000.0)
+    assert not c.receiving(9_000.0) and c.unserved(9_000.0)
 
 
 def test_who_comes_later_never_takes_the_place_of_one_that_passes_on():
@@ -344,42 +344,42 @@
         name = f"m{ages[i]}"
         found[name] = Lists(name, "z", at, Random(i).random, 100.0 * i)
         for one in found.values():
-            one.members(100.0 * i, [(n, "z", o._start) for n, o in found.items() if n != one.name])
+            one.set_members(100.0 * i, [(n, "z", o._start) for n, o in found.items() if n != one.name])
             one.tick(100.0 * i)
     for one in found.values():
         one.tick(9_000.0)
     chosen = {n for n, one in found.items() if one.passing}
     assert chosen == {f"m{ages[0]}", f"m{ages[1]}"}
-    assert all(set(one.sources) <= chosen for one in found.values())
+    assert all(set(one.relays) <= chosen for one in found.values())
 
 
 def test_those_that_pass_on_say_that_they_ask_while_the_service_is_down():
     a, b, c = three()
     c.tick(200.0)
     exchange(210.0, a, b, c)
-    assert not c.hears(210.0) and c.asked_for_us(210.0)
+    assert not c.receiving(210.0) and c.asked_for_us(210.0)
     for now in range(700, 4_000, 500):  # said again each beat; forgotten when it is no longer
         a.tick(float(now))
         exchange(float(now), a, c)
-    assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH)
-    a.told(9_000.0, 5, True, [entry("s1")])
+    assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH_MS)
+    a.service_update(9_000.0, 5, True, [entry("s1")])
     exchange(9_010.0, a, c)
-    assert c.rev == 5 and c.hears(9_010.0) and a.name not in c._trying
+    assert c.rev == 5 and c.receiving(9_010.0) and a.name not in c._polling_at
 
 
 def test_one_that_does_not_pass_on_says_nothing_of_asking():
     _, _, c = three()
-    c.heard(100.0, "m9", RelaySubscribe(rev=0))
+    c.receive(100.0, "m9", RelaySubscribe(rev=0))
     c.tick(600.0)
     assert [m.polling for n, m in c.out if n == "m9"] == [False]
 
 
 def test_a_stale_or_uncalled_for_word_is_passed_over():
     _, _, c = three()
-    source = c.sources[0]
-    assert c.heard(10.0, source, RelayedList(rev=9, since=-1, targets=[], age=60_000.0)) is None
-    assert c.heard(10.0, "stranger", RelayedList(rev=9, since=-1, targets=[], age=0.0)) is None
-    assert c.ignored == 2 and not c.hears(10.0)
+    source = c.relays[0]
+    assert c.receive(10.0, source, RelayedList(rev=9, since=-1, targets=[], age=60_000.0)) is None
+    assert c.receive(10.0, "stranger", RelayedList(rev=9, since=-1, targets=[], age=0.0)) is None
+    assert c.ignored == 2 and not c.receiving(10.0)
 
 
 def test_own_watches_open_spread_over_the_time_that_is_allowed():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -132,14 +132,14 @@
 def passing(entries, listeners):
     """One that passes the list on, with so many entries, to so many; the frames of one change."""
     lists = Lists("n0", "a", 1, lambda: 0.5, 0.0)
-    lists.members(0.0, [])
+    lists.set_members(0.0, [])
     lists.tick(1_000.0)
     bodies = [(f"u{i}", False, msgspec.json.encode(scale.entry(i))) for i in range(entries)]
-    lists.told(1_000.0, 1, True, bodies)
+    lists.service_update(1_000.0, 1, True, bodies)
     for i in range(listeners):
-        lists.heard(1_000.0, f"m{i}", RelaySubscribe(rev=1))
+        lists.receive(1_000.0, f"m{i}", RelaySubscribe(rev=1))
     lists.out.clear()
-    lists.told(1_001.0, 2, False, bodies[:1])
+    lists.service_update(1_001.0, 2, False, bodies[:1])
     return [encode(message) for _, message in lists.out]
 
 
