--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -14,7 +14,7 @@
 from ospreyline.capacity.slopes import Slope
 from ospreyline.decide import SHARED_BY, USED
 from ospreyline.fleet.frames import MAX_MESSAGE_BYTES
-from ospreyline.fleet.links import MOST_LINKS
+from ospreyline.fleet.links import MAX_LINKS
 from ospreyline.fleet.lists import HEARTBEAT_MS, RELAYS_USED
 from ospreyline.fleet.members import MAX_MEMBERS
 from ospreyline.fleet.publisher import MOST_SUBSCRIBERS
@@ -320,7 +320,7 @@
         "connections",
         "links",
         counted("fleet/links", listeners),
-        budget=MOST_LINKS,
+        budget=MAX_LINKS,
         name="links kept",
     )
 
@@ -631,7 +631,7 @@
         CONTROL,
         "machines that are needed, by links",
         "machines",
-        counted("fleet/links", s.balancers * RELAYS_USED / MOST_LINKS),
+        counted("fleet/links", s.balancers * RELAYS_USED / MAX_LINKS),
         budget=s.control_machines,
         name="machines set aside",
     )
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -1,6 +1,7 @@
-"""One balancer among those of its bank: membership, lists and hints over links. Thin: it decides nothing.
+"""Connects one balancer to the others of its bank: membership, list relaying, hints and takeover over links.
 
-It reads the clock, hands what came to the pure modules (`members`, `lists`), and sends what they want sent.
+Thin, without decisions: it reads the clock, passes messages to the pure modules (`members`, `lists`,
+`takeover`), and sends the messages that these return.
 """
 
 from __future__ import annotations
@@ -36,14 +37,14 @@
 from ospreyline.fleet.members import STATE_NAMES, Members
 from ospreyline.fleet.takeover import Takeover
 
-LOOK = 0.05  # s between two looks at what is due
-IDLE = 10.0  # s after which a link that nobody needs is closed
-STATUS = 2.0  # s between two writings of the status file
-UNMET = 1_000.0  # ms from the start for which a configured peer that was not met yet is taken to live
+TICK_S = 0.05
+LINK_IDLE_S = 10.0  # after which a link that no module needs is closed
+STATUS_PERIOD_S = 2.0  # between two writes of the status file; also limits how often changes are logged
+UNMET_PEER_MS = 1_000.0  # from the start, while a configured peer that was not met yet counts as alive
 
 
 class Bank:
-    """What the front holds of the bank, where the operator's file has it on."""
+    """The links of this balancer to its bank; exists only if the operator file configures a bank."""
 
     def __init__(
         self,
@@ -51,99 +52,100 @@
         log: Any,
         name: str,
         zone: str,
-        on: Any,
+        settings: Any,
         seed: int,
         listed: Callable[[ListUpdate], None],
         hinted: Callable[[bytes], None],
         hasten: Callable[[], None],
     ) -> None:
-        """`on` is the `[fleet]` table; `hasten` is called when the list is to be asked for without delay."""
+        """`settings` is the `[fleet]` table. Callbacks: `listed(update)` for a newer list from a relay,
+        `hinted(body)` for a hint, `hasten()` when the list service is to be called without delay."""
         self._loop = loop
         self._log = log
-        self._on = on
+        self._settings = settings
         self._listed, self._hinted, self._hasten = listed, hinted, hasten
         draw = Random(seed + 2).random
-        seeds = [Entry(n, at, "", 0, 0, ALIVE) for n, at in on.named()]
-        # guards: a clock that was set back would make us older than we were; the next hello tells, see below
-        me = Entry(name, on.address or on.listen, zone, int(time() * 1e3), 0, ALIVE)
-        self.members = Members(me, seeds, draw, self._now(), on.watched())
-        self.lists = Lists(name, zone, me.start, draw, self._now()) if on.lists else None
+        seeds = [Entry(n, at, "", 0, 0, ALIVE) for n, at in settings.named()]
+        # after the clock was set back we seem older than our former process: `_on_name_conflict` detects that
+        me = Entry(name, settings.address or settings.listen, zone, int(time() * 1e3), 0, ALIVE)
+        self.members = Members(me, seeds, draw, self._now(), settings.watched())
+        self.lists = Lists(name, zone, me.start, draw, self._now()) if settings.lists else None
         self.links = Links(
             loop,
-            on.bank,
+            settings.bank,
             log,
             lambda: self.members.me,
-            self._greeted,
-            self._heard,
-            self._lost,
-            self._namesake,
+            self._on_hello,
+            self._on_message,
+            self._on_lost,
+            self._on_name_conflict,
         )
         self._timer: asyncio.TimerHandle | None = None
-        self.takeover: Takeover | None = None  # of work in hand, where it is on
-        self._taken_over: Callable[[], None] = lambda: None
-        self._starts: dict[str, int] = {}  # of the members' processes
-        self._cover = (-1, -1)
-        self._hears = (1, 1)
-        self._alone = False  # nobody tells us the list
-        self._spared = False  # others tell it us, or ask for it
-        self._said_at = self._now() + 1e3
+        self.takeover: Takeover | None = None  # if it is switched on
+        self._on_takeover_news: Callable[[], None] = lambda: None
+        self._starts: dict[str, int] = {}  # start of each member's process, by name
+        self._last_coverage = (-1, -1)
+        self._reachability = (1, 1)
+        self._alone = False  # no relay serves us
+        self._spared = False  # relays serve us, or poll the service for us
+        self._log_due_at = self._now() + 1e3
         self._status_at = 0.0
         self._writing: asyncio.Future[None] | None = None
-        self._begun = self._looked = self._now()
-        self._roles()
+        self._begun = self._last_tick = self._now()
+        self._update_roles()
 
     def guard(self, takeover: Takeover, news: Callable[[], None]) -> None:
-        """Takeover is on; `news` is called when it has some for the front."""
-        self.takeover, self._taken_over = takeover, news
+        """Adds takeover; `news` is called when it has results for the request handling."""
+        self.takeover, self._on_takeover_news = takeover, news
 
     @staticmethod
     def _now() -> float:
         return monotonic() * 1e3
 
     async def start(self) -> None:
-        """Listen, and speak from now on."""
-        at = facts.address(self._on.listen, lowest_port=0)
-        assert at is not None  # checked when the file was read
-        found = await self.links.listen(at)
-        if not self._on.address:
+        """Accepts links and begins to tick. `OSError` if the address cannot be bound."""
+        at = facts.address(self._settings.listen, lowest_port=0)
+        assert at is not None  # checked when the operator file was read
+        bound = await self.links.listen(at)
+        if not self._settings.address:
             me = self.members.me
             self.members.me = Entry(
-                me.name, "{}:{}".format(*found), me.zone, me.start, me.incarnation, me.state
+                me.name, "{}:{}".format(*bound), me.zone, me.start, me.incarnation, me.state
             )
-        self._log.info("fleet listens", bank=self._on.bank, listen="{}:{}".format(*found))
-        self._look()
+        self._log.info("fleet listens", bank=self._settings.bank, listen="{}:{}".format(*bound))
+        self._tick()
 
-    def _look(self) -> None:
-        self._timer = self._loop.call_later(LOOK, self._look)
+    def _tick(self) -> None:
+        self._timer = self._loop.call_later(TICK_S, self._tick)
         now = self._now()
         self.members.tick(now)
         if self.lists is not None and not self.members.superseded:
-            if now - self._begun >= UNMET > self._looked - self._begun:
-                self._roles()  # guards: peers that never come up would keep everybody from passing on
-            self._looked = now
+            if now - self._begun >= UNMET_PEER_MS > self._last_tick - self._begun:
+                self._update_roles()  # peers that never start must not keep others from being relays
+            self._last_tick = now
             before = self.lists.passing or self._alone
             self.lists.tick(now)
             self._alone = self.lists.unserved(now)
-            spared, self._spared = self._spared, self.lists.asked_for_us(now)
-            # guards: whoever asked a service that is down for us may be gone before it is back
-            if ((self.lists.passing or self._alone) and not before) or (spared and not self._spared):
+            was_spared, self._spared = self._spared, self.lists.asked_for_us(now)
+            # the relay that polled a failed service for us may itself be gone before the service is back
+            if ((self.lists.passing or self._alone) and not before) or (was_spared and not self._spared):
                 self._hasten()
         wanted = set(self.members.neighbours) | set(self.lists.relays if self.lists else ())
         if self.takeover is not None:
-            hears, of = self.members.reachability()
-            self.takeover.meeting = hears < of
+            reachable, total = self.members.reachability()
+            self.takeover.meeting = reachable < total
             self.takeover.tick(now)
             wanted.update(self.takeover.links())
         self.carry_out()
-        self.links.tidy(wanted, IDLE)
-        if self._on.status and now >= self._status_at:
-            self._status_at = now + 1e3 * STATUS
+        self.links.tidy(wanted, LINK_IDLE_S)
+        if self._settings.status and now >= self._status_at:
+            self._status_at = now + 1e3 * STATUS_PERIOD_S
             self._write_status()
 
     def carry_out(self) -> None:
-        """What the pure modules want sent and said."""
+        """Sends and logs what the pure modules have ready."""
         out, self.members.out = self.members.out, []
-        news, self.members.changes = self.members.changes, []
+        changes, self.members.changes = self.members.changes, []
         if self.lists is not None:
             out += self.lists.out
             self.lists.out = []
@@ -151,31 +153,36 @@
             out += self.takeover.out
             self.takeover.out = []
             if self.takeover.news:
-                self._taken_over()
+                self._on_takeover_news()
         for name, message in out:
             self.links.send(name, facts.address(self.members.address(name)), message)
-        for entry, before in news:
+        for entry, before in changes:
             if entry.state >= SUSPECT or before > ALIVE:
                 self._log.info("member", peer=entry.name, state=STATE_NAMES[entry.state], zone=entry.zone)
-        if news:
-            self._roles()
+        if changes:
+            self._update_roles()
             if self.takeover is not None:
-                self._covers(self.takeover, news)
-        # guards: a bank that starts changes it with each member
-        if self._now() >= self._said_at and (hears := self.members.reachability()) != self._hears:
-            self._hears, self._said_at = hears, self._now() + 1e3 * STATUS
-            self._log.info("fleet", hears=hears[0], of=hears[1], words=words(*hears))
-        if self.takeover is not None and self._now() >= self._said_at:
-            cover = self.takeover.covered(self._now())
-            if cover != self._cover:
-                self._cover, self._said_at = cover, self._now() + 1e3 * STATUS
-                self._log.info("cover", guardians=cover[0], of=cover[1])
-
-    def _covers(self, takeover: Takeover, news: list[tuple[Entry, int]]) -> None:
-        """Who guards follows from the members; who is dead, or was replaced, has lost what it had in hand."""
+                self._update_takeover(self.takeover, changes)
+        # rate-limited: while a bank starts this changes with each member
+        if (
+            self._now() >= self._log_due_at
+            and (reachability := self.members.reachability()) != self._reachability
+        ):
+            self._reachability, self._log_due_at = reachability, self._now() + 1e3 * STATUS_PERIOD_S
+            self._log.info(
+                "fleet", hears=reachability[0], of=reachability[1], words=reachability_text(*reachability)
+            )
+        if self.takeover is not None and self._now() >= self._log_due_at:
+            coverage = self.takeover.covered(self._now())
+            if coverage != self._last_coverage:
+                self._last_coverage, self._log_due_at = coverage, self._now() + 1e3 * STATUS_PERIOD_S
+                self._log.info("cover", guardians=coverage[0], of=coverage[1])
+
+    def _update_takeover(self, takeover: Takeover, changes: list[tuple[Entry, int]]) -> None:
+        """Passes member changes to takeover: a member that died or was restarted has lost its visits."""
         now, members = self._now(), self.members.members
         takeover.members(now, [(n, m.entry.zone) for n, m in members.items() if m.entry.state <= SUSPECT])
-        for entry, _ in news:
+        for entry, _ in changes:
             start = self._starts.get(entry.name, entry.start)
             self._starts[entry.name] = entry.start
             if entry.state == DEAD or entry.start > start:
@@ -183,31 +190,32 @@
         for name in [n for n in self._starts if n not in members]:
             del self._starts[name]
 
-    def _roles(self) -> None:
+    def _update_roles(self) -> None:
+        """Passes the alive members to `lists`, which chooses the relays."""
         if self.lists is None:
             return
         members = self.members.members
-        living = [(n, m.entry.zone, m.entry.start) for n, m in members.items() if m.entry.state < DEAD]
-        if self._now() - self._begun < UNMET:
-            # until members are known, the configured peers are taken to live, in our zone and before us
-            living += [
+        alive = [(n, m.entry.zone, m.entry.start) for n, m in members.items() if m.entry.state < DEAD]
+        if self._now() - self._begun < UNMET_PEER_MS:
+            # until members are known, configured peers count as alive, in our zone and older than we are
+            alive += [
                 (n, self.lists.zone, 0)
-                for n, _ in self._on.named()
+                for n, _ in self._settings.named()
                 if n not in members and n != self.lists.name
             ]
-        self.lists.set_members(self._now(), living)
+        self.lists.set_members(self._now(), alive)
 
     # links
 
-    def _greeted(self, entry: Entry, wanted: bool) -> None:
+    def _on_hello(self, entry: Entry, accepted: bool) -> None:
         now = self._now()
         self.members.linked_to(now, entry.name)
         if self.takeover is not None:
             self.takeover.linked(now, entry.name)
-        self.members.hello_received(now, entry, wanted)
+        self.members.hello_received(now, entry, accepted)
         self.carry_out()
 
-    def _heard(self, name: str, message: Message) -> None:
+    def _on_message(self, name: str, message: Message) -> None:
         now = self._now()
         if isinstance(message, Sit | Pulse | Say):
             if self.takeover is not None:
@@ -216,51 +224,51 @@
             self._hinted(message.body)
         elif isinstance(message, RelaySubscribe | RelayedList | RelayUnavailable):
             if self.lists is not None:
-                news = self.lists.receive(now, name, message)
-                if news is not None:
-                    self._listed(news)
+                update = self.lists.receive(now, name, message)
+                if update is not None:
+                    self._listed(update)
         else:
             self.members.receive(now, name, message)
         self.carry_out()
 
-    def _lost(self, name: str) -> None:
+    def _on_lost(self, name: str) -> None:
         now = self._now()
         self.members.unlinked(now, name)
         if self.takeover is not None:
             self.takeover.unlinked(now, name)
             member = self.members.members.get(name)
             if member is not None and member.entry.state == LEFT:
-                self.takeover.lost(now, name)  # it ends of its own will, and will finish nothing any more
+                self.takeover.lost(now, name)  # it has left on purpose and will finish no visit any more
             self.carry_out()
         if self.lists is not None:
             self.lists.remove_peer(name)
 
-    def _namesake(self, entry: Entry) -> None:
-        """Another process has our name: the older one stops speaking."""
+    def _on_name_conflict(self, entry: Entry) -> None:
+        """Another process has our name: the older one stops sending."""
         if entry.start > self.members.me.start and not self.members.superseded:
             self.members.superseded = True
-            self._log.error("a newer process has our name: we speak no more", address=entry.address)
+            self._log.error("a newer process has our name: sending nothing any more", address=entry.address)
 
-    # what the front tells
+    # called by the event dispatcher
 
     def begin(self, rev: int, targets: list[tuple[str, bool, bytes]]) -> None:
-        """The list that this process starts with, as (id, whether it has left, its bytes)."""
+        """Sets the list that this process starts with, as (uid, whether it has left, its JSON)."""
         if self.lists is not None:
             self.lists.begin(rev, targets)
 
     def tell(self, body: bytes) -> None:
-        """A hint of the decisions, to all that are linked."""
+        """Sends a hint of the decision module to all linked members."""
         for name in sorted(self.members.linked):
             self.links.send(name, None, Hint(body=body))
 
     def told(self, rev: int, whole: bool, targets: list[tuple[str, bool, bytes]]) -> None:
-        """The list service has said something on our own watch."""
+        """The list service has sent something on our own watch; `targets` as in `begin`."""
         if self.lists is not None:
             self.lists.service_update(self._now(), rev, whole, targets)
             self.carry_out()
 
     def told_nothing(self) -> bool:
-        """Our own watch has ended or a call failed; whether others tell us the list, or ask for it."""
+        """Our own watch ended or a call failed; returns whether relays serve us, or poll the service."""
         if self.lists is None:
             return False
         self.lists.service_lost(self._now())
@@ -268,16 +276,17 @@
         return not self.lists.passing and self.lists.asked_for_us(self._now())
 
     def counts(self) -> dict[str, Any]:
-        """For the line of counts."""
-        hears, of = self.members.reachability()
+        """Values for the periodic `counts` log line."""
+        reachable, total = self.members.reachability()
         return {
-            "fleet_hears": hears,
-            "fleet_of": of,
+            "fleet_hears": reachable,
+            "fleet_of": total,
             "fleet_links": len(self.links.by_name),
             "fleet_dropped": self.links.dropped,
         }
 
     def leave(self) -> None:
+        """Announces that this process ends on purpose."""
         self.members.leave(self._now())
         self.carry_out()
 
@@ -289,15 +298,16 @@
     # status
 
     def status(self) -> dict[str, Any]:
-        hears, of = self.members.reachability()
+        """The contents of the status file."""
+        reachable, total = self.members.reachability()
         now = self._now()
         return {
             "name": self.members.me.name,
-            "bank": self._on.bank,
+            "bank": self._settings.bank,
             "at": time(),
-            "hears": hears,
-            "of": of,
-            "words": words(hears, of),
+            "hears": reachable,
+            "of": total,
+            "words": reachability_text(reachable, total),
             "superseded": self.members.superseded,
             "doubt": self.members.health_score,
             "neighbours": self.members.neighbours,
@@ -323,17 +333,19 @@
         if self._writing is not None:
             return
         text = msgspec.json.format(msgspec.json.encode(self.status())) + b"\n"
-        self._writing = self._loop.run_in_executor(None, write, Path(self._on.status), text)
-        self._writing.add_done_callback(self._written)
+        self._writing = self._loop.run_in_executor(None, write, Path(self._settings.status), text)
+        self._writing.add_done_callback(self._status_written)
 
-    def _written(self, done: asyncio.Future[None]) -> None:
+    def _status_written(self, done: asyncio.Future[None]) -> None:
         self._writing = None
         if not done.cancelled() and (error := done.exception()) is not None:
-            self._log.warning("status not written", file=self._on.status, why=str(error))
+            self._log.warning("could not write the status file", file=self._settings.status, why=str(error))
 
 
-def words(hears: int, of: int) -> str:
-    """How much of the bank is heard, in words."""
-    if of <= 1:
+def reachability_text(reachable: int, total: int) -> str:
+    """How much of the bank is reachable, as text."""
+    if total <= 1:
         return "alone by its configuration"
-    return "hears all" if hears >= of else "alone" if hears <= 1 else f"hears {hears} of {of}"
+    return (
+        "hears all" if reachable >= total else "alone" if reachable <= 1 else f"hears {reachable} of {total}"
+    )
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -16,7 +16,7 @@
 from ospreyline.__main__ import main
 from ospreyline.facts import FactError
 from ospreyline.fleet import frames, lists
-from ospreyline.fleet.bank import Bank, words
+from ospreyline.fleet.bank import Bank, reachability_text
 from ospreyline.fleet.frames import ALIVE, Entry, Hello
 from ospreyline.rig.run import ROOT
 
@@ -128,18 +128,21 @@
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "not a balancer frame"),
         (frames.HEAD.pack(frames.MAGIC, frames.VERSION - 1, 1 << 30, 0), "exceeds the limit"),
-        (frames.encode(frames.Ping(sequence=1)), "no hello"),
+        (frames.encode(frames.Ping(sequence=1)), "not a hello"),
         (
             frames.encode(Hello(bank="other", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")),
             "another bank",
         ),
-        (frames.encode(Hello(bank="b", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")), "dialled for"),
+        (
+            frames.encode(Hello(bank="b", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="q")),
+            "hello addressed to",
+        ),
         (frames.encode(Hello(bank="b", sender=Entry("a", "h:1", "z", 1, 0, ALIVE), to="a")), "our own name"),
-        (frames.encode(frames.RelayUnavailable())[:9], "silent"),
+        (frames.encode(frames.RelayUnavailable())[:9], "no data received"),
     ],
 )
 def test_what_does_not_belong_costs_its_link_and_nothing_else(wire, why, monkeypatch):
-    monkeypatch.setattr("ospreyline.fleet.links.GREET", 0.3)
+    monkeypatch.setattr("ospreyline.fleet.links.HELLO_TIMEOUT_S", 0.3)
 
     async def story():
         a = await Stand("a").start()
@@ -161,7 +164,7 @@
 
 
 def test_a_peer_that_does_not_read_costs_bounded_memory(monkeypatch):
-    monkeypatch.setattr("ospreyline.fleet.links.MOST_UNSENT", 1 << 14)
+    monkeypatch.setattr("ospreyline.fleet.links.MAX_QUEUED_BYTES", 1 << 14)
 
     async def story():
         a = await Stand("a").start()
@@ -174,7 +177,7 @@
         for _ in range(3_000):
             link.write(frames.Hint(body=b"x" * 8_000))
             await asyncio.sleep(0)
-        assert a.bank.links.dropped > 0 and link._bytes <= 1 << 14
+        assert a.bank.links.dropped > 0 and link._queued_bytes <= 1 << 14
         writer.close()
         a.bank.close()
 
@@ -204,7 +207,7 @@
     ],
 )
 def test_how_much_is_heard_is_said_in_words(hears, of, said):
-    assert words(hears, of) == said
+    assert reachability_text(hears, of) == said
 
 
 @pytest.mark.parametrize(
