--- a/ospreyline/fleet/__init__.py
+++ b/ospreyline/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What balancers of one bank do together, or for each other's sake; every part is off unless switched on."""
+"""What the balancers of one bank do together; each part is off unless the operator file switches it on."""
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -31,7 +31,7 @@
     Say,
     Sit,
 )
-from ospreyline.fleet.kept import write
+from ospreyline.fleet.kept import write_atomically
 from ospreyline.fleet.links import Links
 from ospreyline.fleet.lists import Lists, ListUpdate
 from ospreyline.fleet.members import STATE_NAMES, Members
@@ -333,7 +333,7 @@
         if self._writing is not None:
             return
         text = msgspec.json.format(msgspec.json.encode(self.status())) + b"\n"
-        self._writing = self._loop.run_in_executor(None, write, Path(self._settings.status), text)
+        self._writing = self._loop.run_in_executor(None, write_atomically, Path(self._settings.status), text)
         self._writing.add_done_callback(self._status_written)
 
     def _status_written(self, done: asyncio.Future[None]) -> None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -134,7 +134,7 @@
 def test_a_kept_list_comes_back_as_it_was():
     found = kept.decode(kept.encode(1_000.0, 7, TARGETS), 61_000.0, 86_400e3)
     assert (found.rev, found.age, found.count) == (7, 60_000.0, 3)
-    assert json.loads(found.known) == {"rev": 7, "all": True, "targets": [json.loads(t) for t in TARGETS]}
+    assert json.loads(found.body) == {"rev": 7, "all": True, "targets": [json.loads(t) for t in TARGETS]}
 
 
 WHOLE = kept.encode(1_000.0, 7, TARGETS)
@@ -142,7 +142,7 @@
 
 def test_a_kept_list_that_was_cut_short_anywhere_is_not_taken():
     for cut in range(len(WHOLE)):
-        with pytest.raises(kept.KeptError):
+        with pytest.raises(kept.CachedListError):
             kept.decode(WHOLE[:cut], 2_000.0, 86_400e3)
 
 
@@ -150,13 +150,13 @@
     ("text", "now", "why"),
     [
         (WHOLE.replace(b"9001", b"9999"), 2_000.0, "checksum"),
-        (b"ospreyline-list 2 " + WHOLE[18:], 2_000.0, "no form"),
+        (b"ospreyline-list 2 " + WHOLE[18:], 2_000.0, "unknown file format"),
         (WHOLE, 90_000_000.0, "s old"),
         (WHOLE, -400_000.0, "future"),
     ],
 )
 def test_a_kept_list_that_is_damaged_or_old_is_taken_not_at_all(text, now, why):
-    with pytest.raises(kept.KeptError, match=why):
+    with pytest.raises(kept.CachedListError, match=why):
         kept.decode(text, now, 86_400e3)
 
 
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -193,7 +193,7 @@
     day.kept()
     events = [line["event"] for b in range(3) for line in day.log(b)]
     assert events.count("serving") > 6 and "reloaded" in events
-    assert ("kept list taken" in events) is keep
+    assert ("cached list loaded" in events) is keep
     # a kept list serves while nobody listens at the service; without one there is nobody to send to
     late = [row for row in day.of("try", how="answer") if row["status"] == 200]
     begun = day.of("day")[0]["t"]
@@ -246,7 +246,7 @@
         ],
     )
     day.kept()
-    assert sum(line["event"] == "kept list taken" for b in range(3) for line in day.log(b)) == 3
+    assert sum(line["event"] == "cached list loaded" for b in range(3) for line in day.log(b)) == 3
     assert day.figures["gain"] > 0.5
 
 
