--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,7 +1,7 @@
-"""Bytes that arrive in the instant in which a connection is shut or closed, by either side.
+"""Bytes that arrive at the moment in which either side half-closes or closes a connection.
 
-A story that needs bytes to lie unread writes them and goes on without giving the loop a pass, or holds the
-loop between its look at the sockets and its timers, as a long callback would.
+A test that needs bytes to lie unread in a socket writes them and goes on without an iteration of the event
+loop, or blocks the loop between polling the sockets and running its timers, as a long callback would.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 async def connected(service, least=1, receive=0):
-    """A client's socket in the story's own hand, once the balancer has its connection."""
+    """A raw client socket and its `Client`, once the balancer has accepted the connection."""
     sock, before = socket.socket(), len(service.clients.open)
     if receive:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -53,7 +53,7 @@
 
 
 async def read_all(sock):
-    """All that comes until its end; a reset raises."""
+    """Everything up to the end of the stream; a reset raises `ConnectionResetError`."""
     loop, got = asyncio.get_running_loop(), bytearray()
     async with asyncio.timeout(5):
         while data := await loop.sock_recv(sock, 65_536):
@@ -62,7 +62,7 @@
     return bytes(got)
 
 
-# what the machine holds back
+# TCP_NODELAY
 
 
 def nodelay(transport):
@@ -70,7 +70,7 @@
 
 
 def test_small_writes_are_held_back_on_no_socket_of_ours():
-    async def story():
+    async def scenario():
         registry = Registry()
         peer = Peer(SILENT)
         async with running(peer, registry=registry) as service:
@@ -85,20 +85,21 @@
         a = await Stand("a").start()
         b = await Stand("b", a).start()
         await until(lambda: a.knows(b) and b.knows(a))
-        links = [link for s in (a, b) for link in s.bank.links.open]  # one that was dialled, one accepted
+        links = [link for s in (a, b) for link in s.bank.links.open]  # one dialled, one accepted
         assert len(links) == 2 and all(nodelay(link.transport) == 1 for link in links)
         for s in (a, b):
             s.bank.close()
 
-    play(story)
+    play(scenario)
 
 
-# a shutdown, a close, and what comes from the client
+# our half-close or close, and bytes from the client
 
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_can_be_sent_anew(monkeypatch):
-    # the shutdown came a pass later, so a request that came meanwhile was read before it and had no answer
-    async def story():
+    # Prevents a half-close that takes effect one loop iteration later: a request that arrived in between was
+    # read and never answered.
+    async def scenario():
         monkeypatch.setattr(clients, "SETTLED", -1.0)
         peer = Peer()
         async with running(peer) as service:
@@ -109,12 +110,12 @@
 
             def idle():
                 found = real()
-                sock.sendall(request(trace="crosses"))  # behind the look at its socket
+                sock.sendall(request(trace="crosses"))  # after its socket was checked
                 return found
 
             monkeypatch.setattr(service.clients, "_idle", idle)
             service.clients.finish_idle()
-            # its end is out before anything more is read: what comes has crossed it, and may be sent anew
+            # our end of stream is sent before anything more is read: a request that crosses it can be retried
             assert sock.recv(4096, socket.MSG_DONTWAIT) == b""
             while not client._left_over:
                 await asyncio.sleep(0)
@@ -122,12 +123,12 @@
             assert (await (await caller(service)).ask(request(trace="crosses")))[0] == 200
             assert len(peer.requests) == 2 and not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("when", ["with it", "after it"])
 def test_a_request_behind_the_last_one_is_never_sent_on(when):
-    async def story():
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
             sock, _ = await connected(service)
@@ -144,7 +145,7 @@
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(WHOLE) and len(peer.requests) == 1
             assert not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
 def send_buffer(client, size):
@@ -153,8 +154,9 @@
 
 @pytest.mark.parametrize("ends", ["stop", "idle for long"])
 def test_a_connection_that_rested_for_long_is_read_on_after_its_end(ends, monkeypatch):
-    # it counted as slow since its last answer: cut at the next round, and what crossed its end met a reset
-    async def story():
+    # Prevents an idle connection from counting as slow since its last answer: it was cut at the next cleanup,
+    # and a request that crossed our half-close got a reset.
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             sock, client = await connected(service)
@@ -166,17 +168,17 @@
                 service.clients.finish_idle()
             else:
                 service.clients.tidy()
-            service.clients.tidy()  # the round after
+            service.clients.tidy()  # the next cleanup
             sock.sendall(request(trace="crosses"))
             while not client._left_over and client in service.clients.open:
                 await asyncio.sleep(0)
             assert client in service.clients.open and await read_all(sock) == b"" and len(peer.requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 async def answered_slowly(service, body, **fields):
-    """A client that has asked and does not read; its answer is out of our buffer, but still here."""
+    """A client that has sent a request and does not read: its answer is in the kernel's send buffer."""
     slow, client = await connected(service, receive=4096)
     send_buffer(client, 2 * len(body))
     slow.sendall(request(**fields))
@@ -188,7 +190,7 @@
 
 
 async def in_a_long_pass(event, lasts):
-    """Something happens right after the loop has asked which sockets have bytes; then timers become due."""
+    """Calls `event` right after the loop polled the sockets, then blocks the loop: timers come due."""
     loop, (ours, others), over = asyncio.get_running_loop(), socket.socketpair(), asyncio.Event()
 
     def read():
@@ -206,13 +208,14 @@
 
 @pytest.mark.parametrize("how", ["lingered", "cut as slow", "end of the process"])
 def test_a_close_over_unread_bytes_takes_no_answer_with_it(how, monkeypatch):
-    # closed with bytes unread, the connection was reset, and what the machine still held was lost
-    async def story():
+    # Closing a socket with unread bytes resets the connection, and drops the answer that the kernel still
+    # holds.
+    async def scenario():
         monkeypatch.setattr(clients, "LINGER", 0.1)
         body = b"x" * 150_000
         async with running(Peer(ok(body))) as service:
             slow, client = await answered_slowly(service, body, Connection="close")
-            # bytes that come once the sockets have been read lie there at the close
+            # bytes that arrive after the sockets were read are unread at the close
             if how == "lingered":
                 await in_a_long_pass(lambda: slow.sendall(b"more"), 0.15)
             else:
@@ -226,17 +229,17 @@
                 await asyncio.sleep(0)
             assert (await read_all(slow)).endswith(body)
 
-    play(story)
+    play(scenario)
 
 
 def test_a_lingering_connection_is_read_on_while_the_machine_holds_its_answer(monkeypatch):
-    # closed after 1 s, whatever came later was answered by a reset, and the rest of the answer was lost
-    async def story():
+    # Closed after 1 s, the connection answered later bytes by a reset, and the rest of the answer was lost.
+    async def scenario():
         monkeypatch.setattr(clients, "LINGER", 0.05)
         body = b"x" * 150_000
         async with running(Peer(ok(body))) as service:
             slow, client = await answered_slowly(service, body, Connection="close")
-            time.sleep(0.1)  # its time is over
+            time.sleep(0.1)  # the lingering close has timed out
             for _ in range(5):
                 await asyncio.sleep(0)
             slow.sendall(b"more")
@@ -245,12 +248,13 @@
                 await asyncio.sleep(0)
             assert client._left_over == 4
 
-    play(story)
+    play(scenario)
 
 
 def test_the_end_waits_for_what_the_machine_holds(monkeypatch):
-    # out of our buffer is not with the client: a byte from it after the end, and the rest was gone
-    async def story():
+    # An answer that has left our buffer may not have reached the client: after an exit at that point, one
+    # byte from the client caused a reset and the rest of the answer was lost.
+    async def scenario():
         for name, value in (
             ("MOST_NOTICE", 0.0),
             ("LAST_ANSWERS", 0.05),
@@ -262,21 +266,22 @@
         async with running(Peer(ok(body))) as service:
             slow, _ = await answered_slowly(service, body, Connection="close")
             stop = asyncio.ensure_future(service.stop())
-            await asyncio.sleep(0.1)  # past the moment at which all was closed
+            await asyncio.sleep(0.1)  # past the time at which all connections were closed
             assert not stop.done()
             slow.sendall(b"more")
             assert (await read_all(slow)).endswith(body)
             await asyncio.wait_for(stop, 4)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
     "how", ["has asked nothing", "half a request", "kept", "makes room", "makes room, kept"]
 )
 def test_a_connection_is_not_cut_over_a_request_that_lies_in_its_socket(how, monkeypatch):
-    # what came in a long pass lay unread when its timers ran, and was cut with what it had asked
-    async def story():
+    # Bytes that arrived in a long loop iteration were unread when its timers ran, and the connection was cut
+    # with the request in its socket.
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             sock, client = await connected(service)
@@ -298,11 +303,11 @@
             assert b"lies" in peer.requests[-1][0]
             sock.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_request_that_is_accepted_as_the_stop_begins_is_answered(monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(service_module, "KEEP_ACCEPTING", 0.0)
         peer = Peer()
         async with running(peer) as service:
@@ -310,18 +315,19 @@
             sock.setblocking(False)
             sock.sendall(request("/change", "POST", b"x"))
             service.clients.accept()
-            assert service.clients._coming and not service.clients.open  # accepted just now, and no more
+            assert service.clients._coming and not service.clients.open  # accepted, but not yet set up
             stop = asyncio.ensure_future(service.stop())
             assert (await read_all(sock)).startswith(b"HTTP/1.1 200")
             await asyncio.wait_for(stop, 4)
             assert len(peer.requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_request_that_is_whole_only_as_the_end_comes_is_answered(monkeypatch):
-    # all that was out had been answered, once; the rest of a slow one that came then was taken, and cut off
-    async def story():
+    # Once all pending requests were answered, the rest of a slow request was still accepted, and then cut
+    # off.
+    async def scenario():
         for name, value in (
             ("MOST_NOTICE", 0.0),
             ("LAST_ANSWERS", 0.05),
@@ -338,25 +344,25 @@
             while not client._reading:
                 await asyncio.sleep(0)
             stop = asyncio.ensure_future(service.stop())
-            await asyncio.sleep(0.1)  # the last answers are on their way
+            await asyncio.sleep(0.1)  # the last answers are being sent
             late.sendall(whole[-1:])
             assert (await read_all(late)).startswith((b"HTTP/1.1 502", b"HTTP/1.1 504"))
-            assert service.turn.counts["overdue"] == 1  # by the stop, not by its fetch's time-out
+            assert service.turn.counts["overdue"] == 1  # because of the stop, not of its fetch timeout
             assert (await read_all(slow)).endswith(body)
             await asyncio.wait_for(stop, 4)
             assert not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
-# a close, and what comes from an upstream
+# a close by an upstream, and what it sends
 
 
 @pytest.mark.parametrize("path", ["/read", "/tag", "/change"])
 @pytest.mark.parametrize("how", ["end", "reset", "half a line and end"])
 def test_a_connection_that_has_ended_as_it_comes_up_is_not_written_on(how, path, monkeypatch):
-    # an upstream that is killed right after it accepted: written on, the request might have run
-    async def story():
+    # An upstream is killed right after it accepted: a request written to it might have executed.
+    async def scenario():
         raw = Raw()
         real, first = upstreams.Peer._connect, []
 
@@ -367,7 +373,7 @@
                 first.append(sock)
                 if how.startswith("half"):
                     sock.send(b"HTTP/1.1 2")
-                # nothing is read between this and the write
+                # nothing is read between this and our write
                 reset(sock) if how == "reset" else sock.close()
 
         monkeypatch.setattr(upstreams.Peer, "_connect", connect)
@@ -383,13 +389,13 @@
             assert service.turn.counts["unreached"] == 1 and not service.turn.counts["reset"]
             conn.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("path", ["/read", "/change"])
 @pytest.mark.parametrize("first", ["half a line", "choice"])
 def test_half_a_line_and_a_close_on_a_resting_connection_spoil_no_answer(first, path, monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE", 0.0)
         raw = Raw()
         async with running(known=[target(u, raw.port) for u in ("u0", "u1")]) as service:
@@ -406,7 +412,7 @@
 
             def crossed(self, errand, now):
                 start(self, errand, now)
-                if conn.fileno() >= 0:  # the very pass: the request is out, the end comes
+                if conn.fileno() >= 0:  # the same loop iteration: the request is sent, the end arrives
                     ends()
 
             if first == "half a line":
@@ -415,7 +421,7 @@
                 monkeypatch.setattr(upstreams.Conn, "start", crossed)
             client.writer.write(asked(path, trace="next"))
             if first == "choice" and path == "/change":
-                assert (await client.answer())[0] == 502  # it may have run
+                assert (await client.answer())[0] == 502  # it may have executed
                 return
             again, got = await raw.take()
             assert b"next" in got
@@ -424,7 +430,7 @@
             assert service.turn.counts["reset"] == (first == "choice")
             again.close()
 
-    play(story)
+    play(scenario)
 
 
 HEADS = {
@@ -446,8 +452,8 @@
 @pytest.mark.parametrize("head", HEADS)
 @pytest.mark.parametrize("read", ["in turn", "at once"])
 def test_an_answer_that_breaks_off_counts_as_whole_only_where_its_end_is_its_length(head, how, path, read):
-    # a reset is no end, whatever the head said and however much had come
-    async def story():
+    # a reset never completes an answer, whatever its head says and however much has arrived
+    async def scenario():
         raw = Raw()
         async with running(known=[target(u, raw.port) for u in ("u0", "u1")]) as service:
             client = await caller(service)
@@ -469,24 +475,24 @@
             assert (await client.answer())[::2] == (200, b"again")
             again.close()
 
-    play(story)
+    play(scenario)
 
 
-# pieces
+# partial reads
 
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n7\r\n answer\r\n0\r\n\r\n"
 
 
 def pieces_of(data):
-    """All ways to cut it in two, and then byte by byte."""
+    """All splits in two, and one byte by byte."""
     return [[data[:at], data[at:]] for at in range(1, len(data))] + [
         [data[at : at + 1] for at in range(len(data))]
     ]
 
 
 def counted(kind, monkeypatch):
-    """How often a connection of this kind has been handed bytes from now on."""
+    """Records from now on the data of each `data_received` call on connections of class `kind`."""
     calls, real = [], kind.data_received
 
     def data_received(conn, data):
@@ -499,7 +505,7 @@
 
 @pytest.mark.parametrize("path", ["/read", "/tag", "chunked"])
 def test_a_request_may_come_in_pieces_at_every_byte(path, monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE", 0.0)
         peer, calls = Peer(), counted(clients.Client, monkeypatch)
         async with running(peer) as service:
@@ -521,12 +527,12 @@
                 assert peer.requests[-1][1] == (b"" if path == "/read" else b"x")
             sock.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("answer", [ok(WHOLE), CHUNKED])
 def test_an_answer_may_come_in_pieces_at_every_byte(answer, monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE", 0.0)
         raw, calls = Raw(), counted(upstreams.Conn, monkeypatch)
         async with running(known=[target("u0", raw.port)]) as service:
@@ -542,10 +548,10 @@
                         await asyncio.sleep(0)
                 assert (await client.answer())[::2] == (200, WHOLE)
                 client.writer.write(request())
-                assert await asyncio.wait_for(loop.sock_recv(conn, 4096), 5)  # on the same connection
+                assert await asyncio.wait_for(loop.sock_recv(conn, 4096), 5)  # still the same connection
             conn.close()
 
-    play(story)
+    play(scenario)
 
 
 # floods, slow clients, requests without an answer
@@ -554,7 +560,7 @@
 @pytest.mark.parametrize("goes", ["end", "reset"])
 @pytest.mark.parametrize("sends", ["requests", "a body", "nonsense", "a request and a half"])
 def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(sends, goes):
-    async def story():
+    async def scenario():
         data = {
             "requests": request("/change", "POST", b"x") * 300,
             "a body": request("/change", "POST", Content_Length="60000") + b"x" * 50_000,
@@ -579,13 +585,14 @@
             assert len(peer.requests) == 2 and not service.turn.visits and not service.turn._ids
             assert not service.turn.counts["faults"]
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("waits", [True, False])
 def test_empty_lines_without_end_cost_their_connection(waits):
-    # between requests they were read for 75 s, as fast as they came; a few before a request are no fault
-    async def story():
+    # Empty lines between requests were read for 75 s, as fast as they came; a few before a request are
+    # allowed.
+    async def scenario():
         peer = Peer(ok(b"first"), SILENT if waits else ok())
         async with running(peer) as service:
             sock, client = await connected(service)
@@ -604,11 +611,11 @@
             got = await read_all(sock)
             assert got.startswith(b"HTTP/1.1 200" if waits else b"HTTP/1.1 413") and b"HTTP/1.1 413" in got
 
-    play(story)
+    play(scenario)
 
 
 def test_a_client_that_writes_slowly_is_served_and_one_that_reads_slowly_is_not_cut():
-    async def story():
+    async def scenario():
         body = b"x" * 600_000
         async with running(Peer(ok(body))) as service:
             slow, client = await connected(service, receive=4096)
@@ -616,27 +623,27 @@
             loop, data = asyncio.get_running_loop(), request(X_Long="y" * 400)
             for at in range(0, len(data), 100):
                 slow.sendall(data[at : at + 100])
-                client.since -= 0.3  # as much later, and within its time
+                client.since -= 0.3  # as if it came 0.3 s later, within the time allowed
                 service.clients.tidy()
                 for _ in range(5):
                     await asyncio.sleep(0)
             while not (client.asked and client.transport.get_write_buffer_size()):
                 await asyncio.sleep(0)
             got = bytearray()
-            client.since -= 10.0  # far longer than a request may take
+            client.since -= 10.0  # far longer than a request is allowed to take
             while len(got) < len(body):
                 service.clients.tidy()
                 got += await loop.sock_recv(slow, 65_536)
             assert b"200 OK" in got and service.turn.counts["cut_slow"] == 0
             slow.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("path", ["/read", "/tag", "/change"])
 def test_whatever_an_upstream_does_each_request_has_one_answer_in_time(path):
-    # what our own backstops guarantee: the client timeout and 15 ms, then the turn that is under way
-    async def story():
+    # Our own timers guarantee an answer within the client timeout and 15 ms, plus the event batch under way.
+    async def scenario():
         odd = [
             SILENT,
             RESET,
@@ -663,17 +670,18 @@
                 client.writer.write(asked(path, X_Expires_In="0.25"))
             answers = await asyncio.gather(*(client.answer() for client in callers))
             watcher.cancel()
-            # how late this process itself was: its longest passes, where other processes had the cores
+            # how late this process itself was: its longest loop iterations, while other processes had the
+            # cores
             longest = max(b - a for a, b in itertools.pairwise(passes))
             late = sum(b - a for a, b in itertools.pairwise(passes) if b - a > 20.0)
             assert all(status in (200, 502, 503, 504) for status, _, _ in answers)
             assert passes[-1] - passes[0] < 250.0 + 15.0 + 50.0 + late and not service.turn.counts["faults"]
             assert service.turn.counts["overdue"] == 0 or longest > 15.0
-            for client in callers:  # exactly one
+            for client in callers:  # exactly one answer
                 client.writer.write_eof()
                 assert await client.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 # lists
@@ -681,13 +689,13 @@
 
 @pytest.mark.parametrize("how", ["watch", "plain call"])
 def test_who_a_whole_list_leaves_out_is_gone_though_it_still_answers(how):
-    async def story():
+    async def scenario():
         registry, out, stays = Registry(), Peer(ok(b"out")), Peer(SILENT)
         async with running(out, registry=registry) as service:
             await registry.tell(4)
             client = await caller(service)
             assert (await client.ask(request()))[2] == b"out"
-            assert out.open == 1  # it rests, and would be used again
+            assert out.open == 1  # it is idle, and would be reused
             if not stays.port:
                 await stays.start()
             whole = target("u1", stays.port)
@@ -700,22 +708,22 @@
                 registry.writers[-1].write(b"0\r\n\r\n")
             while service.turn.discovery.rev != 5:
                 await asyncio.sleep(0)
-            await out.until(lambda: out.open == 0)  # its connections are closed
+            await out.until(lambda: out.open == 0)  # its idle connections are closed
             stays.answers = [ok(b"stays")]
             for _ in range(10):
                 assert (await client.ask(request()))[2] == b"stays"
             assert len(out.requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_watch_that_falls_silent_late_is_noticed_as_soon_as_one_that_never_spoke(monkeypatch):
-    async def story():
+    async def scenario():
         registry = Registry()
         async with running(Peer(), registry=registry) as service:
             await registry.tell(4)
             (call,) = service.turn.discovery._calls
-            call.since -= 13.0  # it has spoken for so long
+            call.since -= 13.0  # as if the call had been sending for 13 s
             for _ in range(3):
                 await registry.say(b"\n")
             while call.heard == call.since:
@@ -727,7 +735,7 @@
             assert call.left_at is not None and not service.turn.discovery._calls
             await registry.until(lambda: len(registry.requests) > 1)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -745,14 +753,14 @@
     ],
 )
 def test_a_list_without_a_length_lasts_until_the_end_and_half_of_one_is_asked_for_again(head, whole):
-    # any such answer counted as a failed call, so the list could not be had from that service at all
-    async def story():
+    # Any such answer counted as a failed call, so that no list could be read from such a service.
+    async def scenario():
         registry, peer = Registry(), await Peer(ok(b"listed")).start()
         async with running(registry=registry, known=[]) as service:
             await registry.until(lambda: len(registry.writers) == 1)
             raw = Raw()
             service.turn.discovery.at = ("127.0.0.1", raw.port)
-            service.turn.discovery._whole_due = True  # or the watch that stands makes up for its failure
+            service.turn.discovery._whole_due = True  # otherwise the open watch makes up for the failed call
             service.turn.discovery.refresh()
             conn, _ = await raw.take()
             failed, noted = [], service.turn.discovery._tell_failed
@@ -767,10 +775,10 @@
                 assert (await (await caller(service)).ask(request()))[2] == b"listed" and not failed
             assert not service.turn.counts["faults"]
 
-    play(story)
+    play(scenario)
 
 
-# the program as it is deployed
+# the deployed program
 
 
 def test_the_deployed_program_runs_as_one_process(tmp_path):
@@ -792,13 +800,15 @@
         lines = map(json.loads, iter(process.stdout.readline, ""))
         assert any(line["event"] == "serving" for line in lines)
         own = Path(f"/proc/{process.pid}")
-        if own.exists():  # no child, no io_uring, and nobody listens at a Unix socket
+        if own.exists():  # no child process, no io_uring, and no listening Unix socket
             children = [path.read_text() for path in own.glob("task/*/children")]
             assert not any(children)
             inodes = {os.readlink(fd) for fd in (own / "fd").iterdir()}
             unix = [line.split() for line in (own / "net" / "unix").read_text().splitlines()[1:]]
             ours = [row for row in unix if f"socket:[{row[6]}]" in inodes]
-            assert all(row[3] == "00000000" for row in ours)  # none that accepts: the loop's own pairs
+            assert all(
+                row[3] == "00000000" for row in ours
+            )  # none listens: they are the event loop's own socket pairs
             assert not [link for link in inodes if "io_uring" in link]
         process.terminate()
         assert [line["event"] for line in lines][-1] == "stopped" and process.wait(10) == 0
@@ -814,7 +824,7 @@
     "head", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", b"length"]
 )
 def test_a_watch_in_any_form_tells_its_lines_and_half_a_line_at_its_end_tells_nothing(head, end):
-    async def story():
+    async def scenario():
         raw = Raw()
         raw.server.listen(8)
         peers = [await Peer(ok(body)).start() for body in (b"0", b"1")]
@@ -838,8 +848,8 @@
             else:
                 conn.close()
             conn, got = await raw.take()
-            assert b"watch=1&after=5 " in got  # asked again from where it was
+            assert b"watch=1&after=5 " in got  # called again from the last version
             assert {(await (await caller(service)).ask(request()))[2] for _ in range(4)} == {b"0"}
             conn.close()
 
-    play(story)
+    play(scenario)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""The start of a bank: calls to the list service in turn, the kept list, the operator's file."""
+"""The start of a bank: pacing of calls to the list service, the cached list, the operator file."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
     return [Pace(n, count, calls_per_s, 10_000.0) for n in range(count)]
 
 
-def played(
+def simulate(
     paces: list[Pace],
     calls_per_s: float,
     seconds: float,
     down: tuple[float, float] = (0.0, 0.0),
     queue: int = 50,
 ) -> tuple[Turns, dict[int, float], list[float]]:
-    """A bank that starts at 0 against a service that is down for a while: when each was served, all calls."""
+    """Simulates a bank that starts at 0 ms, with a service that is down during `down` (ms): the service,
+    when each balancer was served, and the times of all calls, in ms."""
     turns, served, calls = Turns(1e3 / calls_per_s, queue), {}, []
     for pace in paces:
         pace.start(0.0)
@@ -56,8 +57,9 @@
 
 @pytest.mark.parametrize("count", [3, 30, 400, 1_000])
 def test_a_bank_that_starts_at_once_is_served_in_turn(count):
-    # met before: 200 balancers, half of them listed after 7.4 s by a service that could do it in 0.8 s
-    turns, served, calls = played(bank(count, 250.0), 250.0, 30.0)
+    # Without pacing half of 200 balancers had a list only after 7.4 s, from a service that could serve all in
+    # 0.8 s.
+    turns, served, calls = simulate(bank(count, 250.0), 250.0, 30.0)
     assert len(served) == len(calls) == count and turns.longest <= 2
     assert max(served.values()) <= 1e3 * count / (0.8 * 250.0) + 10.0
 
@@ -65,17 +67,17 @@
 @pytest.mark.parametrize("count", [30, 400])
 def test_after_a_failure_of_20_s_the_bank_comes_back_no_faster_than_it_is_served(count):
     paces = bank(count, 250.0)
-    turns, served, calls = played(paces, 250.0, 60.0, down=(0.0, 20_000.0))
+    turns, served, calls = simulate(paces, 250.0, 60.0, down=(0.0, 20_000.0))
     assert len(served) == count and turns.longest <= 10 and not turns.refused
     assert max(served.values()) <= 20_100.0 + paces[0].period
-    # never more than the service could do: each once in a period, which is no shorter than the window
+    # within the service's call rate: each calls once per period, which is no shorter than the window
     assert all(bisect(calls, at + paces[0].period - 1.0) - i <= count for i, at in enumerate(calls))
     assert paces[0].period >= 1e3 * count / (0.8 * 250.0)
 
 
 def test_watches_that_all_end_at_once_are_asked_for_in_turn():
     paces = bank(400, 250.0)
-    _, served, _ = played(paces, 250.0, 30.0)
+    _, served, _ = simulate(paces, 250.0, 30.0)
     assert len(served) == 400
     for pace in paces:
         pace.failed(50_000.0)
@@ -122,7 +124,7 @@
     pace.called(due)
     again = pace.due
     pace.wanted(due + 1)
-    assert pace.due == again == due + pace.period  # beside it, should it say nothing
+    assert pace.due == again == due + pace.period  # a second call, in case the first gets no answer
     pace.told()
     pace.wanted(due + 2)
     assert pace.due == inf
@@ -161,7 +163,7 @@
 
 
 @pytest.fixture
-def lists(tmp_path) -> operator.Operator:
+def settings(tmp_path) -> operator.Operator:
     return operator.parse(f'[list]\nkeep = "{tmp_path / "kept"}"\ncalls_per_s = 250\n')
 
 
@@ -178,31 +180,31 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_balancer_keeps_what_it_was_told_and_starts_from_it(lists, tmp_path):
-    async def story():
+def test_a_balancer_keeps_what_it_was_told_and_starts_from_it(settings, tmp_path):
+    async def scenario():
         registry = Registry()
-        async with running(registry=registry, known=[], operator=lists):
+        async with running(registry=registry, known=[], operator=settings):
             await registry.tell(41, target("s-9", 9_009), whole=True)
             await until((tmp_path / "kept").exists)
         assert b"after=3" in registry.requests[0][0]
         again = Registry()
-        async with running(registry=again, known=[], operator=lists) as service:
+        async with running(registry=again, known=[], operator=settings) as service:
             assert list(service.turn._targets) == ["s-9"]
             await again.until(lambda: bool(again.requests))
             assert b"watch=1&after=41" in again.requests[0][0]
-            # it may be of any age until the service has said that it is not
+            # not ready: until the service confirms the list its age is unknown
             assert not service.turn.ready()
             await again.tell(41)
             await until_ready(service)
             assert service.turn.ready()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_kept_list_has_no_version_whose_news_could_not_be_read(lists, tmp_path):
-    async def story():
+def test_a_kept_list_has_no_version_whose_news_could_not_be_read(settings, tmp_path):
+    async def scenario():
         registry, peer = Registry(), await Peer().start()
-        async with running(peer, registry=registry, operator=lists) as service:
+        async with running(peer, registry=registry, operator=settings) as service:
             await registry.tell(8)
             while service.turn.discovery.rev != 8:
                 await asyncio.sleep(0.01)
@@ -210,52 +212,52 @@
             await registry.until(lambda: len(registry.requests) == 2)
             await until((tmp_path / "kept").exists)
         again = Registry()
-        async with running(peer, registry=again, known=[], operator=lists):
+        async with running(peer, registry=again, known=[], operator=settings):
             await again.until(lambda: bool(again.requests))
             assert b"after=9 " not in again.requests[0][0]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("text", [b"", b"nonsense", WHOLE[:50], kept.encode(5.0, 41, TARGETS)])
-def test_a_kept_list_that_cannot_be_used_costs_a_line_of_the_log_and_nothing_else(text, lists, tmp_path):
-    async def story():
+def test_a_kept_list_that_cannot_be_used_costs_a_line_of_the_log_and_nothing_else(text, settings, tmp_path):
+    async def scenario():
         (tmp_path / "kept").write_bytes(text)
         registry = Registry()
-        async with running(registry=registry, operator=lists, known=[target("s-1", 9_001)]) as service:
+        async with running(registry=registry, operator=settings, known=[target("s-1", 9_001)]) as service:
             assert list(service.turn._targets) == ["s-1"]
             await registry.until(lambda: bool(registry.requests))
             assert b"after=3" in registry.requests[0][0]
             await heard(service, registry)
             assert service.turn.ready()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_configured_list_that_is_newer_wins(lists, tmp_path):
-    async def story():
+def test_a_configured_list_that_is_newer_wins(settings, tmp_path):
+    async def scenario():
         (tmp_path / "kept").write_bytes(kept.encode(time() * 1e3, 2, TARGETS))
-        async with running(operator=lists, known=[target("s-1", 9_001)]) as service:  # version 3
+        async with running(operator=settings, known=[target("s-1", 9_001)]) as service:  # version 3
             assert list(service.turn._targets) == ["s-1"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_disk_that_is_gone_costs_the_next_start_its_list_and_nothing_else(tmp_path):
     on = operator.parse(f'[list]\nkeep = "{tmp_path / "no" / "folder"}"\n')
 
-    async def story():
+    async def scenario():
         registry = Registry()
         async with running(registry=registry, known=[], operator=on) as service:
             await registry.tell(41, target("s-9", 9_009), whole=True)
             await until(lambda: service.turn._keeping._writing is None and service.turn._keeping._written)
             assert service.turn.ready()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_refused_call_is_made_again_when_the_service_said(lists):
-    async def story():
+def test_a_refused_call_is_made_again_when_the_service_said(settings):
+    async def scenario():
         registry = Registry()
         registry.answers = ["unused"]
 
@@ -267,13 +269,13 @@
             registry.changed.set()
 
         registry._serve = refuse
-        async with running(registry=registry, operator=lists) as service:
+        async with running(registry=registry, operator=settings) as service:
             await registry.until(lambda: bool(registry.requests))
             await until(lambda: service.turn._pace.failures)
             assert service.turn._pace.failures == 1
             assert 2_000.0 < service.turn._pace.due - clock() <= 2_700.0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -313,21 +315,21 @@
     assert found.exit_code == 2 and len(found.output.splitlines()) == 1
 
 
-def test_a_reload_switches_the_pace_on_and_off(lists):
-    async def story():
+def test_a_reload_switches_the_pace_on_and_off(settings):
+    async def scenario():
         registry = Registry()
         async with running(registry=registry) as service:
             await registry.tell(4, target("s-1", 9_001))
             post = service._post
             service._operator = operator.OFF
-            service.reload(lambda: (post, lists))
+            service.reload(lambda: (post, settings))
             assert service.turn._pace is not None and service.turn.discovery.watching
-            # a bank of another size has other places, though the operator's file is as it was
+            # another size of the bank changes the window, though the operator file is the same
             window = service.turn._pace.window
             larger = replace(post, terms=replace(post.terms, balancers=10 * post.terms.balancers))
-            service.reload(lambda: (larger, lists))
+            service.reload(lambda: (larger, settings))
             assert service.turn._pace.window == pytest.approx(10 * window)
             service.reload(lambda: (post, operator.OFF))
             assert service.turn._pace is None and service.turn._keeping is not None
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -1,4 +1,4 @@
-"""Balancers that know one another: links on sockets, and several processes on the rig with things broken."""
+"""Balancers of one bank: links over TCP in this process, and several processes on the rig, with faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Log:
-    """Notes what is logged."""
+    """Records log events."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -36,7 +36,7 @@
 
 
 class Stand:
-    """A bank's member in this process."""
+    """A member of a bank, in this process."""
 
     def __init__(
         self, name: str, *peers: Stand, bank: str = "b", listen: str = "127.0.0.1:0", watched: str = ""
@@ -79,12 +79,12 @@
 
 
 def test_members_meet_through_one_seed_and_pass_hints_and_lists():
-    async def story():
+    async def scenario():
         a = await Stand("a").start()
         b = await Stand("b", a).start()
         c = await Stand("c", a).start()
         await until(lambda: a.knows(b, c) and b.knows(a, c) and c.knows(a, b))
-        await until(lambda: b.bank.members.linked == {"a", "c"})  # to know one is not to be linked to it yet
+        await until(lambda: b.bank.members.linked == {"a", "c"})  # a known member may not be linked yet
         b.bank.tell(b"\1\2\3\4")
         await until(lambda: a.hints == c.hints == [b"\1\2\3\4"])
         await until(lambda: sum(s.bank.lists.passing for s in (a, b, c)) == 2)
@@ -92,18 +92,18 @@
         other = next(s for s in (a, b, c) if not s.bank.lists.passing)
         passer.bank.told(7, True, [("s1", False, b'{"uid":"s1"}')])
         await until(lambda: [n.rev for n in other.news] == [7])
-        # of each pair one link stays
+        # one link per pair
         await until(lambda: all(len(s.bank.links.open) == 2 for s in (a, b, c)))
         c.bank.leave()
         await until(lambda: a.bank.members.members["c"].entry.state == frames.LEFT)
         for s in (a, b, c):
             s.bank.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_members_on_a_watched_range_of_addresses_find_one_another():
-    async def story():
+    async def scenario():
         a = await Stand("a", listen="127.9.1.1:0", watched="127.9.1.0/28:1").start()
         port = a.address.rpartition(":")[2]
         a.bank.close()
@@ -113,14 +113,14 @@
         ]
         await until(lambda: a.knows(b, c) and b.knows(a, c) and c.knows(a, b))
         c.bank.close()
-        # one that comes up later, at an address where nobody was
+        # a member that starts later, at a free address
         d = await Stand("d", listen=f"127.9.1.9:{port}", watched=f"127.9.1.0/28:{port}").start()
         await until(lambda: a.knows(d) and d.knows(a, b))
         assert not a.bank.members.superseded
         for s in (a, b, d):
             s.bank.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
 def test_what_does_not_belong_costs_its_link_and_nothing_else(wire, why, monkeypatch):
     monkeypatch.setattr("ospreyline.fleet.links.HELLO_TIMEOUT_S", 0.3)
 
-    async def story():
+    async def scenario():
         a = await Stand("a").start()
         b = await Stand("b", a).start()
         await until(lambda: a.knows(b))
@@ -160,13 +160,13 @@
         a.bank.close()
         b.bank.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_peer_that_does_not_read_costs_bounded_memory(monkeypatch):
     monkeypatch.setattr("ospreyline.fleet.links.MAX_QUEUED_BYTES", 1 << 14)
 
-    async def story():
+    async def scenario():
         a = await Stand("a").start()
         host, _, port = a.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port), limit=1)
@@ -181,11 +181,11 @@
         writer.close()
         a.bank.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_newer_process_of_our_name_makes_us_silent():
-    async def story():
+    async def scenario():
         a = await Stand("a").start()
         host, _, port = a.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
@@ -194,7 +194,7 @@
         assert any("newer process" in event for event, _ in a.log.lines)
         a.bank.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -238,15 +238,15 @@
     assert str(error.value).startswith(said)
 
 
-# on the rig
+# on the test rig
 
 
 MESH = {"fleet": {"on": True}, "relay_processes": 1}
 SIX = {"count": 6, "notice_ms": [300.0, 600.0]}
 
 
-def said(day: Played, balancer: int, event: str) -> list[dict[str, Any]]:
-    """Lines of a log until the day ended, when everybody was told to stop and leaves."""
+def logged(day: Played, balancer: int, event: str) -> list[dict[str, Any]]:
+    """Log lines of an event until the end of the run, when all balancers get SIGTERM and leave."""
     zero = json.loads((day.out / "origin.json").read_text())["unix_ms"]
     last = max(row["t"] for row in day.of("signal", what="term"))
     ended = min(row["t"] for row in day.of("signal", what="term") if row["t"] > last - 500.0)
@@ -260,13 +260,13 @@
 
 def states(day: Played, balancer: int) -> dict[str, list[str]]:
     found: dict[str, list[str]] = {}
-    for line in said(day, balancer, "member"):
+    for line in logged(day, balancer, "member"):
         found.setdefault(line["peer"], []).append(line["state"])
     return found
 
 
 def hears_all(day: Played, *balancers: int) -> bool:
-    return all(said(day, b, "fleet")[-1]["words"] == "hears all" for b in balancers)
+    return all(logged(day, b, "fleet")[-1]["words"] == "hears all" for b in balancers)
 
 
 def test_one_that_is_stopped_is_noticed_and_one_that_restarts_is_not_suspected(tmp_path):
@@ -284,7 +284,7 @@
     for b in range(4):
         assert states(day, b)["b4"][:2] == ["suspected", "dead"] and states(day, b)["b4"][-1] == "alive"
         assert "left" in states(day, b)["b5"] and "suspected" not in states(day, b)["b5"]
-    # who was stopped accuses nobody
+    # the one that was stopped suspects nobody
     assert not any(s in ("suspected", "dead") for n, got in states(day, 4).items() for s in got)
     assert hears_all(day, 0, 1, 2, 3, 4)
 
@@ -308,8 +308,8 @@
     )
     day.kept()
     if way == "both":
-        assert any("hears 2 of 6" in line["words"] for line in said(day, 0, "fleet"))
-        assert any("hears 4 of 6" in line["words"] for line in said(day, 5, "fleet"))
+        assert any("hears 2 of 6" in line["words"] for line in logged(day, 0, "fleet"))
+        assert any("hears 4 of 6" in line["words"] for line in logged(day, 5, "fleet"))
     assert hears_all(day, *range(6))
 
 
@@ -357,7 +357,7 @@
         line.get("lists_from_others", 0) for b in range(8) for line in day.log(b) if line["event"] == "counts"
     )
     assert from_others >= 2 and day.figures["start"]["calls_in_4_s"] <= 8
-    # everybody has the news of the drain within a moment of the service's
+    # every balancer was notified of the drain
     told = day.of("listed")[0]
     uid = told["entry"]["uid"]
     for b in range(8):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: the world, the model against theory, the referee's verdicts, faults, and its commands."""
+"""The simulator: its clock, the model against queueing theory, the referee, faults, and the commands."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
     return CliRunner().invoke(main, ["lab", *map(str, args)])
 
 
-# -- the world ----------------------------------------------------------------------------------------------
+# -- the clock ----------------------------------------------------------------------------------------------
 
 
 def test_what_is_due_at_the_same_time_comes_in_the_order_asked_and_what_was_dropped_never():
@@ -85,7 +85,7 @@
     for name in "abc":
         world.at(5.0, seen.append, name)
     World.drop(world.at(5.0, seen.append, "dropped"))
-    world.at(1.0, lambda: world.at(0.0, seen.append, "late"))  # its time has passed: now
+    world.at(1.0, lambda: world.at(0.0, seen.append, "late"))  # in the past: runs now
     world.run(10.0)
     assert seen == ["late", "a", "b", "c"]
     assert world.now == 10.0
@@ -243,11 +243,11 @@
     assert not any(met["breaches"].values())
     assert met["effects_twice"] == 0 and met["open"] == 0
     assert met["little"]["area"] == pytest.approx(met["little"]["sojourn"], rel=1e-9)
-    assert met["events"] != quiet["events"]  # it did something
+    assert met["events"] != quiet["events"]  # the fault had an effect
 
 
 def test_a_rested_connection_is_replaced_in_the_laboratory(monkeypatch):
-    # met on a reread: the front had no way to drop one, so a day with silent servers ended there
+    # The simulated balancer could not close idle connections, so a run with unresponsive servers failed.
     fault = {"kind": "mute", "at_s": 1.5, "for_s": 2.5, "part": 0.4}
     drop, idle = bank.Balancer.drop, []
 
@@ -390,7 +390,7 @@
         sweep.run(base, cells, tmp_path / "a", 2, stop)
     kept = {p.name: p.stat().st_mtime_ns for p in (tmp_path / "a" / "cells").glob("*.json")}
     assert 3 <= len(kept) < len(cells)
-    (tmp_path / "a" / "cells" / "x.123.part").write_bytes(b"{")  # as one killed while writing leaves it
+    (tmp_path / "a" / "cells" / "x.123.part").write_bytes(b"{")  # as a process killed while writing leaves it
     calls = []
     again = sweep.run(base, cells, tmp_path / "a", 2, lambda done, total: calls.append(done))
     assert calls[0] == len(kept)
@@ -433,7 +433,7 @@
     path = tmp_path / "small.toml"
     path.write_text(SMALL)
     faults = 'faults=[{"kind": "crash", "at_s": 1, "for_s": 2, "part": 0.4}]'
-    assert "one value is wanted" in invoke("run", path, "--set", faults).output  # commas part values
+    assert "one value is wanted" in invoke("run", path, "--set", faults).output  # commas separate values
     run = invoke("run", path, "--out", tmp_path / "run", "--visits", "all", "--set", "chance.count=2")
     assert run.exit_code == 0 and "rules kept" in run.output
     assert invoke("plot", tmp_path / "run").exit_code == 0
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -1,8 +1,8 @@
-"""A request whose client has left while it waited is not sent on, however it waited.
+"""A request whose client disconnected while it waited is not sent to an upstream, whatever it waited for.
 
-Every story holds one event (the connection that comes up, the room, the turn) until the other, the client's
-leaving, is there. An upstream's connection "comes late" here because its listener's queue is full, as a
-machine that is short of time would have it.
+Each test delays one event (a connection is established, there is capacity, the event batch runs) until the
+other one, the client's disconnect, has happened. A late connection stands for an upstream whose accept queue
+is full, as on an overloaded machine.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 class Gate:
-    """An upstream whose connections come up only when it is opened, and what was written there."""
+    """An upstream to which connections are established only once `open` is set; `got`: bytes received."""
 
     def __init__(self) -> None:
         self.port = 0
         self.got = bytearray()
-        self.connecting = asyncio.Event()  # a connection has been asked for
+        self.connecting = asyncio.Event()  # a connection was requested
         self.open = asyncio.Event()
 
     async def held(self, loop: asyncio.AbstractEventLoop, monkeypatch: pytest.MonkeyPatch) -> Gate:
@@ -85,7 +85,7 @@
 @KINDS
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_one_that_left_while_its_connection_came_up_is_not_written(path, cancel, how, monkeypatch):
-    async def story():
+    async def scenario():
         async with gated(monkeypatch, cancel) as (service, gate):
             client = await caller(service)
             client.writer.write(asked(path))
@@ -96,7 +96,7 @@
             gate.open.set()
             await passes()
             assert not service.turn.visits and not service.turn.upstreams.peers[0].errands
-            # the next one meets the upstream, and nothing came there before it
+            # the next request reaches the upstream, and none did before it
             client = await caller(service)
             client.writer.write(request(trace="next"))
             while b"next" not in gate.got:
@@ -106,13 +106,13 @@
                 and service.turn.counts["unsent"] + (service.turn.counts["cancelled"]) == 1
             )
 
-    play(story)
+    play(scenario)
 
 
 @CANCEL
 @KINDS
 def test_one_that_stays_while_its_connection_comes_up_is_written(path, cancel, monkeypatch):
-    async def story():
+    async def scenario():
         async with gated(monkeypatch, cancel) as (service, gate):
             client = await caller(service)
             client.writer.write(asked(path, trace="stays"))
@@ -123,24 +123,24 @@
             leave(client, "end")
             while service.clients.open:
                 await asyncio.sleep(0)
-            # it was written whole, so it may have run: nothing is inferred of it
+            # it was sent whole, so it may have executed: it does not count as unsent
             await passes()
             assert service.turn.counts["unsent"] == 0
             assert bool(service.turn.upstreams.peers[0].errands) is not cancel
 
-    play(story)
+    play(scenario)
 
 
 @CANCEL
 def test_one_that_left_in_the_turn_of_its_repeat_is_not_sent_again(cancel):
-    async def story():
+    async def scenario():
         peers = Peer(RESET), Peer(RESET)
         async with running(*peers, Cancel=cancel) as service:
             client = await caller(service)
             turn, real = service.turn, service.turn.ended
 
             def ended(now, taken, number, outcome):
-                # both events are there when the turn begins: the reset first, then the leaving
+                # both events are pending when the event batch begins: the reset first, then the disconnect
                 turn.left(next(iter(service.clients.open)))
                 real(now, taken, number, outcome)
 
@@ -152,13 +152,13 @@
             await passes()
             assert len(peers[0].requests) + len(peers[1].requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 @CANCEL
 @KINDS
 def test_one_that_left_while_it_was_held_is_not_sent(path, cancel, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
             balancer, place = service.turn.balancer, service.turn.balancer._place
@@ -176,19 +176,20 @@
             await passes()
             assert not balancer._held and not service.turn.visits and not peer.requests
 
-    play(story)
+    play(scenario)
 
 
 @CANCEL
 @KINDS
 @pytest.mark.parametrize("idle", [True, False])
 def test_one_whose_leaving_lies_unread_in_its_socket_is_not_sent(path, cancel, idle, monkeypatch):
-    # a long turn, or a process that stood still: timers and turns come before sockets are read
-    async def story():
+    # After a long event batch or a stall of the process, timers and event batches run before sockets are
+    # read.
+    async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
             balancer, place = service.turn.balancer, service.turn.balancer._place
-            if idle:  # a connection stands ready, so nothing else lies between the turn and the write
+            if idle:  # with an idle connection nothing else comes between the event batch and the write
                 monkeypatch.setattr(upstreams, "SETTLE", 0.0)
                 assert (await (await caller(service)).ask(request()))[0] == 200
             before = len(peer.requests)
@@ -199,7 +200,7 @@
             while not balancer._held:
                 await asyncio.sleep(0)
             monkeypatch.setattr(balancer, "_place", place)
-            sock.close()  # from here to the turn nothing is read
+            sock.close()  # from here to the event batch nothing is read
             balancer._look(clock())
             service.turn._turn()
             while service.turn.visits:
@@ -207,15 +208,15 @@
             await passes()
             assert len(peer.requests) == before
 
-    play(story)
+    play(scenario)
 
 
 @CANCEL
 def test_one_that_left_while_its_bytes_were_in_our_buffer_is_withdrawn(cancel, monkeypatch):
-    async def story():
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer, Cancel=cancel) as service:
-            # the upstream's machine takes no bytes: what was written stays in the transport
+            # the upstream accepts no bytes: what was written stays in the transport's buffer
             monkeypatch.setattr(upstreams.Conn, "written", lambda conn: False)
             client = await caller(service)
             client.writer.write(asked("/change"))
@@ -224,22 +225,22 @@
             leave(client, "end")
             while service.turn.visits:
                 await asyncio.sleep(0)
-            # at once, and with its connection gone it can never be whole there
+            # withdrawn at once: with its connection closed the request can never arrive whole
             assert not service.turn.upstreams.open
             assert service.turn.counts["unsent"] + service.turn.counts["cancelled"] == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_one_that_left_in_the_pass_in_which_it_came_is_not_taken():
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             turn, real, met = service.turn, service.turn.take, []
 
             def take(asked, client):
                 taken = real(asked, client)
-                turn.left(client)  # both are noted when the turn begins
+                turn.left(client)  # both events are pending when the event batch begins
                 met.append(client)
                 return taken
 
@@ -251,4 +252,4 @@
             await passes()
             assert not peer.requests and not turn.visits and not turn.counts["faults"]
 
-    play(story)
+    play(scenario)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership, lists from few to many and frames, without sockets: a simulated network, one seed a story."""
+"""Membership, relaying of the list, and frames, without sockets: a simulated network, one seed per test."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
         net.world.run(net.world.now + 300.0)
         net.stop(name, False)
     assert wrong_deaths(net, 60) == 0
-    assert any(c.state == SUSPECT for c in net.changes)  # it was hard enough to suspect somebody
+    assert any(c.state == SUSPECT for c in net.changes)  # the faults were severe enough to cause suspicion
 
 
 def test_one_broken_link_kills_nobody():
@@ -156,7 +156,7 @@
 def test_of_two_processes_under_one_name_the_older_stops_speaking():
     net = mesh(8)
     old = net.nodes["n5"]
-    net.start("n5")  # the old one goes on, too
+    net.start("n5")  # the old process keeps running
     net.world.run(net.world.now + 200.0)
     newer = net.nodes["n5"].members.me
     old.members.receive(net.world.now, "n1", frames.Gossip(updates=[newer]))
@@ -221,24 +221,24 @@
 
 
 def three(now: float = -1_000.0) -> tuple[Lists, Lists, Lists]:
-    """Three of one zone: the two that were started first pass on, the third listens to them."""
+    """Three members of one zone: two relays, which started first, and one that subscribes to them."""
     starts = {"m2": 1, "m0": 2, "m1": 3}
     found = {n: Lists(n, "z", at, Random(1).random, now) for n, at in starts.items()}
     for name, one in found.items():
         one.set_members(now, [(n, "z", at) for n, at in starts.items() if n != name])
         one.tick(now)
-        assert not one.passing  # not before members were met
+        assert not one.passing  # not before it has settled
         one.tick(now + lists.SETTLE_MS + 1.0)
         one.out.clear()
         one._subscribed_at.clear()
-    passers = [one for one in found.values() if one.passing]
-    listener = next(one for one in found.values() if not one.passing)
-    assert [one.name for one in passers] == listener.relays == ["m2", "m0"]
-    return passers[0], passers[1], listener
+    relays = [one for one in found.values() if one.passing]
+    subscriber = next(one for one in found.values() if not one.passing)
+    assert [one.name for one in relays] == subscriber.relays == ["m2", "m0"]
+    return relays[0], relays[1], subscriber
 
 
 def exchange(now: float, *nodes: Lists) -> list[Any]:
-    """Carry what they want sent until nothing more comes; the news that was taken."""
+    """Delivers messages between the nodes until none is left; returns the accepted list updates."""
     taken = []
     by = {n.name: n for n in nodes}
     while any(n.out for n in nodes):
@@ -278,7 +278,7 @@
 
 
 def test_one_that_passes_on_after_it_was_told_by_another_has_all_of_it():
-    # met on the rig: its own watch brought no changes, and the list that it passed on was empty
+    # Its own watch brought no changes, and the list that it forwarded was empty (seen on the rig).
     a, b, c = three()
     a.service_update(100.0, 5, True, [entry("s1"), entry("s2")])
     b.relays = [a.name]
@@ -307,7 +307,7 @@
 
 
 def test_nobody_passes_on_what_it_has_not_from_the_service():
-    # a circle of balancers that confirm to each other what nobody has from the service
+    # Prevents balancers from confirming to one another, in a circle, a list that none has from the service.
     a, b, c = three()
     a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
@@ -335,7 +335,7 @@
 
 
 def test_who_comes_later_never_takes_the_place_of_one_that_passes_on():
-    # met on the rig: by a hash each newcomer may be among the first, and 27 of 100 called for the rest
+    # With relays chosen by a hash each new member may become one: on the rig 27 of 100 called for the others.
     ages = list(range(1, 31))
     Random(3).shuffle(ages)
     found: dict[str, Lists] = {}
@@ -358,7 +358,7 @@
     c.tick(200.0)
     exchange(210.0, a, b, c)
     assert not c.receiving(210.0) and c.asked_for_us(210.0)
-    for now in range(700, 4_000, 500):  # said again each beat; forgotten when it is no longer
+    for now in range(700, 4_000, 500):  # repeated with each heartbeat; expires without
         a.tick(float(now))
         exchange(float(now), a, c)
     assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH_MS)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What grows with size: counted (records touched, comparisons, messages, bytes), never timed; three sizes."""
+"""Costs that grow with size, at three sizes: counts of records, comparisons, messages and bytes, no times."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def touched(monkeypatch):
-    """How many upstreams a ranking, and a reload, have looked at."""
+    """Counts the upstreams that rankings and reloads process."""
     found = {"ranked": 0, "placed": 0}
     expected, put = decide.Upstream.expected, decide.Balancer._put
 
@@ -61,7 +61,7 @@
     host = FakeHost([listed(i, i % 3) for i in range(size)])
     touched.update(ranked=0)
     host.pass_time(1_000.0)
-    assert touched["ranked"] == 5 * size  # five rankings a second, whatever is served
+    assert touched["ranked"] == 5 * size  # five rankings a second, whatever the load
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -81,7 +81,7 @@
 
 
 class Counted(str):
-    """A name that counts how often it is compared."""
+    """A name that counts its comparisons."""
 
     compared = 0
     __slots__ = ()
@@ -130,7 +130,7 @@
 
 
 def passing(entries, listeners):
-    """One that passes the list on, with so many entries, to so many; the frames of one change."""
+    """The frames in which a relay forwards one change of a list with `entries` to its `listeners`."""
     lists = Lists("n0", "a", 1, lambda: 0.5, 0.0)
     lists.set_members(0.0, [])
     lists.tick(1_000.0)
@@ -166,7 +166,7 @@
 
 
 def test_members_are_told_flat_and_known_whole():
-    """At rest the messages of one do not grow with the bank; a whole telling of all does."""
+    """At rest the messages of one member do not grow with the bank; a full state sync does."""
     rest, whole = [], []
     for count in (20, 40, 80):
         mesh = Mesh(count, seed=3)
