--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -94,9 +94,9 @@
         self._begun = self._last_tick = self._now()
         self._update_roles()
 
-    def guard(self, takeover: Takeover, news: Callable[[], None]) -> None:
-        """Adds takeover; `news` is called when it has results for the request handling."""
-        self.takeover, self._on_takeover_news = takeover, news
+    def guard(self, takeover: Takeover, on_news: Callable[[], None]) -> None:
+        """Adds takeover; `on_news` is called when it has results for the request handling."""
+        self.takeover, self._on_takeover_news = takeover, on_news
 
     @staticmethod
     def _now() -> float:
--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -30,7 +30,7 @@
     name: str
     address: str  # host:port
     zone: str
-    start: int  # Unix time in ms at which the process started; tells a restarted process from the one before
+    start: int  # Unix time in ms at which the process started; differs after a restart
     incarnation: int = msgspec.field(name="bumps")  # raised by the member each time it refutes a suspicion
     state: int  # ALIVE, SUSPECT, DEAD or LEFT
 
--- a/ospreyline/fleet/kept.py
+++ b/ospreyline/fleet/kept.py
@@ -110,7 +110,7 @@
         self._keep_for = keep_for
         self._log = log
         self._changed = False
-        self._heard = self._written = 0.0  # Unix time in ms
+        self._service_heard_at = self._saved_at = 0.0  # Unix time in ms
         self._writing: asyncio.Future[None] | None = None
 
     def known(self, configured: bytes) -> bytes:
@@ -136,16 +136,18 @@
         return configured if newer else cached.body
 
     def told(self, changed: bool) -> None:
-        """The list service has sent something; `changed`: it was not only a heartbeat."""
+        """The list service has sent something; `changed`: the list may have changed."""
         self._changed = self._changed or changed
-        self._heard = time() * 1e3
+        self._service_heard_at = time() * 1e3
 
     def tidy(self, rev: int, targets: Callable[[], list[bytes]]) -> None:
         """Saves the list if it has changed, or if the saved one has aged while the service kept sending."""
-        if self._writing is not None or not (self._changed or self._heard > self._written + REFRESH_MS):
+        if self._writing is not None or not (
+            self._changed or self._service_heard_at > self._saved_at + REFRESH_MS
+        ):
             return
-        self._changed, self._written = False, self._heard
-        text = encode(self._heard, rev, targets())
+        self._changed, self._saved_at = False, self._service_heard_at
+        text = encode(self._service_heard_at, rev, targets())
         self._writing = self._loop.run_in_executor(None, write_atomically, self._path, text)
         self._writing.add_done_callback(self._write_done)
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -250,7 +250,7 @@
         registry = Registry()
         async with running(registry=registry, known=[], operator=on) as service:
             await registry.tell(41, target("s-9", 9_009), whole=True)
-            await until(lambda: service.turn._keeping._writing is None and service.turn._keeping._written)
+            await until(lambda: service.turn._keeping._writing is None and service.turn._keeping._saved_at)
             assert service.turn.ready()
 
     asyncio.run(scenario())
