--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership, lists from few to many and frames, without sockets: a simulated network, one seed a story."""
+"""Membership, relaying of the list, and frames, without sockets: a simulated network, one seed per test."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     DEAD,
     LEFT,
     SUSPECT,
-    Deaf,
     Entry,
     FrameError,
-    Listen,
-    Passed,
     Reader,
+    RelayedList,
+    RelaySubscribe,
+    RelayUnavailable,
 )
 from ospreyline.fleet.lists import Lists
 from ospreyline.lab.mesh import Mesh
@@ -79,7 +79,7 @@
         net.world.run(net.world.now + 300.0)
         net.stop(name, False)
     assert wrong_deaths(net, 60) == 0
-    assert any(c.state == SUSPECT for c in net.changes)  # it was hard enough to suspect somebody
+    assert any(c.state == SUSPECT for c in net.changes)  # the faults were severe enough to cause suspicion
 
 
 def test_one_broken_link_kills_nobody():
@@ -106,10 +106,13 @@
     net = mesh(6)
     net.cut = lambda a, b: "n2" in (a, b)
     net.world.run(net.world.now + 4_500.0)
-    assert net.nodes["n2"].members.hears()[0] == 1 and net.nodes["n2"].members.doubt == members.MOST_DOUBT
+    assert (
+        net.nodes["n2"].members.reachability()[0] == 1
+        and net.nodes["n2"].members.health_score == members.MAX_HEALTH_SCORE
+    )
     net.cut = lambda a, b: False
     net.world.run(net.world.now + 10_000.0)
-    assert all(node.members.hears() == (6, 6) for node in net.nodes.values())
+    assert all(node.members.reachability() == (6, 6) for node in net.nodes.values())
 
 
 @pytest.mark.parametrize("one_way", [False, True])
@@ -119,7 +122,10 @@
     net.cut = lambda a, b: (a in apart) and (b not in apart) if one_way else (a in apart) != (b in apart)
     net.world.run(net.world.now + 20_000.0)
     if not one_way:
-        assert net.nodes["n0"].members.hears()[0] == 10 and net.nodes["n20"].members.hears()[0] == 20
+        assert (
+            net.nodes["n0"].members.reachability()[0] == 10
+            and net.nodes["n20"].members.reachability()[0] == 20
+        )
     net.cut = lambda a, b: False
     net.world.run(net.world.now + 12_000.0)
     assert net.knows() == (30 * 29, 30 * 29)
@@ -150,10 +156,10 @@
 def test_of_two_processes_under_one_name_the_older_stops_speaking():
     net = mesh(8)
     old = net.nodes["n5"]
-    net.start("n5")  # the old one goes on, too
+    net.start("n5")  # the old process keeps running
     net.world.run(net.world.now + 200.0)
     newer = net.nodes["n5"].members.me
-    old.members.heard(net.world.now, "n1", frames.Tell(news=[newer]))
+    old.members.receive(net.world.now, "n1", frames.Gossip(updates=[newer]))
     old.members.out.clear()
     old.members.tick(net.world.now + 1_000.0)
     assert old.members.superseded and not old.members.out
@@ -186,23 +192,23 @@
 def test_those_long_gone_are_forgotten_and_what_is_kept_is_bounded():
     net = mesh(5)
     net.kill("n4")
-    net.world.run(net.world.now + members.FORGET + 20_000.0)
+    net.world.run(net.world.now + members.REMOVE_AFTER_MS + 20_000.0)
     assert all("n4" not in net.nodes[n].members.members for n in others(net))
     one = net.nodes["n0"].members
-    flood = [Entry(f"x{i}", "h:1", "z", 5, 0, ALIVE) for i in range(members.MOST_MEMBERS + 500)]
+    flood = [Entry(f"x{i}", "h:1", "z", 5, 0, ALIVE) for i in range(members.MAX_MEMBERS + 500)]
     for i in range(0, len(flood), 100):
-        one.heard(net.world.now, "n1", frames.Tell(news=flood[i : i + 100]))
-    assert len(one.members) <= members.MOST_MEMBERS
+        one.receive(net.world.now, "n1", frames.Gossip(updates=flood[i : i + 100]))
+    assert len(one.members) <= members.MAX_MEMBERS
 
 
 @pytest.mark.parametrize("mistake", ["never refuted", "incarnation ignored"])
 def test_a_planted_mistake_is_found(mistake, monkeypatch):
     if mistake == "never refuted":
-        monkeypatch.setattr(members.Members, "_of_me", lambda self, now, entry: None)
+        monkeypatch.setattr(members.Members, "_apply_update_about_self", lambda self, now, entry: None)
         net = mesh(30, loss=0.05)
         assert wrong_deaths(net, 120) > 0
         return
-    monkeypatch.setattr(Entry, "order", property(lambda self: (0, 0, self.state)))
+    monkeypatch.setattr(Entry, "precedence", property(lambda self: (0, 0, self.state)))
     net = mesh()
     net.kill("n6", silent=True)
     net.world.run(net.world.now + 6_000.0)
@@ -215,31 +221,31 @@
 
 
 def three(now: float = -1_000.0) -> tuple[Lists, Lists, Lists]:
-    """Three of one zone: the two that were started first pass on, the third listens to them."""
+    """Three members of one zone: two relays, which started first, and one that subscribes to them."""
     starts = {"m2": 1, "m0": 2, "m1": 3}
     found = {n: Lists(n, "z", at, Random(1).random, now) for n, at in starts.items()}
     for name, one in found.items():
-        one.members(now, [(n, "z", at) for n, at in starts.items() if n != name])
+        one.set_members(now, [(n, "z", at) for n, at in starts.items() if n != name])
         one.tick(now)
-        assert not one.passing  # not before members were met
-        one.tick(now + lists.SETTLE + 1.0)
+        assert not one.passing  # not before it has settled
+        one.tick(now + lists.SETTLE_MS + 1.0)
         one.out.clear()
-        one._asked.clear()
-    passers = [one for one in found.values() if one.passing]
-    listener = next(one for one in found.values() if not one.passing)
-    assert [one.name for one in passers] == listener.sources == ["m2", "m0"]
-    return passers[0], passers[1], listener
+        one._subscribed_at.clear()
+    relays = [one for one in found.values() if one.passing]
+    subscriber = next(one for one in found.values() if not one.passing)
+    assert [one.name for one in relays] == subscriber.relays == ["m2", "m0"]
+    return relays[0], relays[1], subscriber
 
 
 def exchange(now: float, *nodes: Lists) -> list[Any]:
-    """Carry what they want sent until nothing more comes; the news that was taken."""
+    """Delivers messages between the nodes until none is left; returns the accepted list updates."""
     taken = []
     by = {n.name: n for n in nodes}
     while any(n.out for n in nodes):
         for node in nodes:
             out, node.out = node.out, []
             for name, message in out:
-                if name in by and (news := by[name].heard(now, node.name, message)) is not None:
+                if name in by and (news := by[name].receive(now, node.name, message)) is not None:
                     taken.append(news)
     return taken
 
@@ -250,41 +256,41 @@
 
 def test_the_list_goes_from_those_that_watch_to_those_that_listen():
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1"), entry("s2")])
+    a.service_update(100.0, 5, True, [entry("s1"), entry("s2")])
     c.tick(200.0)
     (news,) = exchange(210.0, a, c)
-    assert (news.rev, news.whole, len(news.targets)) == (5, True, 2) and c.hears(210.0)
-    a.told(300.0, 6, False, [entry("s1", left=True)])
+    assert (news.rev, news.whole, len(news.targets)) == (5, True, 2) and c.receiving(210.0)
+    a.service_update(300.0, 6, False, [entry("s1", left=True)])
     (news,) = exchange(310.0, a, c)
     assert (news.rev, news.whole, len(news.targets)) == (6, False, 1) and c.rev == 6
 
 
 def test_what_was_missed_between_is_asked_for_whole():
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, c)
-    a.told(300.0, 6, False, [entry("s2")])
+    a.service_update(300.0, 6, False, [entry("s2")])
     a.out.clear()  # lost
-    a.told(400.0, 7, False, [entry("s3")])
+    a.service_update(400.0, 7, False, [entry("s3")])
     (news,) = exchange(410.0, a, c)
     assert news.whole and news.rev == 7 and len(news.targets) == 3
 
 
 def test_one_that_passes_on_after_it_was_told_by_another_has_all_of_it():
-    # met on the rig: its own watch brought no changes, and the list that it passed on was empty
+    # Its own watch brought no changes, and the list that it forwarded was empty (seen on the rig).
     a, b, c = three()
-    a.told(100.0, 5, True, [entry("s1"), entry("s2")])
-    b.sources = [a.name]
+    a.service_update(100.0, 5, True, [entry("s1"), entry("s2")])
+    b.relays = [a.name]
     assert (
-        b.heard(
+        b.receive(
             110.0,
             a.name,
-            Passed(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
+            RelayedList(rev=5, since=-1, targets=[e[2] for e in (entry("s1"), entry("s2"))], age=0.0),
         )
         is not None
     )
-    b.told(200.0, 5, False, [])
+    b.service_update(200.0, 5, False, [])
     c.tick(300.0)
     news = exchange(310.0, b, c)[-1]
     assert news.whole and len(news.targets) == 2
@@ -292,44 +298,44 @@
 
 def test_an_older_list_is_never_taken_whoever_brings_it():
     a, b, c = three()
-    a.told(100.0, 9, True, [entry("s1")])
-    b.told(100.0, 4, True, [entry("s0")])
+    a.service_update(100.0, 9, True, [entry("s1")])
+    b.service_update(100.0, 4, True, [entry("s0")])
     c.tick(200.0)
     taken = exchange(210.0, a, b, c)
     assert c.rev == 9 and taken[-1].rev == 9
-    assert c.heard(220.0, b.name, Passed(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
+    assert c.receive(220.0, b.name, RelayedList(rev=8, since=-1, targets=[entry("s9")[2]], age=0.0)) is None
 
 
 def test_nobody_passes_on_what_it_has_not_from_the_service():
-    # a circle of balancers that confirm to each other what nobody has from the service
+    # Prevents balancers from confirming to one another, in a circle, a list that none has from the service.
     a, b, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, b, c)
     assert c.rev == 5
-    c.heard(220.0, "m9", Listen(rev=0))
-    assert [type(m) for n, m in c.out if n == "m9"] == [Deaf]
+    c.receive(220.0, "m9", RelaySubscribe(rev=0))
+    assert [type(m) for n, m in c.out if n == "m9"] == [RelayUnavailable]
 
 
 @pytest.mark.parametrize("how", ["watch ended", "service silent"])
 def test_one_that_no_longer_hears_the_service_says_so(how):
     a, _, c = three()
-    a.told(100.0, 5, True, [entry("s1")])
+    a.service_update(100.0, 5, True, [entry("s1")])
     c.tick(200.0)
     exchange(210.0, a, c)
-    assert c.hears(300.0)
+    assert c.receiving(300.0)
     if how == "watch ended":
-        a.told_nothing(400.0)
+        a.service_lost(400.0)
         exchange(410.0, a, c)
     else:
         for now in range(500, 9_000, 500):
             a.tick(float(now))
             exchange(float(now), a, c)
-    assert not c.hears(9_000.0) and c.unheard(9_000.0)
+    assert not c.receiving(9_000.0) and c.unserved(9_000.0)
 
 
 def test_who_comes_later_never_takes_the_place_of_one_that_passes_on():
-    # met on the rig: by a hash each newcomer may be among the first, and 27 of 100 called for the rest
+    # With relays chosen by a hash each new member may become one: on the rig 27 of 100 called for the others.
     ages = list(range(1, 31))
     Random(3).shuffle(ages)
     found: dict[str, Lists] = {}
@@ -338,42 +344,42 @@
         name = f"m{ages[i]}"
         found[name] = Lists(name, "z", at, Random(i).random, 100.0 * i)
         for one in found.values():
-            one.members(100.0 * i, [(n, "z", o._start) for n, o in found.items() if n != one.name])
+            one.set_members(100.0 * i, [(n, "z", o._start) for n, o in found.items() if n != one.name])
             one.tick(100.0 * i)
     for one in found.values():
         one.tick(9_000.0)
     chosen = {n for n, one in found.items() if one.passing}
     assert chosen == {f"m{ages[0]}", f"m{ages[1]}"}
-    assert all(set(one.sources) <= chosen for one in found.values())
+    assert all(set(one.relays) <= chosen for one in found.values())
 
 
 def test_those_that_pass_on_say_that_they_ask_while_the_service_is_down():
     a, b, c = three()
     c.tick(200.0)
     exchange(210.0, a, b, c)
-    assert not c.hears(210.0) and c.asked_for_us(210.0)
-    for now in range(700, 4_000, 500):  # said again each beat; forgotten when it is no longer
+    assert not c.receiving(210.0) and c.asked_for_us(210.0)
+    for now in range(700, 4_000, 500):  # repeated with each heartbeat; expires without
         a.tick(float(now))
         exchange(float(now), a, c)
-    assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH)
-    a.told(9_000.0, 5, True, [entry("s1")])
+    assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH_MS)
+    a.service_update(9_000.0, 5, True, [entry("s1")])
     exchange(9_010.0, a, c)
-    assert c.rev == 5 and c.hears(9_010.0) and a.name not in c._trying
+    assert c.rev == 5 and c.receiving(9_010.0) and a.name not in c._polling_at
 
 
 def test_one_that_does_not_pass_on_says_nothing_of_asking():
     _, _, c = three()
-    c.heard(100.0, "m9", Listen(rev=0))
+    c.receive(100.0, "m9", RelaySubscribe(rev=0))
     c.tick(600.0)
-    assert [m.asks for n, m in c.out if n == "m9"] == [False]
+    assert [m.polling for n, m in c.out if n == "m9"] == [False]
 
 
 def test_a_stale_or_uncalled_for_word_is_passed_over():
     _, _, c = three()
-    source = c.sources[0]
-    assert c.heard(10.0, source, Passed(rev=9, since=-1, targets=[], age=60_000.0)) is None
-    assert c.heard(10.0, "stranger", Passed(rev=9, since=-1, targets=[], age=0.0)) is None
-    assert c.ignored == 2 and not c.hears(10.0)
+    source = c.relays[0]
+    assert c.receive(10.0, source, RelayedList(rev=9, since=-1, targets=[], age=60_000.0)) is None
+    assert c.receive(10.0, "stranger", RelayedList(rev=9, since=-1, targets=[], age=0.0)) is None
+    assert c.ignored == 2 and not c.receiving(10.0)
 
 
 def test_own_watches_open_spread_over_the_time_that_is_allowed():
@@ -385,11 +391,11 @@
 # frames
 
 MESSAGES: list[frames.Message] = [
-    frames.Hello(bank="b", me=Entry("n", "h:1", "z", 1, 2, ALIVE), to="m"),
-    frames.Ask(number=7, news=[Entry("x", "h:2", "z", 1, 0, DEAD)]),
+    frames.Hello(bank="b", sender=Entry("n", "h:1", "z", 1, 2, ALIVE), to="m"),
+    frames.Ping(sequence=7, updates=[Entry("x", "h:2", "z", 1, 0, DEAD)]),
     frames.Hint(body=b"\0\1"),
-    Passed(rev=4, since=-1, targets=[b"{}"], age=1.5),
-    Deaf(),
+    RelayedList(rev=4, since=-1, targets=[b"{}"], age=1.5),
+    RelayUnavailable(),
 ]
 
 
@@ -402,18 +408,18 @@
 
 def framed(body: bytes, version: int = frames.VERSION, length: int | None = None) -> bytes:
     size = len(body) if length is None else length
-    return frames.HEAD.pack(frames.MARK, version, size, frames.crc32(body)) + body
+    return frames.HEAD.pack(frames.MAGIC, version, size, frames.crc32(body)) + body
 
 
 @pytest.mark.parametrize(
     ("wire", "why"),
     [
-        (framed(b"x", length=1 << 30), "is the most"),
-        (b"GET / HTTP/1.1\r\n\r\n", "no frame"),
-        (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum"),
-        (framed(b"\x93\x01"), "unreadable"),
-        (framed(b"\x81\xa1k\xa1z"), "unreadable"),
-        (framed(b"", version=9), "version 9"),
+        (framed(b"x", length=1 << 30), "exceeds the limit"),
+        (b"GET / HTTP/1.1\r\n\r\n", "not a balancer frame"),
+        (frames.encode(MESSAGES[0])[:-1] + b"!", "checksum mismatch"),
+        (framed(b"\x93\x01"), "cannot decode message"),
+        (framed(b"\x81\xa1k\xa1z"), "cannot decode message"),
+        (framed(b"", version=9), "unsupported protocol version 9"),
     ],
 )
 def test_what_is_no_frame_of_ours_is_refused(wire, why):
@@ -426,8 +432,8 @@
     unknown = frames.msgspec.msgpack.encode({"k": "later", "what": 1})
     later = frames.VERSION + 1
     assert Reader().feed(framed(newer, later) + framed(unknown, later) + framed(newer)) == [
-        frames.Ask(number=3),
-        frames.Ask(number=3),
+        frames.Ping(sequence=3),
+        frames.Ping(sequence=3),
     ]
 
 
