--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -12,7 +12,7 @@
 
 from ospreyline.capacity.size import Size
 from ospreyline.capacity.slopes import Slope
-from ospreyline.decide import SHARED_BY, USED
+from ospreyline.decide import MIN_BALANCERS_PER_UPSTREAM, MIN_UPSTREAMS_IN_USE
 from ospreyline.fleet.frames import MOST
 from ospreyline.fleet.links import MOST_LINKS
 from ospreyline.fleet.lists import BEAT, SOURCES
@@ -270,7 +270,9 @@
 def _used(s: Size) -> float:
     """The share of a zone's upstreams that a balancer there sends to: `decide`'s own figures."""
     ring = s.upstreams / s.zones
-    return min(1.0, max(USED, SHARED_BY * s.zones / s.balancers * ring) / ring)
+    return min(
+        1.0, max(MIN_UPSTREAMS_IN_USE, MIN_BALANCERS_PER_UPSTREAM * s.zones / s.balancers * ring) / ring
+    )
 
 
 def _passes(t: _Table, s: Size) -> None:
--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -1,12 +1,14 @@
-"""All decisions of ospreyline: which upstream a visit goes to, when it is tried again, and when it is not.
+"""All decisions of ospreyline: which upstream serves a visit, when a visit is retried, and when it is not.
 
-A front builds one `Balancer` an instance. `take()` gives a `Visit`, the handle by which it tells what happens
-to that visit later (`ended`, `left`); what the list, the probes, other balancers and a reload say goes to
-`told_all`, `told_changes`, `told_nothing`, `probed`, `heard`, `set_terms`. The decisions act through
-`host.Host`. docs/design.md has the design and the conditions of each exception, marked E1, E3 ... here.
+Whoever carries the decisions out builds one `Balancer` per instance. `take()` returns a `Visit`, the handle
+through which later events of that visit are reported (`ended`, `left`). Updates of the upstream list, probe
+results, hints of other balancers and reloads go to `told_all`, `told_changes`, `told_nothing`, `probed`,
+`heard` and `set_terms`. The decisions act through `host.Host`. docs/design.md has the design and the
+conditions of each exception, marked E1, E3 ... here.
 
-From top to bottom: figures, records, then the balancer: calls, the rules and the one send, placing, the rest.
-`state` has the types without decisions, `asking` when the list service is called.
+From top to bottom: constants, records, then the balancer: calls from outside, the rules and the one method
+that sends, choice of an upstream, queue, retries, periodic work. `state` has the types without decisions,
+`asking` decides when the list service is called.
 """
 
 from __future__ import annotations
@@ -23,80 +25,82 @@
 from ospreyline.lease import ListLease
 from ospreyline.state import Fetch, Lane, Visit
 
-FACTOR = 1.4  # overprovisioning factor of a level's health
-FAILURE_RUN = 5  # failures in a row that mark an upstream failing
-HOLD_DOWN = 10_000.0  # ms an upstream stays failing before its one trial
-LATENCY_MARK = 4.0  # smoothed latency over its lowest of the last minute
-LOWEST_SPAN = 30_000.0  # the lowest is kept for this span and the one before
-RAMP = 10_000.0  # ms until a new or returning upstream counts whole
-FADE = 1_000.0  # ms in which a load report loses most of its weight
-FULL_MEMORY = 1_000.0  # ms an upstream that said it is full counts half
-HIGH_REPORT = 2.0  # a faded report this many times the mean counts half
-
-BEAT = 200.0  # ms between two rounds of periodic work
-LOOK = 50.0  # ms between two looks at held visits
-FORGET = 2_000.0  # ms in which what was measured fades; the time between two visits to it, if longer
-FADE_COUNTS = 0.9  # what is left after a second of the counts of visits
-FEW = 10.0  # visits that tell nothing yet
-SMOOTH = 0.1  # weight of a new sample in smoothed figures
-PACE = 0.02  # weight of a new sample in the pace of a path prefix
-REACH = 0.3  # weight of a new sample in the share of a zone's fetches that find a process
-COLD_NEAR, COLD_FAR = 0.5, 0.3  # of a cold budget, by what its own zone, and what all, deliver to us
-SPARE = 0.5  # share of a part of a cold send that is left for chance, where balancers are many
-PATIENCE = 0.9  # share of the target latency that a visit of great value accepts as predicted latency
-IDLE_SHARE = 0.4  # of an idle upstream's latency that comes on top of patience
-FIRST_GUESS = 0.2  # of the shortest target latency: an upstream's latency until it is measured
-SHARED_BY = 4  # balancers of a zone that send to an upstream there, at the least
-USED = 3  # upstreams of a zone that a balancer sends to, at the least
-OWN = 0.35  # fetches of ours at each of them, were none crowded; more are used until it is no more
-UNCROWDED = 3.0  # visits that any upstream may hold at a time, however slow it is
-GOLDEN = 0.6180339887498949
-MIX, MASK = 0xD6E8FEB86659FD93, (1 << 64) - 1  # to hash a key with an upstream's mark
-FURTHER = 2  # further backend fetches of a visit
-RESTED = 0.9  # of the shortest rest from which on connections are silent: what rests longer is replaced
-MIXED = 2 / 3  # of silences that are told, the most that one path prefix has
-SILENT = 1 / 3  # share of silent ones among connections that rested as long, from which on it is their rest
-HINT = Struct("<I")  # what balancers tell one another: connections that have rested so many ms are silent
-AGREE = 40  # balancers, for each of which one more must have told it
-FORGIVE = 30_000.0  # ms for which a silent connection counts
-PROBE_SPEND = 0.002  # of the gain, the most that probes may cost
-PROBE_EVERY = 1_000.0  # ms between probes of an upstream, at most
+OVERPROVISIONING_FACTOR = 1.4  # of a locality's health
+EJECT_AFTER_FAILURES = 5  # consecutive failures of an upstream
+EJECTION_MS = 10_000.0  # until the one trial request of an ejected upstream
+SLOW_LATENCY_RATIO = 4.0  # smoothed latency over the lowest of the last minute from which one is slow
+LOWEST_LATENCY_WINDOW_MS = 30_000.0  # the lowest latency covers this window and the one before
+SLOW_START_MS = 10_000.0  # until a new or returning upstream counts fully
+LOAD_DECAY_MS = 1_000.0  # in which a load report loses most of its weight
+FULL_PENALTY_MS = 1_000.0  # for which an upstream that answered "full" counts half
+HIGH_LOAD_RATIO = 2.0  # an upstream whose decayed load is this many times the mean counts half
+
+TICK_MS = 200.0  # period of the periodic work
+QUEUE_CHECK_MS = 50.0  # between two checks of the queue
+MEASUREMENT_DECAY_MS = 2_000.0  # of measurements; the mean time between two visits to an upstream, if longer
+COUNT_KEPT_PER_S = 0.9  # share of the visit counts that is left after a second
+FEW_VISITS = 10.0  # too few to conclude anything from
+SMOOTHING = 0.1  # weight of a new sample in smoothed values
+RELATIVE_LATENCY_SMOOTHING = 0.02  # the same for the relative latency of a request class
+REACHABILITY_SMOOTHING = 0.3  # the same for the share of a zone's fetches that reach a process
+# weights, in the cold budget, of what one upstream of the zone and of what all upstreams deliver for us
+COLD_LOCALITY_WEIGHT, COLD_TOTAL_WEIGHT = 0.5, 0.3
+COLD_HEADROOM = 0.5  # withheld from fractions of a cold send where balancers are many, for chance
+ADMISSION_FACTOR = 0.9  # share of the target latency that a visit of great value accepts as predicted latency
+IDLE_LATENCY_SHARE = 0.4  # of an idle upstream's latency, added to each latency budget
+INITIAL_LATENCY_SHARE = 0.2  # of the shortest target latency: latency assumed until one is measured
+MIN_BALANCERS_PER_UPSTREAM = 4  # of a zone, for an upstream of that zone
+MIN_UPSTREAMS_IN_USE = 3  # of a zone, by one balancer
+TARGET_FETCHES_PER_UPSTREAM = 0.35  # mean of ours in flight at idle latency; above it more upstreams are used
+SAFE_CONCURRENCY = 3.0  # visits that any upstream can hold at a time, however slow it is
+GOLDEN_RATIO = 0.6180339887498949
+HASH_MULTIPLIER, HASH_MASK = 0xD6E8FEB86659FD93, (1 << 64) - 1
+MAX_FURTHER_FETCHES = 2  # of a visit, after its first one
+IDLE_LIMIT_MARGIN = 0.9  # of the shortest idle time after which connections were unresponsive
+MAX_SHARE_OF_ONE_CLASS = 2 / 3  # of the unresponsive fetches behind a hint that is sent to other balancers
+UNRESPONSIVE_SHARE = 1 / 3  # of the connections idle as long, from which on the idle time is the cause
+# the message between balancers: connections that were idle for so many ms are unresponsive
+IDLE_TIMEOUT_HINT = Struct("<I")
+BALANCERS_PER_HINT = 40  # one more hint is needed for each so many balancers
+UNRESPONSIVE_MEMORY_MS = 30_000.0  # for which an unresponsive connection, or a hint, counts
+PROBE_COST_SHARE = 0.002  # of the gain, the most that probes may cost
+PROBE_INTERVAL_MS = 1_000.0  # between two probes of an upstream, at least
 
 
 @dataclass(slots=True, eq=False)
-class Level:
-    """A zone: its healthy upstreams, and what fetches to it tell of those that are seldom met."""
+class Locality:
+    """A zone: its upstreams in use, and figures of all fetches to it, for upstreams that we seldom use."""
 
     latency: float  # smoothed over all its fetches
-    lowest: float
-    healthy: list[Upstream] = field(default_factory=list)
+    lowest_latency: float
+    candidates: list[Upstream] = field(default_factory=list)
     samples: int = 0
     measured_at: float = -inf
-    out: int = 0  # fetches of ours
-    depth: float = 1.0  # of those when the ones measured were sent, smoothed alike
-    reach: float = 1.0  # share of its fetches that found a process, smoothed
-    reached_at: float = -inf
-    used: float = 1.0  # share of its upstreams that a balancer asked the mean sends to
-    kept: float = 1.0  # share of its fetches answered within the target latency, smoothed
-    rate: float = 0.0  # visits a second that one of its warm upstreams delivers for us, smoothed
-    capacity: float = 0.0  # visits a second that one of its upstreams, if warm, may carry for us
-
-    def smooth(self, now: float, latency: float, depth: int) -> None:
-        """Take in how long a fetch to the zone took that was sent as the depth-th one out there."""
+    in_flight: int = 0  # fetches of ours
+    usual_in_flight: float = 1.0  # fetches of ours in flight when the measured ones were sent, smoothed alike
+    reachability: float = 1.0  # share of its fetches that reached a process, smoothed
+    reachability_at: float = -inf
+    used_share: float = 1.0  # share of its upstreams that a balancer with the mean arrival rate uses
+    in_time_share: float = 1.0  # share of its fetches answered within the target latency, smoothed
+    delivery_rate: float = 0.0  # visits a second that one of its warm upstreams delivers for us, smoothed
+    capacity: float = 0.0  # visits a second that one of its upstreams, once warm, can serve for us
+
+    def record_latency(self, now: float, latency: float, in_flight: int) -> None:
+        """Record the latency of a fetch to the zone, sent as the `in_flight`-th one in flight there."""
         self.samples += 1
-        weight = max(SMOOTH, 1 / (self.samples + 3))
+        weight = max(SMOOTHING, 1 / (self.samples + 3))
         if self.measured_at > -inf:
-            weight = max(weight, 1 - exp((self.measured_at - now) / FORGET))
+            weight = max(weight, 1 - exp((self.measured_at - now) / MEASUREMENT_DECAY_MS))
         self.measured_at = now
-        # guards: a geometric mean, or one or two stuck upstreams make their whole zone look slow
+        # a geometric mean: with an arithmetic one, one or two stuck upstreams make their whole zone look slow
         self.latency *= (max(1.0, latency) / self.latency) ** weight
-        self.depth += weight * (depth - self.depth)
-        if self.samples * SMOOTH >= 1:
-            self.lowest = min(self.lowest, self.latency)
+        self.usual_in_flight += weight * (in_flight - self.usual_in_flight)
+        if self.samples * SMOOTHING >= 1:
+            self.lowest_latency = min(self.lowest_latency, self.latency)
 
-    def reach_at(self, now: float) -> float:
-        """The share of fetches to the zone that may be thought to find a process."""
-        return 1 - (1 - self.reach) * exp((self.reached_at - now) / HOLD_DOWN)
+    def expected_reachability(self, now: float) -> float:
+        """The share of fetches to the zone that are expected to reach a process, decaying to 1."""
+        return 1 - (1 - self.reachability) * exp((self.reachability_at - now) / EJECTION_MS)
 
 
 @dataclass(slots=True, eq=False)
@@ -104,222 +108,254 @@
     """All that is known of one upstream."""
 
     id: int
-    mark: int
+    hash_key: int
     zone: int
     cell: int
-    level: Level
+    locality: Locality
     ready: bool = False
-    start: float = -inf  # of its process
-    came_up: float = -inf  # as the list has it, which may lie ahead
-    since: float = -inf  # it is new, or has returned, since then
-    out: dict[Fetch, None] = field(default_factory=dict)  # oldest first
-    run: float = 0.0
-    until: dict[Lane, float] = field(default_factory=dict)  # no visit of it before, then a trial
-    failing: bool = False
+    started_at: float = -inf  # of its process, on our clock
+    listed_start: float = -inf  # start of its process as listed, which may lie in the future
+    slow_start_at: float = -inf  # when it was new, or returned; it counts fully SLOW_START_MS later
+    in_flight: dict[Fetch, None] = field(default_factory=dict)  # oldest first
+    failure_run: float = 0.0
+    # no visits until then; then one trial request
+    class_ejected_until: dict[Lane, float] = field(default_factory=dict)
+    ejected: bool = False
     trial_at: float = 0.0
-    trial_out: bool = False
+    trial_in_flight: bool = False
     full_at: float = -inf
-    heard_at: float = -inf  # it last answered a visit, or a time-out last counted against it
-    passed_at: float = -inf  # an answered fetch was sent then, the latest such
-    latency: float = 0.0  # as last measured; see expected
-    lowest: float = inf
-    lowest_before: float = inf
-    lowest_since: float = 0.0
-    samples: float = 0.0  # fading
+    outcome_at: float = -inf  # when it last answered a visit, or a time-out last counted as a failure
+    answered_send_at: float = -inf  # latest send time of a fetch that was answered
+    latency: float = 0.0  # as last measured; see expected_latency
+    lowest_latency: float = inf
+    previous_lowest: float = inf
+    lowest_window_start: float = 0.0
+    samples: float = 0.0  # decaying
     measured_at: float = -inf
-    depth: float = 1.0  # fetches of ours that it held when sent the ones measured, smoothed alike
-    report: float = 0.0
-    report_at: float = -inf
+    usual_in_flight: float = 1.0  # fetches of ours in flight here when the measured ones were sent, smoothed
+    load: float = 0.0
+    load_at: float = -inf
     probed_at: float = -inf
     sent_at: float = -inf
-    used_at: float = inf  # a connection to it last carried an answer; inf while none is known
-    served: int = 0
+    connection_used_at: float = inf  # last answer on any connection to it; inf while none is known
+    deliveries: int = 0
     cold_sends: deque[float] = field(default_factory=deque)
-    allowed: int = 0  # cold sends in a window, drawn for each
-    drawn_at: float = -inf
-
-    def reborn(self, now: float, start: float) -> None:
-        """A new process: nothing learnt of the old one holds."""
-        self.start = start
-        self.since = max(start, now - RAMP) if start > -inf else now
-        self.failing = self.trial_out = False
-        self.run = self.report = self.samples = 0.0
-        self.measured_at = self.report_at = -inf
-        self.depth, self.lowest, self.lowest_before = 1.0, inf, inf
-        self.until.clear()  # what it was sent while cold stays noted, or a window would hold two parts
-
-    def smooth(self, now: float, latency: float, depth: int, memory: float) -> None:
-        """Take in how long a fetch took that was sent as the depth-th one out."""
-        self.latency = self.expected(now, memory)
-        self.samples = self.samples * exp((self.measured_at - now) / memory) + 1
-        weight = max(SMOOTH, 1 / (self.samples + 1))
+    cold_sends_allowed: int = 0  # in the current window, with the fraction drawn by chance
+    cold_sends_drawn_at: float = -inf
+
+    def reset_after_restart(self, now: float, start: float) -> None:
+        """Discard what was learnt of the previous process, all but its cold sends."""
+        self.started_at = start
+        self.slow_start_at = max(start, now - SLOW_START_MS) if start > -inf else now
+        self.ejected = self.trial_in_flight = False
+        self.failure_run = self.load = self.samples = 0.0
+        self.measured_at = self.load_at = -inf
+        self.usual_in_flight, self.lowest_latency, self.previous_lowest = 1.0, inf, inf
+        # cold sends stay recorded: otherwise one window could hold the budget twice
+        self.class_ejected_until.clear()
+
+    def record_latency(self, now: float, latency: float, in_flight: int, decay_ms: float) -> None:
+        """Record the latency of a fetch, sent as the `in_flight`-th one in flight here."""
+        self.latency = self.expected_latency(now, decay_ms)
+        self.samples = self.samples * exp((self.measured_at - now) / decay_ms) + 1
+        weight = max(SMOOTHING, 1 / (self.samples + 1))
         self.measured_at = now
         self.latency += weight * (latency - self.latency)
-        self.depth += weight * (depth - self.depth)
-        if now - self.lowest_since > LOWEST_SPAN:
-            self.lowest_since, self.lowest_before, self.lowest = now, self.lowest, inf
-        if self.samples * SMOOTH >= 0.5:
-            self.lowest = min(self.lowest, self.latency)
+        self.usual_in_flight += weight * (in_flight - self.usual_in_flight)
+        if now - self.lowest_window_start > LOWEST_LATENCY_WINDOW_MS:
+            self.lowest_window_start, self.previous_lowest, self.lowest_latency = (
+                now,
+                self.lowest_latency,
+                inf,
+            )
+        if self.samples * SMOOTHING >= 0.5:
+            self.lowest_latency = min(self.lowest_latency, self.latency)
 
-    def expected(self, now: float, memory: float) -> float:
-        """Its latency as measured, fading to that of its zone."""
-        # guards: an old sample says less than its neighbours since; one passed over is tried again so, too
-        usual = self.level.latency
-        return usual + (self.latency - usual) * exp((self.measured_at - now) / memory)
+    def expected_latency(self, now: float, decay_ms: float) -> float:
+        """Its latency as last measured, decaying to that of its zone."""
+        # old samples say less than newer ones of its zone; decay also has avoided upstreams tried again
+        usual = self.locality.latency
+        return usual + (self.latency - usual) * exp((self.measured_at - now) / decay_ms)
 
 
 class Balancer:
-    """The decisions of one instance, from its own traffic alone."""
+    """The decisions of one instance, from its own traffic alone. Times in ms on one clock."""
 
-    def __init__(self, host: Host, terms: Deployment, seed: int, now: float) -> None:
+    def __init__(self, host: Host, settings: Deployment, seed: int, now: float) -> None:
         self._host = host
         self._random = Random(seed).random
-        self._rest = inf  # a connection that has rested longer is not trusted
-        self._told_rest = self._told_until = inf  # what others have told of that, and how long it holds
-        self._rests: deque[Fetch] = deque(maxlen=99)  # the latest: long and short rests are compared
-        self._places = self._probes_due = 0.0  # places: upstreams that we would use, were all healthy
-        self._asking = Asking(self._random())  # when to ask for the list
-        self.lease = ListLease()  # until when the list may be used
+        self._idle_limit = inf  # ms; connections that were idle for longer are not reused
+        # ms, and its expiry: from hints of other balancers
+        self._hinted_idle_limit = self._hint_expires = inf
+        # the latest; long and short idle times are compared
+        self._recent_fetches: deque[Fetch] = deque(maxlen=99)
+        self._wanted_upstreams = self._probes_due = 0.0  # upstreams in use, were all healthy
+        self._call_schedule = Asking(self._random())  # when to call the list service
+        self.lease = ListLease()  # until when the upstream list may be used
         self._upstreams: dict[int, Upstream] = {}
-        self._ring: list[Upstream] = []  # in an order that is the same at every balancer
+        self._ring: list[Upstream] = []  # hash ring, the same at every balancer
         self._ready: list[Upstream] = []
-        self._due: list[Upstream] = []  # failing ones whose trial is due
-        self._shares: list[tuple[float, int]] = []  # running total of the shares, zone
-        self._memory = FORGET  # how long what was measured of an upstream holds
-        self._looking = False
-        self._held = self._delivered = self._taken = 0
-        self._flow = self._asked = self._mean_report = 0.0  # visits a second that we deliver, are asked
-        self._short_at = -inf  # room was last short then
-        self._second_at = now
-        self._lanes, self._by_value, self._levels = list[Lane](), list[Lane](), list[Level]()
-        self._terms = terms
-        self._moved_at = -inf  # zones were last named anew then
-        self.set_terms(now, terms)
-        self._base = self._first_guess  # mean of the lowest latencies
-        host.wake(now + BEAT * self._random(), self._beat)
-
-    def set_terms(self, now: float, terms: Deployment) -> None:
-        """Turn terms into figures, at the start or on a reload, after which the whole list is told anew."""
-        old, again, self._terms = self._terms, bool(self._levels), terms
-        known = {lane.terms: lane for lane in self._lanes}
-        lanes = [known.get(p) or Lane(p) for p in terms.prefixes]
-        # a visit keeps the lane under which it was taken: those that wait in a former one are looked at
-        former = [lane for lane in self._by_value if lane.held and lane not in lanes]
-        self._lanes, self._by_value = lanes, sorted(lanes, key=lambda lane: -lane.gain) + former
-        # a trial may be lost, so visits that may run again make it, where there are any
-        self._trial_kinds = {lane.kind for lane in lanes} - {Kind.MUTATING} or {Kind.MUTATING}
-        zones, share = terms.zones, min(1.0, terms.zones / terms.balancers)
-        self._zone, self._zones, self._balancers = terms.zone, zones, terms.balancers
-        # those of one zone let visits in at the same moment: the more, the less patient each is (E1)
-        self._bold = PATIENCE * (2 + share) / 3
-        # guards: by chance some of hundreds see silence where others do not, so as many must agree
-        self._told_rests: deque[tuple[float, float]] = deque(maxlen=2 + terms.balancers // AGREE)
-        self._cross_fee, self._tip_after, self._warm_within = (
-            terms.cross_fee,
-            terms.tip_after,
-            terms.warm_within,
+        self._trials_due: list[Upstream] = []  # ejected, time for a trial request
+        self._zone_shares: list[tuple[float, int]] = []  # running total of the shares, zone
+        self._decay_ms = MEASUREMENT_DECAY_MS  # decay time of measurements of one upstream
+        self._queue_check_scheduled = False
+        self._queued = self._delivered = self._accepted = 0
+        self._delivery_rate = self._arrival_rate = self._mean_load = 0.0  # rates: visits a second
+        self._capacity_short_at = -inf  # when a visit last found no capacity
+        self._rates_updated_at = now
+        self._request_classes, self._classes_by_value, self._localities = (
+            list[Lane](),
+            list[Lane](),
+            list[Locality](),
+        )
+        self._settings = settings
+        self._zones_renamed_at = -inf  # when zone names last changed
+        self.set_terms(now, settings)
+        self._base_latency = self._initial_latency  # ms, mean of the lowest latencies
+        host.wake(now + TICK_MS * self._random(), self._tick)
+
+    def set_terms(self, now: float, settings: Deployment) -> None:
+        """Apply settings, at the start or on a reload, after which the caller passes the whole list again."""
+        old, reload, self._settings = self._settings, bool(self._localities), settings
+        known = {c.terms: c for c in self._request_classes}
+        request_classes = [known.get(p) or Lane(p) for p in settings.prefixes]
+        # visits keep the class that they were accepted under, so removed ones with queued visits are kept
+        former = [c for c in self._classes_by_value if c.held and c not in request_classes]
+        self._request_classes, self._classes_by_value = (
+            request_classes,
+            sorted(request_classes, key=lambda c: -c.gain) + former,
+        )
+        # a trial request may be lost, so kinds that may be repeated serve as trials, where there are any
+        self._trial_kinds = {c.kind for c in request_classes} - {Kind.MUTATING} or {Kind.MUTATING}
+        zones, share = settings.zones, min(1.0, settings.zones / settings.balancers)
+        self._zone, self._zone_count, self._balancer_count = settings.zone, zones, settings.balancers
+        # balancers of one zone admit visits at the same moment: the more of them, the less each accepts (E1)
+        self._admission_factor = ADMISSION_FACTOR * (2 + share) / 3
+        # with hundreds of balancers some see unresponsive connections by chance, so more of them must agree
+        self._hints: deque[tuple[float, float]] = deque(maxlen=2 + settings.balancers // BALANCERS_PER_HINT)
+        self._cross_fee, self._cold_window_ms, self._warm_up_ms = (
+            settings.cross_fee,
+            settings.tip_after,
+            settings.warm_within,
         )
-        # cold sends a window at a capacity of one a second; those of any zone may send to a cold upstream
-        self._cold_window = terms.overload_factor * terms.tip_after / 1e3 / max(3, zones)
-        self._granted = 1 - SPARE * (1 - share)
-        fields = terms.report_fields
-        self._load_field = next((fields.index(f) for f in ("in-flight", "queue", "util") if f in fields), -1)
-        self._asking.fit(terms.balancers, terms.must_ask_in)
-        self.lease.fit(terms.drain_grace, terms.must_ask_in, not terms.ask_for_list)
-        if not again or old.ask_for_list != terms.ask_for_list:
-            self._asking.begin(now, terms.ask_for_list)
-        self._place_in_ring = terms.number * GOLDEN % 1  # spread evenly, whichever numbers a zone has
-        self._used_share = SHARED_BY * zones / terms.balancers
-        self._order = [(terms.zone + i) % zones for i in range(zones)]  # own first
-        shortest = min((lane.target for lane in lanes), default=0.0)
-        # guards: the first answers are the short ones; until more are in, nothing is thought to be fast
-        self._harmless, self._first_guess = 0.5 * shortest, FIRST_GUESS * shortest
-        levels = dict(zip(old.zone_names, self._levels, strict=False))
-        named = terms.zone_names or ("",) * zones
-        if again and old.zone_names != named:
-            self._moved_at = now
-        self._levels = [levels.get(name) or Level(self._first_guess, self._first_guess) for name in named]
+        # cold sends per window for a capacity of one a second; any zone may send to a cold upstream
+        self._cold_sends_per_capacity = settings.overload_factor * settings.tip_after / 1e3 / max(3, zones)
+        self._fraction_granted = 1 - COLD_HEADROOM * (1 - share)
+        fields = settings.report_fields
+        self._load_index = next((fields.index(f) for f in ("in-flight", "queue", "util") if f in fields), -1)
+        self._call_schedule.fit(settings.balancers, settings.must_ask_in)
+        self.lease.fit(settings.drain_grace, settings.must_ask_in, not settings.ask_for_list)
+        if not reload or old.ask_for_list != settings.ask_for_list:
+            self._call_schedule.begin(now, settings.ask_for_list)
+        # even spacing, whatever numbers the balancers of a zone have
+        self._ring_position = settings.number * GOLDEN_RATIO % 1
+        self._min_used_share = MIN_BALANCERS_PER_UPSTREAM * zones / settings.balancers
+        self._zone_order = [(settings.zone + i) % zones for i in range(zones)]  # own zone first
+        shortest = min((c.target for c in request_classes), default=0.0)
+        # short answers arrive first, so no upstream counts as fast until more have been measured
+        self._never_slow_below, self._initial_latency = 0.5 * shortest, INITIAL_LATENCY_SHARE * shortest
+        localities = dict(zip(old.zone_names, self._localities, strict=False))
+        zone_names = settings.zone_names or ("",) * zones
+        if reload and old.zone_names != zone_names:
+            self._zones_renamed_at = now
+        self._localities = [
+            localities.get(name) or Locality(self._initial_latency, self._initial_latency)
+            for name in zone_names
+        ]
         cold = "cold_from", "warm_within", "overload_factor", "tip_after", "zones", "balancers"
-        redrawn = any(getattr(old, figure) != getattr(terms, figure) for figure in cold)
+        budget_changed = any(getattr(old, setting) != getattr(settings, setting) for setting in cold)
         for u in self._upstreams.values():
-            if again and old.report_fields != fields:
-                u.report_at = -inf  # guards: a load in another unit, which the new means would be mixed with
-            if redrawn:
-                # guards: a draw under the old figures could be over the new ones, and what was sent to one
-                # that counted as warm was not noted: a window goes by first
-                u.allowed, u.drawn_at = 0, now
-            self._put(u, self._levels.index(u.level) if u.level in self._levels else self._order[-1])
-
-    def _put(self, u: Upstream, zone: int) -> None:
-        """An upstream counts to a zone; what is out there goes with it."""
-        u.level.out -= len(u.out)
-        u.zone, u.level = zone, self._levels[zone]
-        u.level.out += len(u.out)
+            if reload and old.report_fields != fields:
+                u.load_at = -inf  # the old load may have another unit and must not be mixed into the new mean
+            if budget_changed:
+                # A budget drawn under the old settings could exceed the new one, and sends to an upstream
+                # that counted as warm were not recorded: skip one window.
+                u.cold_sends_allowed, u.cold_sends_drawn_at = 0, now
+            self._assign_locality(
+                u,
+                self._localities.index(u.locality)
+                if u.locality in self._localities
+                else self._zone_order[-1],
+            )
+
+    def _assign_locality(self, u: Upstream, zone: int) -> None:
+        """Move an upstream, with its fetches in flight, to a zone."""
+        u.locality.in_flight -= len(u.in_flight)
+        u.zone, u.locality = zone, self._localities[zone]
+        u.locality.in_flight += len(u.in_flight)
 
     def told_all(self, now: float, lines: list[Listed], own: bool = True) -> None:
-        """The whole list: who is missing from it is gone. `own`: a watch of ours that stands has spoken."""
-        named = {line.upstream for line in lines}
+        """Apply the whole list: upstreams missing from it are not ready. `own`: from a watch of ours."""
+        listed = {line.upstream for line in lines}
         for u in self._upstreams.values():
-            u.ready = u.ready and u.id in named
+            u.ready = u.ready and u.id in listed
         self.told_changes(now, lines, first=not self._upstreams, own=own)
 
     def told_changes(self, now: float, lines: list[Listed], first: bool = False, own: bool = True) -> None:
-        """Changes of the list; an answer to our call, if we had asked, unless they are not `own`."""
+        """Apply changes of the list.
+
+        `first`: of a first list, whose upstreams need not be new; `own`: from a watch of ours.
+        """
         if own:
-            self._asking.told()
+            self._call_schedule.told()
         for line in lines:
             u = self._upstreams.get(line.upstream)
             if u is None:
-                level = self._levels[line.zone]
-                u = Upstream(line.upstream, line.mark, line.zone, line.cell, level)
+                locality = self._localities[line.zone]
+                u = Upstream(line.upstream, line.mark, line.zone, line.cell, locality)
                 self._upstreams[u.id] = u
-                # guards: hundreds of balancers would each grant it a first visit, crowded or not
-                u.sent_at = now - self._random() * self._crowd(u) * u.level.latency
+                # otherwise each of hundreds of balancers would send a first visit at once, overloaded or not
+                u.sent_at = now - self._random() * self._send_spacing(u) * u.locality.latency
             u.cell = line.cell
-            self._put(u, line.zone)
-            was, u.ready = u.ready, line.readiness is Readiness.READY
+            self._assign_locality(u, line.zone)
+            was_ready, u.ready = u.ready, line.readiness is Readiness.READY
             if not u.ready:
                 continue
-            came_up = line.came_up or -inf  # what lies ahead of our clock is now, and not anew each time
-            if came_up > u.came_up or not (was or first):
-                start, u.came_up = u.start if came_up == u.came_up else min(came_up, now), came_up
-                u.reborn(now, start)  # guards: a returning machine is cold, whatever was learnt of it
+            # a start in the future counts as now, and only once for each listed start
+            came_up = line.came_up or -inf
+            if came_up > u.listed_start or not (was_ready or first):
+                start, u.listed_start = (
+                    u.started_at if came_up == u.listed_start else min(came_up, now),
+                    came_up,
+                )
+                u.reset_after_restart(now, start)  # a restarted machine is cold, whatever was learnt of it
         if len(self._ring) < len(self._upstreams):
-            self._ring = sorted(self._upstreams.values(), key=lambda u: u.mark * MIX & MASK)
-        self._rank(now)
+            self._ring = sorted(
+                self._upstreams.values(), key=lambda u: u.hash_key * HASH_MULTIPLIER & HASH_MASK
+            )
+        self._update_candidates(now)
 
     def told_nothing(self, now: float, lost: bool = False, turned_away: bool = False) -> None:
-        """A call for the list failed or the subscription broke: the old list stands, we ask again.
+        """A list call failed or the watch broke off: keep the old list and schedule another call.
 
-        `lost`: an update may have been written that did not arrive; `turned_away`: the service has too many
-        callers.
+        `lost`: an update may have been written and lost; `turned_away`: the service has too many callers.
         """
-        self._asking.failed(now, turned_away)
-        if lost and self._terms.ask_for_list:
-            self._asking.lost(now)
-            self._host.wake(self._asking.due, self._ask)
+        self._call_schedule.failed(now, turned_away)
+        if lost and self._settings.ask_for_list:
+            self._call_schedule.lost(now)
+            self._host.wake(self._call_schedule.due, self._call_if_due)
 
     def ask_again(self, now: float) -> None:
-        """What was told does not settle what may have been lost: a call that begins later does."""
-        if self._asking.due == inf:
-            self._asking.lost(now)
-            self._host.wake(self._asking.due, self._ask)
+        """Schedule a call, as the updates received so far leave open whether one was lost."""
+        if self._call_schedule.due == inf:
+            self._call_schedule.lost(now)
+            self._host.wake(self._call_schedule.due, self._call_if_due)
 
     def asked(self, now: float) -> None:
-        """The front has called by itself, elsewhere: what went before is over."""
-        self._asking.called(now, anew=True)
+        """A call was made to another list service: reset the schedule's failures."""
+        self._call_schedule.called(now, anew=True)
 
     def forget(self, upstream: int) -> None:
-        """One that has long gone will not be named again."""
+        """Remove an upstream that left long ago and will not be listed again."""
         self._ring.remove(self._upstreams.pop(upstream))
 
     def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
-        """A probe has ended."""
+        """A probe has ended, after `spent` ms."""
         u = self._upstreams[upstream]
         if end is End.DELIVERED:
-            self._take_report(u, now, report)
-        elif u.failing and end is not End.FULL:
-            u.trial_at = now + HOLD_DOWN / 4  # guards: no trial visit is spent on one that no probe reaches
+            self._record_load(u, now, report)
+        elif u.ejected and end is not End.FULL:
+            u.trial_at = now + EJECTION_MS / 4  # spends no trial request on an upstream that no probe reaches
 
     def take(
         self,
@@ -328,23 +364,25 @@
         prefix: int,
         ttl: float,
         repeat: bool,
-        ran: Sequence[tuple[int, int, float]] = (),
+        prior_fetches: Sequence[tuple[int, int, float]] = (),
     ) -> Visit:
-        """A visit has come; it is sent, held or answered before this returns. `ran`: fetches of it that may
-        have run, of balancers that had it before us: zone, cell, time."""
-        lane = self._lanes[prefix]
-        lane.usual_ttl = max(lane.usual_ttl, ttl)
-        visit = Visit(self, tag, lane, now, ttl, repeat)
-        for zone, cell, sent in ran:
-            u = Upstream(-1, 0, zone, cell, self._levels[0])
-            visit.fetches.append(Fetch(u, lane, sent, 0.0, 1, 1, False, End.RESET))
-        self._taken += 1
-        lane.arrived += 1
-        if not self._place(visit, now):
-            self._hold(visit, now)
+        """Accept a visit; it is sent, queued or answered before this returns.
+
+        `prior_fetches`: its fetches by previous balancers that may have executed: zone, cell, time sent.
+        """
+        request_class = self._request_classes[prefix]
+        request_class.usual_ttl = max(request_class.usual_ttl, ttl)
+        visit = Visit(self, tag, request_class, now, ttl, repeat)
+        for zone, cell, sent in prior_fetches:
+            u = Upstream(-1, 0, zone, cell, self._localities[0])
+            visit.fetches.append(Fetch(u, request_class, sent, 0.0, 1, 1, False, End.RESET))
+        self._accepted += 1
+        request_class.arrived += 1
+        if not self._choose_and_send(visit, now):
+            self._enqueue(visit, now)
         return visit
 
-    def _ended(
+    def _fetch_ended(
         self,
         visit: Visit,
         f: Fetch,
@@ -354,533 +392,617 @@
         final: bool,
         report: tuple[float, ...],
     ) -> None:
+        """A fetch has ended after `spent` ms; `final`: the client has its answer."""
         u = f.upstream
         if f.end is None:
             f.end = end
             visit.out -= 1
-            if u.out.pop(f, self) is None:
-                u.level.out -= 1
-            self._learn(u, f, now, end, spent, visit.lane)
-            self._take_report(u, now, report)
+            if u.in_flight.pop(f, self) is None:
+                u.locality.in_flight -= 1
+            self._record_outcome(u, f, now, end, spent, visit.lane)
+            self._record_load(u, now, report)
         if final and not visit.done:
             if end is End.DELIVERED:
                 visit.lane.in_time += now <= visit.target_at
                 self._delivered += 1
             self._close(visit, now)
         elif not visit.done and not visit.out:
-            self._again(visit, now)
-        if self._held:
-            self._drain(now)
+            self._retry_or_answer(visit, now)
+        if self._queued:
+            self._drain_queue(now)
 
-    def _learn(self, u: Upstream, f: Fetch, now: float, end: End, spent: float, lane: Lane) -> None:
+    def _record_outcome(
+        self, u: Upstream, f: Fetch, now: float, end: End, spent: float, request_class: Lane
+    ) -> None:
+        """Update latency, reachability and ejection by the end of a fetch that took `spent` ms."""
         if f.trial:
-            u.trial_out = False
+            u.trial_in_flight = False
         if end is End.DELIVERED or end is End.ERRORED or end is End.FULL:
-            u.used_at = now
+            u.connection_used_at = now
         elif end is End.TIMED_OUT:
-            if not f.silent and spent > self._silent_after(u, lane, now):
-                self._silence(f, now)
-            if f.rest > self._rest:
-                return  # guards: of a connection that was dropped unseen; it says nothing of the upstream
+            if not f.silent and spent > self._unresponsive_after(u, request_class, now):
+                self._record_unresponsive(f, now)
+            if f.rest > self._idle_limit:
+                return  # the connection was dropped unseen; this says nothing of the upstream
         if end is End.CANCELLED or end is End.UNSENT:
             return
-        found = end is not End.UNREACHED and end is not End.RESET
-        u.level.reach = u.level.reach_at(now) + REACH * (found - u.level.reach_at(now))
-        u.level.reached_at = now
-        # a failure counts more than 1 where less than one in six fails by chance
-        best = max((level.kept for level in self._levels if level.samples >= FEW), default=0.0)
+        reached = end is not End.UNREACHED and end is not End.RESET
+        u.locality.reachability = u.locality.expected_reachability(now) + REACHABILITY_SMOOTHING * (
+            reached - u.locality.expected_reachability(now)
+        )
+        u.locality.reachability_at = now
+        # a failure weighs more than 1 where less than one in six fails by chance
+        best = max(
+            (locality.in_time_share for locality in self._localities if locality.samples >= FEW_VISITS),
+            default=0.0,
+        )
         weight = max(1.0, log(max(0.01, 1 - best)) / log(1 / 6))
-        latency, in_time = 0.0, end is End.DELIVERED and spent <= lane.target
+        latency, in_time = 0.0, end is End.DELIVERED and spent <= request_class.target
         if end is End.DELIVERED or end is End.TIMED_OUT:
-            lane.pace += PACE * (min(LATENCY_MARK, spent / u.level.latency) - lane.pace)
-        u.level.kept += SMOOTH * (in_time - u.level.kept)
+            request_class.pace += RELATIVE_LATENCY_SMOOTHING * (
+                min(SLOW_LATENCY_RATIO, spent / u.locality.latency) - request_class.pace
+            )
+        u.locality.in_time_share += SMOOTHING * (in_time - u.locality.in_time_share)
         if end is End.DELIVERED:
-            u.served, u.run = u.served + 1, 0.0
-            u.until.pop(lane, None)
-            u.passed_at = max(u.passed_at, f.sent)
-            u.heard_at = now
-            u.failing, u.since = False, now if u.failing else u.since
+            u.deliveries, u.failure_run = u.deliveries + 1, 0.0
+            u.class_ejected_until.pop(request_class, None)
+            u.answered_send_at = max(u.answered_send_at, f.sent)
+            u.outcome_at = now
+            u.ejected, u.slow_start_at = False, now if u.ejected else u.slow_start_at
             latency = spent
         elif end is End.FULL:
             u.full_at = now
-            if u.failing:
-                u.trial_at = now + HOLD_DOWN
+            if u.ejected:
+                u.trial_at = now + EJECTION_MS
         else:
-            if end is not End.TIMED_OUT or f.sent >= u.heard_at:
-                # guards: one that answers others is not stuck; a pause met by several visits is one failure
-                u.run += weight
-                u.heard_at = now
+            if end is not End.TIMED_OUT or f.sent >= u.outcome_at:
+                # one that answers others is not stuck; a pause that delays several visits is one failure
+                u.failure_run += weight
+                u.outcome_at = now
             if end is not End.UNREACHED and not f.silent:
-                # guards: one that errors fast looks idle; each error is as bad as a late answer
-                latency = max(spent, lane.target)
-            if u.failing or u.run >= FAILURE_RUN:
-                u.failing = True
-                u.trial_at = now + HOLD_DOWN
+                # an upstream that errors fast would look idle; each error counts as a late answer
+                latency = max(spent, request_class.target)
+            if u.ejected or u.failure_run >= EJECT_AFTER_FAILURES:
+                u.ejected = True
+                u.trial_at = now + EJECTION_MS
         if latency:
-            u.smooth(now, latency, f.depth, self._memory)
-            u.level.smooth(now, latency, f.level_depth)
+            u.record_latency(now, latency, f.depth, self._decay_ms)
+            u.locality.record_latency(now, latency, f.level_depth)
 
-    def _silence(self, f: Fetch, now: float) -> None:
-        """A fetch has no answer, or is long overdue: is it the rest of its connection?"""
+    def _record_unresponsive(self, f: Fetch, now: float) -> None:
+        """Record a fetch without answer, or long overdue: is its connection's idle time the cause?"""
         f.silent = True
-        late = [g for g in self._rests if now - g.sent < FORGIVE]
-        self._rest = inf
-        for rest in sorted(g.rest for g in late if g.silent and g.rest):
-            long = [g for g in late if g.rest >= rest]
-            silent = [g.lane for g in long if g.silent]
-            short = [g.silent for g in late if g.rest < rest]
-            # guards: upstreams that are slow, or silent themselves, are so after a short rest, too
-            if len(silent) > max(SILENT, 2 * sum(short) / max(1, len(short))) * len(long):
-                self._rest = RESTED * rest
-                # guards: few silences, or mostly those of one path prefix, may be the upstreams'
+        recent = [g for g in self._recent_fetches if now - g.sent < UNRESPONSIVE_MEMORY_MS]
+        self._idle_limit = inf
+        for idle_time in sorted(g.rest for g in recent if g.silent and g.rest):
+            idle_longer = [g for g in recent if g.rest >= idle_time]
+            unresponsive = [g.lane for g in idle_longer if g.silent]
+            idle_shorter = [g.silent for g in recent if g.rest < idle_time]
+            # upstreams that are slow or unresponsive themselves are so after short idle times, too
+            if len(unresponsive) > max(
+                UNRESPONSIVE_SHARE, 2 * sum(idle_shorter) / max(1, len(idle_shorter))
+            ) * len(idle_longer):
+                self._idle_limit = IDLE_LIMIT_MARGIN * idle_time
+                # few unresponsive fetches, or mostly those of one request class, may be the upstreams' fault
                 if (
-                    self._terms.may_tell
-                    and self._rest < RESTED * self._told_rest
-                    and len(silent) > 2
-                    and max(map(silent.count, silent)) <= len(silent) * MIXED
+                    self._settings.may_tell
+                    and self._idle_limit < IDLE_LIMIT_MARGIN * self._hinted_idle_limit
+                    and len(unresponsive) > 2
+                    and max(map(unresponsive.count, unresponsive))
+                    <= len(unresponsive) * MAX_SHARE_OF_ONE_CLASS
                 ):
-                    self._host.tell(HINT.pack(int(self._rest)))
+                    self._host.tell(IDLE_TIMEOUT_HINT.pack(int(self._idle_limit)))
                 break
-        # guards: an upstream that left one path prefix unanswered and served the others was never ejected
-        f.upstream.until[f.lane] = now + HOLD_DOWN
+        # without this, an upstream that answers all but one request class is never ejected
+        f.upstream.class_ejected_until[f.lane] = now + EJECTION_MS
 
     def heard(self, now: float, message: bytes) -> None:
-        """Another balancer's hint that connections are silent after a rest; no rule rests on it."""
-        told = self._told_rests
-        if len(message) == HINT.size:
-            told.append((now, float(HINT.unpack(message)[0])))
-        if len(told) == told.maxlen and now - told[0][0] < HOLD_DOWN:
-            self._told_rest, self._told_until = sorted(rest for _, rest in told)[1], now + FORGIVE
-            told.clear()
-
-    def _silent_after(self, u: Upstream, lane: Lane, now: float) -> float:
-        """How long a fetch is out that will hardly be answered: late, and far longer than expected."""
-        # where late answers have no gain a fetch ends at its target latency (E4), and that tells slowness
-        usual = LATENCY_MARK * lane.pace * u.expected(now, self._memory)
-        return max(lane.target, usual) if lane.late_gain else inf
+        """Receive another balancer's hint on idle timeouts; no rule depends on hints."""
+        hints = self._hints
+        if len(message) == IDLE_TIMEOUT_HINT.size:
+            hints.append((now, float(IDLE_TIMEOUT_HINT.unpack(message)[0])))
+        if len(hints) == hints.maxlen and now - hints[0][0] < EJECTION_MS:
+            self._hinted_idle_limit, self._hint_expires = (
+                sorted(idle_time for _, idle_time in hints)[1],
+                now + UNRESPONSIVE_MEMORY_MS,
+            )
+            hints.clear()
+
+    def _unresponsive_after(self, u: Upstream, request_class: Lane, now: float) -> float:
+        """ms after which a fetch will hardly be answered: late, and far longer than expected."""
+        # where late answers have no gain a fetch ends at its target latency (E4), which only shows slowness
+        very_late = SLOW_LATENCY_RATIO * request_class.pace * u.expected_latency(now, self._decay_ms)
+        return max(request_class.target, very_late) if request_class.late_gain else inf
 
     def _close(self, visit: Visit, now: float) -> None:
-        """The visit is over: what is still out for it is called off."""
-        self._held -= visit.held
+        """Finish a visit: cancel its fetch in flight."""
+        self._queued -= visit.held
         visit.done, visit.held = True, False
-        if visit.out and self._terms.may_cancel:
+        if visit.out and self._settings.may_cancel:
             self._host.cancel(visit.tag, len(visit.fetches) - 1)
 
-    def _may_go(self, visit: Visit, u: Upstream, now: float) -> bool:
-        """The four rules on one send; `_send` lets nothing pass that this refuses."""
-        # no visit lost: nothing after its end, and nothing that its client would not wait for
-        if visit.done or now >= visit.expires or len(visit.fetches) >= self._terms.max_fetches:
+    def _may_send(self, visit: Visit, u: Upstream, now: float) -> bool:
+        """The four rules for each send; `_send` sends nothing that this refuses."""
+        # no visit is lost: none is sent after its end, or later than its client waits
+        if visit.done or now >= visit.expires or len(visit.fetches) >= self._settings.max_fetches:
             return False
-        # drains kept: at once when told, and by nobody without a lease on the list
+        # drains are respected: at once when listed, and nothing is sent without a valid list lease
         if not u.ready or self.lease.withholds(now):
             return False
-        # no effect twice
+        # no effect happens twice
         if visit.out:
             return False
-        lane = visit.lane
-        if lane.kind is not Kind.READ_LIKE and (ran := visit.may_have_run()) is not None:
-            visit.begin_by = ran.sent + lane.window
-            if lane.kind is Kind.MUTATING or now >= visit.begin_by:
+        request_class = visit.lane
+        if request_class.kind is not Kind.READ_LIKE and (prior := visit.may_have_run()) is not None:
+            visit.begin_by = prior.sent + request_class.window
+            if request_class.kind is Kind.MUTATING or now >= visit.begin_by:
                 return False
-            # guards: where zones were named anew since, who is in its group is not known
-            apart = u.zone != ran.upstream.zone or (lane.scope is Scope.CELL and u.cell != ran.upstream.cell)
-            if lane.scope is not Scope.ALL and (apart or ran.sent <= self._moved_at):
+            # after zone names have changed it is unknown which upstreams share its scope
+            outside = u.zone != prior.upstream.zone or (
+                request_class.scope is Scope.CELL and u.cell != prior.upstream.cell
+            )
+            if request_class.scope is not Scope.ALL and (outside or prior.sent <= self._zones_renamed_at):
                 return False
-        # no cold upstream pushed over: our part of the budget, for any window
-        if now - u.start < self._warm_within:
+        # no cold upstream is overloaded: our share of its budget, in any window
+        if now - u.started_at < self._warm_up_ms:
             sends = u.cold_sends
-            while sends and sends[0] <= now - self._tip_after:
+            while sends and sends[0] <= now - self._cold_window_ms:
                 sends.popleft()
-            if now - u.drawn_at >= self._tip_after:
-                # guards: a part under one send is kept by chance, drawn for each window and never saved
-                # up, or hundreds would each send the one they have left; half of it, for their sum's sake
-                part = self._cold_window * u.level.capacity * self._warmth(u, now)
-                u.allowed, u.drawn_at = int(part) + (self._random() < self._granted * (part % 1)), now
-            return len(sends) < u.allowed
+            if now - u.cold_sends_drawn_at >= self._cold_window_ms:
+                # A fraction of a send is granted by chance, drawn for each window and never saved up:
+                # otherwise hundreds of balancers would each send their one remaining visit. COLD_HEADROOM of
+                # it is withheld, for the variance of their sum.
+                cold_budget = self._cold_sends_per_capacity * u.locality.capacity * self._warmth(u, now)
+                u.cold_sends_allowed, u.cold_sends_drawn_at = (
+                    int(cold_budget) + (self._random() < self._fraction_granted * (cold_budget % 1)),
+                    now,
+                )
+            return len(sends) < u.cold_sends_allowed
         return True
 
     def _may_bounce(self, visit: Visit) -> bool:
-        """A bounce tells the client that trying again is harmless."""
-        lane = visit.lane
+        """Whether a bounce would be true: it tells the client that a retry is harmless."""
+        request_class = visit.lane
         return (
-            lane.kind is Kind.READ_LIKE
+            request_class.kind is Kind.READ_LIKE
             or visit.may_have_run() is None
-            or (lane.kind is Kind.TAGGED and lane.scope is Scope.ALL)
+            or (request_class.kind is Kind.TAGGED and request_class.scope is Scope.ALL)
         )
 
     def _send(self, visit: Visit, u: Upstream, now: float, trial: bool = False) -> bool:
-        """The one place that sends."""
-        if not self._may_go(visit, u, now):
+        """Send a visit, if the rules allow it; the only place that sends."""
+        if not self._may_send(visit, u, now):
             return False
-        rest = max(0.0, now - u.used_at)
-        if not u.out and rest > min(self._rest, self._told_rest):
-            # guards: idle connections are dropped unseen, and what is sent on one gets no answer
+        idle_time = max(0.0, now - u.connection_used_at)
+        if not u.in_flight and idle_time > min(self._idle_limit, self._hinted_idle_limit):
+            # idle connections may be dropped unseen, and a request sent on such a one gets no answer
             self._host.drop(u.id)
-            u.used_at, rest = now, 0.0
-        f = Fetch(u, visit.lane, now, rest, len(u.out) + 1, u.level.out + 1, trial)
-        self._rests.append(f)
-        u.trial_out = u.trial_out or trial
-        if now - u.start < self._warm_within:
+            u.connection_used_at, idle_time = now, 0.0
+        f = Fetch(u, visit.lane, now, idle_time, len(u.in_flight) + 1, u.locality.in_flight + 1, trial)
+        self._recent_fetches.append(f)
+        u.trial_in_flight = u.trial_in_flight or trial
+        if now - u.started_at < self._warm_up_ms:
             u.cold_sends.append(now)
-        self._host.send(visit.tag, u.id, self._time_out(visit, now))
+        self._host.send(visit.tag, u.id, self._fetch_timeout(visit, now))
         visit.fetches.append(f)
         visit.out += 1
-        u.out[f] = None
-        if f.lane in u.until:
-            u.until[f.lane] = now + HOLD_DOWN  # this is its trial
-        u.level.out += 1
+        u.in_flight[f] = None
+        if f.lane in u.class_ejected_until:
+            u.class_ejected_until[f.lane] = now + EJECTION_MS  # this send is its trial request
+        u.locality.in_flight += 1
         u.sent_at = now
-        self._held -= visit.held
+        self._queued -= visit.held
         visit.held = False
         return True
 
     def _give_up(self, visit: Visit, now: float) -> None:
         """Answer at once: a bounce where that is true, else an error."""
         if self._may_bounce(visit):
-            # overload: clients come back when it may have passed; else soon
-            self._host.bounce(visit.tag, self._terms.max_retry_after * (1.0 if self._overload(now) else 0.25))
+            # in overload clients come back when it may have passed, else soon
+            self._host.bounce(
+                visit.tag, self._settings.max_retry_after * (1.0 if self._is_overloaded(now) else 0.25)
+            )
         else:
             self._host.fail(visit.tag)
         self._close(visit, now)
 
     def _warmth(self, u: Upstream, now: float) -> float:
-        """The share of its capacity that a starting upstream has at the least."""
-        age = min(1.0, (now - u.start) / self._warm_within) if self._warm_within else 1.0
-        return self._terms.cold_from + (1 - self._terms.cold_from) * age
+        """The share of its full capacity that a starting upstream has at least."""
+        age = min(1.0, (now - u.started_at) / self._warm_up_ms) if self._warm_up_ms else 1.0
+        return self._settings.cold_from + (1 - self._settings.cold_from) * age
 
-    def _place(self, visit: Visit, now: float) -> bool:
-        """Send a visit: draw a level by share, take the lower-scored of two inside."""
+    def _choose_and_send(self, visit: Visit, now: float) -> bool:
+        """Send a visit: draw a zone by share, then the less loaded of two random upstreams in it."""
         if self.lease.withholds(now):
             return False
-        if self._due and visit.lane.kind in self._trial_kinds and not visit.fetches:
-            for due in self._due:
-                if not due.trial_out and now >= due.trial_at and self._send(visit, due, now, trial=True):
+        if self._trials_due and visit.lane.kind in self._trial_kinds and not visit.fetches:
+            for due in self._trials_due:
+                if (
+                    not due.trial_in_flight
+                    and now >= due.trial_at
+                    and self._send(visit, due, now, trial=True)
+                ):
                     return True
-        if not self._shares:  # all health is 0: draw over all ready
-            u = self._lower_of_two(self._ready, visit, now, inf)
+        if not self._zone_shares:  # no healthy upstream: draw from all ready ones
+            u = self._less_loaded_of_two(self._ready, visit, now, inf)
             return u is not None and self._send(visit, u, now)
-        drawn = self._random() * self._shares[-1][0]
-        zone = next((z for total, z in self._shares if drawn < total), self._zone)
-        patience = self._patience(visit, self._cross_fee if zone != self._zone else 0.0)
-        best = self._lower_of_two(self._levels[zone].healthy, visit, now, patience)
-        cost = self._cost(visit, best, now) if best else visit.lane.value
-        if cost > self._cross_fee:
-            # E1: no room there, or waiting costs more than crossing: another level takes it if it costs less
-            for z in self._order:
+        drawn = self._random() * self._zone_shares[-1][0]
+        zone = next((z for total, z in self._zone_shares if drawn < total), self._zone)
+        latency_budget = self._latency_budget(visit, self._cross_fee if zone != self._zone else 0.0)
+        best = self._less_loaded_of_two(self._localities[zone].candidates, visit, now, latency_budget)
+        loss = self._expected_loss(visit, best, now) if best else visit.lane.value
+        if loss > self._cross_fee:
+            # E1: no capacity there, or waiting costs more than crossing: another zone, if it costs less
+            for z in self._zone_order:
                 if z != zone:
-                    patience = self._patience(visit, self._cross_fee if z != self._zone else 0.0)
-                    u = self._lower_of_two(self._levels[z].healthy, visit, now, patience)
-                    if u and (c := self._cost(visit, u, now)) < cost:
-                        best, cost = u, c
+                    latency_budget = self._latency_budget(visit, self._cross_fee if z != self._zone else 0.0)
+                    u = self._less_loaded_of_two(self._localities[z].candidates, visit, now, latency_budget)
+                    if u and (other_loss := self._expected_loss(visit, u, now)) < loss:
+                        best, loss = u, other_loss
         return best is not None and self._send(visit, best, now)
 
-    def _cost(self, visit: Visit, u: Upstream, now: float) -> float:
-        """What a visit stands to lose at an upstream, by its wait and the fee, in the unit of its value."""
-        # were waits exponential; and it may not be reached
-        late = 1 - u.level.reach_at(now) * (
-            1 - exp((visit.came - visit.target_at) / max(1e-3, visit.lane.pace * self._predicted(u, now)))
+    def _expected_loss(self, visit: Visit, u: Upstream, now: float) -> float:
+        """The value that a visit is expected to lose at an upstream, by lateness and the crossing fee."""
+        # assumes exponential latencies, and that the upstream may be unreachable
+        late = 1 - u.locality.expected_reachability(now) * (
+            1
+            - exp(
+                (visit.came - visit.target_at) / max(1e-3, visit.lane.pace * self._predicted_latency(u, now))
+            )
         )
         return visit.lane.value * late + (self._cross_fee if u.zone != self._zone else 0.0)
 
-    def _patience(self, visit: Visit, fee: float) -> float:
-        """The predicted latency that a visit accepts: more for more gain, so that low gain yields first."""
-        value = max(0.0, visit.lane.value - fee)
+    def _latency_budget(self, visit: Visit, fee: float) -> float:
+        """ms of predicted latency that a visit accepts: more for more gain, so that low gain yields first."""
+        net_value = max(0.0, visit.lane.value - fee)
         target = visit.target_at - visit.came
-        return IDLE_SHARE * self._base + self._bold * max(0.0, target - self._base) * value / (value + 1)
+        return IDLE_LATENCY_SHARE * self._base_latency + self._admission_factor * max(
+            0.0, target - self._base_latency
+        ) * net_value / (net_value + 1)
 
-    def _lower_of_two(
-        self, level: list[Upstream], visit: Visit, now: float, patience: float
+    def _less_loaded_of_two(
+        self, candidates: list[Upstream], visit: Visit, now: float, latency_budget: float
     ) -> Upstream | None:
-        """The lower-scored of two random upstreams that have room for the visit and may take it."""
+        """The less loaded of two random upstreams that have capacity for the visit and may serve it."""
         tried = [f.upstream for f in visit.fetches] if visit.fetches else ()
         first = None
-        n = len(level)
-        for i in range(n):  # drawn without putting back until two are found
+        n = len(candidates)
+        for i in range(n):  # sampling without replacement until two are found
             j = i + int(self._random() * (n - i))
-            u = level[j]
-            level[i], level[j] = u, level[i]
-            if u in tried or not self._fit(u, visit, now, patience):
+            u = candidates[j]
+            candidates[i], candidates[j] = u, candidates[i]
+            if u in tried or not self._is_eligible(u, visit, now, latency_budget):
                 continue
             if first is not None:
-                lower = self._score(first, now) - self._score(u, now) or self._random() - 0.5
-                return first if lower < 0 else u
+                difference = self._load_score(first, now) - self._load_score(u, now) or self._random() - 0.5
+                return first if difference < 0 else u
             first = u
         return first
 
-    def _fit(self, u: Upstream, visit: Visit, now: float, patience: float) -> bool:
-        """Whether it has room for the visit and may take it; a fresh one is passed over by chance."""
-        failing = u.failing or (u.until and now < u.until.get(visit.lane, -inf))
+    def _is_eligible(self, u: Upstream, visit: Visit, now: float, latency_budget: float) -> bool:
+        """Whether it has capacity for the visit and may serve it; cold ones are skipped at random."""
+        ejected = u.ejected or (u.class_ejected_until and now < u.class_ejected_until.get(visit.lane, -inf))
         return (
-            (not failing or not self._shares)
-            and self._has_room(u, now, patience)
-            and (now - u.start >= self._warm_within or self._random() < self._warmth(u, now))
-            and self._may_go(visit, u, now)
+            (not ejected or not self._zone_shares)
+            and self._has_capacity(u, now, latency_budget)
+            and (now - u.started_at >= self._warm_up_ms or self._random() < self._warmth(u, now))
+            and self._may_send(visit, u, now)
         )
 
-    def _predicted(self, u: Upstream, now: float) -> float:
-        """The latency of one more: the expected one, scaled by what we have out; others do as we do."""
-        level = u.level
-        usual = level.latency * max(1.0, (level.out + 1) / level.depth)
-        if now - u.start < self._warm_within:
-            # guards: scaled from a crowded zone's latency, cold ones stood idle beside crowded warm ones
-            usual = self._base * (len(u.out) + 1) / max(0.25, self._warmth(u, now))
-        own = u.latency * (len(u.out) + 1) / u.depth
-        return usual + (own - usual) * exp((u.measured_at - now) / self._memory)
-
-    def _has_room(self, u: Upstream, now: float, patience: float) -> bool:
-        """Whether it is predicted to answer one more within the patience."""
-        predicted = self._predicted(u, now)
-        if predicted <= max(patience, 1.5 * u.lowest if u.lowest < inf and not u.out else 0.0):
+    def _predicted_latency(self, u: Upstream, now: float) -> float:
+        """ms for one more fetch: expected latency scaled by our fetches in flight, as others do alike."""
+        locality = u.locality
+        usual = locality.latency * max(1.0, (locality.in_flight + 1) / locality.usual_in_flight)
+        if now - u.started_at < self._warm_up_ms:
+            # scaled from an overloaded zone's latency, cold upstreams stood idle beside overloaded warm ones
+            usual = self._base_latency * (len(u.in_flight) + 1) / max(0.25, self._warmth(u, now))
+        own = u.latency * (len(u.in_flight) + 1) / u.usual_in_flight
+        return usual + (own - usual) * exp((u.measured_at - now) / self._decay_ms)
+
+    def _has_capacity(self, u: Upstream, now: float, latency_budget: float) -> bool:
+        """Whether one more fetch is predicted to stay within the latency budget."""
+        predicted = self._predicted_latency(u, now)
+        if predicted <= max(
+            latency_budget, 1.5 * u.lowest_latency if u.lowest_latency < inf and not u.in_flight else 0.0
+        ):
             return True
-        # guards: a slow one still gets one now and then, to be measured; all balancers do so at once
-        return not u.out and now - u.sent_at >= self._crowd(u) * predicted
+        # a slow upstream still gets a fetch now and then, to be measured; all balancers do this at once
+        return not u.in_flight and now - u.sent_at >= self._send_spacing(u) * predicted
 
-    def _crowd(self, u: Upstream) -> float:
-        """Latencies between visits of ours that leave an upstream UNCROWDED of all balancers' at a time."""
-        sharing = self._balancers * min(1.0, u.level.used)
-        return max(0.0, sharing / UNCROWDED - 1) if u.zone == self._zone else sharing
+    def _send_spacing(self, u: Upstream) -> float:
+        """Wait between two sends of ours, in latencies, so that all balancers keep to SAFE_CONCURRENCY."""
+        sharing = self._balancer_count * min(1.0, u.locality.used_share)
+        return max(0.0, sharing / SAFE_CONCURRENCY - 1) if u.zone == self._zone else sharing
 
-    def _score(self, u: Upstream, now: float) -> float:
-        """Own fetches out and the reported load, fading to the others' mean, which one unheard takes."""
-        fresh = exp((u.report_at - now) / FADE)
-        return len(u.out) + u.report * fresh + self._mean_report * (1 - fresh)
+    def _load_score(self, u: Upstream, now: float) -> float:
+        """Our fetches in flight plus the reported load, which decays to the mean load of the others."""
+        freshness = exp((u.load_at - now) / LOAD_DECAY_MS)
+        return len(u.in_flight) + u.load * freshness + self._mean_load * (1 - freshness)
 
-    def _hold(self, visit: Visit, now: float) -> None:
-        """No room: wait for it if it will mostly come in time, else answer at once."""
+    def _enqueue(self, visit: Visit, now: float) -> None:
+        """No capacity: queue the visit if it can probably be served in time, else answer at once."""
         if self._ready:
-            self._short_at = now
-        lane = visit.lane
-        if lane not in self._by_value:
-            self._by_value.append(lane)  # a former one: its terms are no longer those of new visits
-        ahead = 1 + sum(len(other.held) for other in self._by_value[: self._by_value.index(lane) + 1])
-        # guards: one that has just started has seen nothing delivered; what is out tells when room comes
-        flow = self._flow or sum(1e3 * level.out / level.latency for level in self._levels)
-        wait = 1e3 * ahead / flow if flow else inf
-        # guards: a service that has not told the rest by now is crowded or down; another balancer may know
-        no_list = not self._ready or self.lease.withholds(now)
-        if no_list or now + wait > self._hold_until(visit):
+            self._capacity_short_at = now
+        request_class = visit.lane
+        if request_class not in self._classes_by_value:
+            # of former settings: not among the classes of new visits
+            self._classes_by_value.append(request_class)
+        ahead = 1 + sum(
+            len(other.held)
+            for other in self._classes_by_value[: self._classes_by_value.index(request_class) + 1]
+        )
+        # a balancer that has just started has delivered nothing yet; its fetches in flight predict capacity
+        delivery_rate = self._delivery_rate or sum(
+            1e3 * locality.in_flight / locality.latency for locality in self._localities
+        )
+        wait = 1e3 * ahead / delivery_rate if delivery_rate else inf
+        # a list service that has not sent the list by now is overloaded or down; another balancer may have it
+        no_usable_list = not self._ready or self.lease.withholds(now)
+        if no_usable_list or now + wait > self._queue_deadline(visit):
             return self._give_up(visit, now)
         visit.held = True
-        self._held += 1
-        lane.held.append(visit)
-        if not self._looking:
-            self._looking = True
-            self._host.wake(now + LOOK, self._look)
-
-    def _look(self, now: float) -> None:
-        """While visits are held, look at them."""
-        for lane in self._by_value:
-            # guards: one behind another that may wait longer must be answered in time, too
-            for visit in [v for v in lane.held if v.held and now > self._hold_until(v)]:
+        self._queued += 1
+        request_class.held.append(visit)
+        if not self._queue_check_scheduled:
+            self._queue_check_scheduled = True
+            self._host.wake(now + QUEUE_CHECK_MS, self._check_queue)
+
+    def _check_queue(self, now: float) -> None:
+        """Check the queue while visits are in it."""
+        for request_class in self._classes_by_value:
+            # a visit behind another with a later deadline must be answered in time, too
+            for visit in [v for v in request_class.held if v.held and now > self._queue_deadline(v)]:
                 self._give_up(visit, now)
-        self._drain(now)
-        self._looking = self._held > 0
-        if self._looking:
-            self._host.wake(now + LOOK, self._look)
-
-    def _hold_until(self, visit: Visit) -> float:
-        """Until then a visit may wait and still be answered in time."""
-        # guards: periodic work looks at held visits, so the last look must fall before the client timeout
-        return min(visit.target_at - self._patience(visit, 0.0), visit.expires - 2 * LOOK)
-
-    def _drain(self, now: float) -> None:
-        """Room may have come: the visits of the highest gain that still can be in time go first."""
-        for lane in self._by_value:
-            held = lane.held
-            while held:
-                visit = held[0]
-                # guards: one past its time takes room for an answer that comes too late, or bars the rest
-                if visit.held and now > self._hold_until(visit):
+        self._drain_queue(now)
+        self._queue_check_scheduled = self._queued > 0
+        if self._queue_check_scheduled:
+            self._host.wake(now + QUEUE_CHECK_MS, self._check_queue)
+
+    def _queue_deadline(self, visit: Visit) -> float:
+        """Until when a visit may wait and still be answered in time."""
+        # the queue is checked periodically, so the last check must come before the client timeout
+        return min(visit.target_at - self._latency_budget(visit, 0.0), visit.expires - 2 * QUEUE_CHECK_MS)
+
+    def _drain_queue(self, now: float) -> None:
+        """Send queued visits that can still be in time, those of the highest value first."""
+        for request_class in self._classes_by_value:
+            queue = request_class.held
+            while queue:
+                visit = queue[0]
+                # a visit past its deadline would use capacity for a late answer, or block the others
+                if visit.held and now > self._queue_deadline(visit):
                     self._give_up(visit, now)
-                elif visit.held and not self._place(visit, now):
-                    self._short_at = now
+                elif visit.held and not self._choose_and_send(visit, now):
+                    self._capacity_short_at = now
                     break
-                held.popleft()
-
-    def _again(self, visit: Visit, now: float) -> None:
-        """The last fetch that was out has failed: another one, or the final answer."""
-        ran = visit.may_have_run()
-        if now < visit.expires and len(visit.fetches) <= FURTHER:
-            if ran is None:
-                return None if self._place(visit, now) else self._hold(visit, now)
-            # guards: repeats of what was slow feed an overload; an answer spoilt or broken off is no load
-            calm = visit.fetches[-1].end is not End.TIMED_OUT or not self._overload(now)
-            if calm and now < visit.target_at and self._place(visit, now):
+                queue.popleft()
+
+    def _retry_or_answer(self, visit: Visit, now: float) -> None:
+        """The last fetch in flight has failed: start another one, or give the final answer."""
+        prior = visit.may_have_run()
+        if now < visit.expires and len(visit.fetches) <= MAX_FURTHER_FETCHES:
+            if prior is None:
+                return None if self._choose_and_send(visit, now) else self._enqueue(visit, now)
+            # retries after time-outs feed an overload; invalid or broken-off answers are no sign of load
+            repeat_allowed = visit.fetches[-1].end is not End.TIMED_OUT or not self._is_overloaded(now)
+            if repeat_allowed and now < visit.target_at and self._choose_and_send(visit, now):
                 return
         self._give_up(visit, now)
 
-    def _overload(self, now: float) -> bool:
-        """Whether room is short, or was a moment ago."""
-        return self._held > 0 or now - self._short_at < 1_000
+    def _is_overloaded(self, now: float) -> bool:
+        """Whether capacity is short, or was within the last second."""
+        return self._queued > 0 or now - self._capacity_short_at < 1_000
 
-    def _time_out(self, visit: Visit, now: float) -> float:
-        """How long a fetch may take."""
-        lane = visit.lane
-        if lane.late_gain or now >= visit.target_at:
+    def _fetch_timeout(self, visit: Visit, now: float) -> float:
+        """ms that a fetch may take."""
+        request_class = visit.lane
+        if request_class.late_gain or now >= visit.target_at:
             return visit.expires - now
-        # E4: a late answer has no gain, but the room that it holds has; a hundredth is for the way back
-        return min(visit.expires, visit.target_at - 0.01 * lane.target) - now
-
-    def _take_report(self, u: Upstream, now: float, report: tuple[float, ...]) -> None:
-        if 0 <= self._load_field < len(report):
-            u.report, u.report_at = max(0.0, report[self._load_field]), now
-
-    def _beat(self, now: float) -> None:
-        self._host.wake(now + BEAT, self._beat)
-        if now - self._second_at >= 1_000:
-            self._count(now)
+        # E4: a late answer has no gain but uses capacity; a hundredth is left for the way back to the client
+        return min(visit.expires, visit.target_at - 0.01 * request_class.target) - now
+
+    def _record_load(self, u: Upstream, now: float, report: tuple[float, ...]) -> None:
+        """Keep the load from an upstream's report, if reports have one."""
+        if 0 <= self._load_index < len(report):
+            u.load, u.load_at = max(0.0, report[self._load_index]), now
+
+    def _tick(self, now: float) -> None:
+        """Every TICK_MS: check the age of fetches in flight, update candidates, call for the list, probe."""
+        self._host.wake(now + TICK_MS, self._tick)
+        if now - self._rates_updated_at >= 1_000:
+            self._update_rates(now)
         for u in self._ready:
-            if u.out:
-                # guards: a stuck upstream answers nothing that could be measured; its oldest fetch tells
-                expected = u.expected(now, self._memory)
-                for f in list(u.out):
-                    if now - f.sent > self._silent_after(u, f.lane, now) and f.sent < u.passed_at:
-                        self._silence(f, now)
-                        # guards: what gets no answer holds no room and tells no latency
-                        del u.out[f]
-                        u.level.out -= 1
-                if not u.out:
+            if u.in_flight:
+                # a stuck upstream answers nothing that could be measured, but its oldest fetch ages
+                expected_latency = u.expected_latency(now, self._decay_ms)
+                for f in list(u.in_flight):
+                    if (
+                        now - f.sent > self._unresponsive_after(u, f.lane, now)
+                        and f.sent < u.answered_send_at
+                    ):
+                        self._record_unresponsive(f, now)
+                        # a fetch without answer uses no capacity and says nothing of latency
+                        del u.in_flight[f]
+                        u.locality.in_flight -= 1
+                if not u.in_flight:
                     continue
-                late = now - next(iter(u.out)).sent
-                if late > LATENCY_MARK * expected and (
-                    len(self._lanes) == 1 or len({f.lane for f in u.out if f.sent < now - late / 2}) > 1
+                age = now - next(iter(u.in_flight)).sent
+                if age > SLOW_LATENCY_RATIO * expected_latency and (
+                    len(self._request_classes) == 1
+                    or len({f.lane for f in u.in_flight if f.sent < now - age / 2}) > 1
                 ):
-                    u.latency = expected + 2 * SMOOTH * (late - expected)
+                    u.latency = expected_latency + 2 * SMOOTHING * (age - expected_latency)
                     u.measured_at = now
-        home = self._levels[self._zone]
-        for level in self._levels:
-            if not level.out and now - level.measured_at > BEAT:
-                # guards: a zone passed over for being slow is never measured again; it fades to the own one's
-                usual = self._base if level is home else max(self._base, home.latency)
-                level.latency += BEAT / FORGET * (usual - level.latency)
-                level.kept += BEAT / FORGET * (1 - level.kept)
-        self._rank(now)
-        self._ask(now)
-        if self._terms.may_probe:
-            self._probe(now)
-
-    def _ask(self, now: float) -> None:
+        home = self._localities[self._zone]
+        for locality in self._localities:
+            if not locality.in_flight and now - locality.measured_at > TICK_MS:
+                # a zone avoided as slow would never be measured again, so it decays to the own zone's latency
+                usual = self._base_latency if locality is home else max(self._base_latency, home.latency)
+                locality.latency += TICK_MS / MEASUREMENT_DECAY_MS * (usual - locality.latency)
+                locality.in_time_share += TICK_MS / MEASUREMENT_DECAY_MS * (1 - locality.in_time_share)
+        self._update_candidates(now)
+        self._call_if_due(now)
+        if self._settings.may_probe:
+            self._send_probes(now)
+
+    def _call_if_due(self, now: float) -> None:
         """Call the list service, if a call is due."""
-        if now >= self._asking.due:
-            self._asking.called(now)
+        if now >= self._call_schedule.due:
+            self._call_schedule.called(now)
             self._host.watch(True)
 
-    def _count(self, now: float) -> None:
-        """Once a second: rates, and the capacity that warm upstreams are seen to have."""
-        span, self._second_at = (now - self._second_at) / 1e3, now
-        self._flow += 0.5 * (self._delivered / span - self._flow)
-        self._asked += 0.3 * (self._taken / span - self._asked)
-        self._delivered = self._taken = 0
-        in_use = sum(len(level.healthy) for level in self._levels)
-        spread = max(1.0, in_use, self._places)
-        for level in self._levels:
-            warm = [u.served for u in level.healthy if now - u.start >= self._warm_within]
+    def _update_rates(self, now: float) -> None:
+        """Once a second: update the rates, and the capacity that each zone's warm upstreams have for us."""
+        seconds, self._rates_updated_at = (now - self._rates_updated_at) / 1e3, now
+        self._delivery_rate += 0.5 * (self._delivered / seconds - self._delivery_rate)
+        self._arrival_rate += 0.3 * (self._accepted / seconds - self._arrival_rate)
+        self._delivered = self._accepted = 0
+        in_use = sum(len(locality.candidates) for locality in self._localities)
+        spread = max(1.0, in_use, self._wanted_upstreams)
+        for locality in self._localities:
+            warm = [u.deliveries for u in locality.candidates if now - u.started_at >= self._warm_up_ms]
             if warm:
-                level.rate += 0.3 * (sum(warm) / len(warm) / span - level.rate)
-            # guards: each visit is delivered by one balancer, so means add up to what an upstream delivers,
-            # and the most that each ever saw does not. One just started saw little; some of what it is asked
-            share = max(3, self._zones) * (COLD_NEAR * level.rate + COLD_FAR * self._flow / spread)
-            level.capacity = max(0.5 * self._asked / spread, share)
+                locality.delivery_rate += 0.3 * (sum(warm) / len(warm) / seconds - locality.delivery_rate)
+            # Each visit is delivered by one balancer, so means over the balancers add up to what an upstream
+            # delivers; maxima would add up to more. A balancer that has just started has delivered little, so
+            # part of its arrival rate is the minimum.
+            share = max(3, self._zone_count) * (
+                COLD_LOCALITY_WEIGHT * locality.delivery_rate
+                + COLD_TOTAL_WEIGHT * self._delivery_rate / spread
+            )
+            locality.capacity = max(0.5 * self._arrival_rate / spread, share)
         for u in self._ready:
-            u.served = 0
-        if self._rests and now - self._rests[-1].sent > FORGIVE:
-            self._rest = inf
-        if now > self._told_until:
-            self._told_rest = inf
-        self._memory = max(FORGET, 1e3 * in_use / max(0.1, self._asked))
-        self._weigh()
-
-    def _weigh(self) -> None:
-        """What a visit of each path prefix adds to the goal: its gain, and more where it is served worst."""
-        arrived = sum(lane.arrived for lane in self._lanes)
+            u.deliveries = 0
+        if self._recent_fetches and now - self._recent_fetches[-1].sent > UNRESPONSIVE_MEMORY_MS:
+            self._idle_limit = inf
+        if now > self._hint_expires:
+            self._hinted_idle_limit = inf
+        self._decay_ms = max(MEASUREMENT_DECAY_MS, 1e3 * in_use / max(0.1, self._arrival_rate))
+        self._weigh_by_gain()
+
+    def _weigh_by_gain(self) -> None:
+        """Update what one visit in time of each class adds to the goal: its gain, more for the worst."""
+        arrived = sum(c.arrived for c in self._request_classes)
         if not arrived:
             return
-        mean = sum(lane.gain * lane.arrived for lane in self._lanes) / arrived or 1.0
-        # guards: of a balancer that is asked little a few visits tell nothing; FEW of the mean are mixed in
-        overall = sum(lane.in_time for lane in self._lanes) / arrived
-        kept = [(lane.in_time + FEW * overall) / (lane.arrived + FEW) for lane in self._lanes]
-        need = [exp((min(kept) - k) / 0.05) for k in kept]
-        for lane, n in zip(self._lanes, need, strict=True):
-            worst = n / sum(need) * arrived / max(1.0, lane.arrived)
-            lane.value = (1 - self._terms.worst_prefix) * lane.gain / mean + self._terms.worst_prefix * worst
-            lane.arrived *= FADE_COUNTS
-            lane.in_time *= FADE_COUNTS
-        self._by_value.sort(key=lambda lane: -lane.value)
-
-    def _rank(self, now: float) -> None:
-        """Healths, shares and candidates, from what each record says now."""
+        mean = sum(c.gain * c.arrived for c in self._request_classes) / arrived or 1.0
+        # for a balancer with little traffic a few visits say nothing, so FEW_VISITS of the mean are mixed in
+        overall = sum(c.in_time for c in self._request_classes) / arrived
+        in_time_shares = [
+            (c.in_time + FEW_VISITS * overall) / (c.arrived + FEW_VISITS) for c in self._request_classes
+        ]
+        weights = [exp((min(in_time_shares) - share) / 0.05) for share in in_time_shares]
+        for request_class, weight in zip(self._request_classes, weights, strict=True):
+            shortfall = weight / sum(weights) * arrived / max(1.0, request_class.arrived)
+            request_class.value = (
+                1 - self._settings.worst_prefix
+            ) * request_class.gain / mean + self._settings.worst_prefix * shortfall
+            request_class.arrived *= COUNT_KEPT_PER_S
+            request_class.in_time *= COUNT_KEPT_PER_S
+        self._classes_by_value.sort(key=lambda c: -c.value)
+
+    def _update_candidates(self, now: float) -> None:
+        """Update the health and share of each zone, and its upstreams in use."""
         ready = self._ready = [u for u in self._ring if u.ready]
-        heard, lowest, latencies = [], [], []
+        loads, lowest_latencies, latencies = [], [], []
         for u in ready:
-            if u.report_at > -inf:
-                heard.append(u.report * exp((u.report_at - now) / FADE))
-            if (low := min(u.lowest, u.lowest_before)) < inf:
-                lowest.append(low)
-            latencies.append(u.expected(now, self._memory))
-        self._mean_report = sum(heard) / len(heard) if heard else 0.0
-        lowest = lowest or [min(level.lowest for level in self._levels)]
-        self._base = sum(lowest) / len(lowest)
+            if u.load_at > -inf:
+                loads.append(u.load * exp((u.load_at - now) / LOAD_DECAY_MS))
+            if (lowest := min(u.lowest_latency, u.previous_lowest)) < inf:
+                lowest_latencies.append(lowest)
+            latencies.append(u.expected_latency(now, self._decay_ms))
+        self._mean_load = sum(loads) / len(loads) if loads else 0.0
+        lowest_latencies = lowest_latencies or [min(locality.lowest_latency for locality in self._localities)]
+        self._base_latency = sum(lowest_latencies) / len(lowest_latencies)
         mean_latency = sum(latencies) / len(latencies) if latencies else 0.0
-        counts, totals = [0.0] * self._zones, [0] * self._zones
-        reach = [level.reach_at(now) for level in self._levels]
-        self._due = []
-        rings: list[list[tuple[Upstream, bool]]] = [[] for _ in range(self._zones)]
+        healthy, totals = [0.0] * self._zone_count, [0] * self._zone_count
+        reachabilities = [locality.expected_reachability(now) for locality in self._localities]
+        self._trials_due = []
+        by_zone: list[list[tuple[Upstream, bool]]] = [[] for _ in range(self._zone_count)]
         for u, latency in zip(ready, latencies, strict=True):
-            # E3: where all are as slow, it is load and no fault of one; marking them would swing the shares
-            marked = latency > LATENCY_MARK * min(u.lowest, u.lowest_before) and latency > max(
-                self._harmless, 2 * mean_latency
+            # E3: where all are this slow the cause is load; ejecting some would make the shares oscillate
+            slow = latency > SLOW_LATENCY_RATIO * min(u.lowest_latency, u.previous_lowest) and latency > max(
+                self._never_slow_below, 2 * mean_latency
             )
-            rings[u.zone].append((u, marked))
+            by_zone[u.zone].append((u, slow))
             totals[u.zone] += 1
-            if u.failing or marked:
+            if u.ejected or slow:
                 continue
-            high = u.report * exp((u.report_at - now) / FADE) > HIGH_REPORT * self._mean_report + 0.5
-            count = min(1.0, (now - u.since) / RAMP) / (2 if high or now - u.full_at < FULL_MEMORY else 1)
-            # E6: one that we have not met for long is as likely up as those of its zone that we have met
-            counts[u.zone] += count * (reach[u.zone] if now - u.measured_at > FORGET else 1.0)
-        own = (self._flow or self._taken) * self._base / 1e3 / OWN
-        for level, ring in zip(self._levels, rings, strict=True):
-            # E7: of hundreds each uses the next few in the ring. Guards: one asked far more crowded its few
-            first, level.healthy = int(self._place_in_ring * len(ring)), []
-            level.used = max(USED, self._used_share * len(ring)) / max(1, len(ring))
-            wanted = max(level.used * len(ring), own)
-            for u, marked in ring[first:] + ring[:first]:
-                if len(level.healthy) >= wanted:
+            high_load = (
+                u.load * exp((u.load_at - now) / LOAD_DECAY_MS) > HIGH_LOAD_RATIO * self._mean_load + 0.5
+            )
+            count = min(1.0, (now - u.slow_start_at) / SLOW_START_MS) / (
+                2 if high_load or now - u.full_at < FULL_PENALTY_MS else 1
+            )
+            # E6: one not measured for long is as reachable as those of its zone that were
+            healthy[u.zone] += count * (
+                reachabilities[u.zone] if now - u.measured_at > MEASUREMENT_DECAY_MS else 1.0
+            )
+        own_need = (
+            (self._delivery_rate or self._accepted) * self._base_latency / 1e3 / TARGET_FETCHES_PER_UPSTREAM
+        )
+        for locality, upstreams in zip(self._localities, by_zone, strict=True):
+            # E7: of hundreds of balancers each uses the next few in the hash ring. A balancer with far more
+            # traffic than others uses more: it used to overload its few.
+            start, locality.candidates = int(self._ring_position * len(upstreams)), []
+            locality.used_share = max(MIN_UPSTREAMS_IN_USE, self._min_used_share * len(upstreams)) / max(
+                1, len(upstreams)
+            )
+            wanted = max(locality.used_share * len(upstreams), own_need)
+            for u, slow in upstreams[start:] + upstreams[:start]:
+                if len(locality.candidates) >= wanted:
                     break
-                # one that fails some path prefix has another beside it
-                wanted += any(now < until for until in u.until.values())
-                if u.failing:
+                # an upstream ejected for some request class gets another one beside it
+                wanted += any(now < until for until in u.class_ejected_until.values())
+                if u.ejected:
                     if now >= u.trial_at:
-                        self._due.append(u)
-                elif not marked:
-                    level.healthy.append(u)
-            if not level.samples:
-                # until measured, one at each from all balancers of the zone is as usual
-                level.depth = max(1.0, len(level.healthy) * self._zones / self._balancers)
-        sizes = zip(self._levels, rings, strict=True)
-        self._places = sum(min(len(ring), max(level.used * len(ring), own)) for level, ring in sizes)
-        healths = [min(100.0, FACTOR * 100 * counts[z] / max(1, totals[z])) for z in self._order]
-        self._shares = shares(self._order, healths)
-
-    def _probe(self, now: float) -> None:
-        """Probe where allowed, as often as the price permits; never cold ones: it is work without budget."""
-        in_use = [u for level in self._levels for u in level.healthy if now - u.start >= self._warm_within]
-        if not in_use or self._load_field < 0:
+                        self._trials_due.append(u)
+                elif not slow:
+                    locality.candidates.append(u)
+            if not locality.samples:
+                # until measured, one fetch at each from all balancers of the zone counts as usual
+                locality.usual_in_flight = max(
+                    1.0, len(locality.candidates) * self._zone_count / self._balancer_count
+                )
+        sizes = zip(self._localities, by_zone, strict=True)
+        self._wanted_upstreams = sum(
+            min(len(upstreams), max(locality.used_share * len(upstreams), own_need))
+            for locality, upstreams in sizes
+        )
+        healths = [
+            min(100.0, OVERPROVISIONING_FACTOR * 100 * healthy[z] / max(1, totals[z]))
+            for z in self._zone_order
+        ]
+        self._zone_shares = zone_shares(self._zone_order, healths)
+
+    def _send_probes(self, now: float) -> None:
+        """Probe as often as the price permits; never cold upstreams: probes are work outside their budget."""
+        in_use = [
+            u
+            for locality in self._localities
+            for u in locality.candidates
+            if now - u.started_at >= self._warm_up_ms
+        ]
+        if not in_use or self._load_index < 0:
             return
-        # guards: all balancers that start at once probe at once, unless as rarely as they are asked
-        most = PROBE_SPEND / self._terms.probe_fee * self._asked if self._terms.probe_fee else inf
-        rate = min(most, 1e3 * len(in_use) / PROBE_EVERY)
-        self._probes_due += rate * BEAT / 1e3
+        # balancers that start together would probe together, unless probes are as rare as their visits
+        max_rate = (
+            PROBE_COST_SHARE / self._settings.probe_fee * self._arrival_rate
+            if self._settings.probe_fee
+            else inf
+        )
+        rate = min(max_rate, 1e3 * len(in_use) / PROBE_INTERVAL_MS)
+        self._probes_due += rate * TICK_MS / 1e3
         while self._probes_due >= 1:
             self._probes_due -= 1
             u = in_use[int(self._random() * len(in_use))]
-            if now - u.probed_at >= PROBE_EVERY:
+            if now - u.probed_at >= PROBE_INTERVAL_MS:
                 u.probed_at = now
                 self._host.probe(u.id)
 
 
-def shares(order: list[int], healths: list[float]) -> list[tuple[float, int]]:
-    """Running totals of the levels' shares of 100, filled in order; empty when all health is 0."""
+def zone_shares(order: list[int], healths: list[float]) -> list[tuple[float, int]]:
+    """Running totals of the zones' shares of 100, filled in order; empty when all health is 0."""
     total = min(100.0, sum(healths))
     filled, out = 0.0, []
     for zone, health in zip(order, healths, strict=True):
--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -114,25 +114,25 @@
         balancer = Balancer(_Host(), terms, self._seed * 100_003 + i, now)
         balancer.told_all(now, self._lines)
         if self._without == "half":
-            balancer._granted = 1.0
+            balancer._fraction_granted = 1.0
         elif self._without == "chance":
             balancer._random = lambda: 0.0
         return balancer
 
     def _second_over(self, balancer: Balancer, now: float) -> None:
         """A balancer's work of each second."""
-        before = [level.capacity for level in balancer._levels]
-        balancer._count(now)
-        balancer._rank(now)
+        before = [level.capacity for level in balancer._localities]
+        balancer._update_rates(now)
+        balancer._update_candidates(now)
         if self._without == "means":
-            for level, most in zip(balancer._levels, before, strict=True):
+            for level, most in zip(balancer._localities, before, strict=True):
                 level.capacity = max(0.99 * most, level.capacity)
 
     def _users(self) -> list[tuple[list[int], list[float]]]:
         """For each server, who sends to it, with running totals of how much."""
         users: list[tuple[list[int], list[float]]] = [([], []) for _ in self._lines]
         for i, balancer in enumerate(self.bank):
-            used = [u for level in balancer._levels for u in level.healthy]
+            used = [u for level in balancer._localities for u in level.candidates]
             for u in used:
                 near = 1.0 if u.zone == balancer._zone or u.zone not in self._homes else SPILL
                 users[u.id][0].append(i)
@@ -168,7 +168,7 @@
             for i, balancer in enumerate(self.bank):
                 if started and before < self.told_at[i] <= now:
                     balancer.told_changes(now, [self._lines[cold]])
-                if (now + self._second[i]) % 1_000 < STEP and now > balancer._second_at:
+                if (now + self._second[i]) % 1_000 < STEP and now > balancer._rates_updated_at:
                     self._second_over(balancer, now)
             if now % 500 < STEP:
                 users, weighed = self._users(), list(accumulate(self.weights))
@@ -182,26 +182,26 @@
                     due[server] -= 1
                     balancer = self.bank[who[bisect(much, random.random() * much[-1])]]
                     balancer._delivered += 1
-                    balancer._upstreams[server].served += 1
+                    balancer._upstreams[server].deliveries += 1
             asked += (0.5 * burst if self._shape == "burst" else OVERLOAD) * self._rate * SERVERS * STEP
             while asked >= 1:
                 asked -= 1
                 i = bisect(weighed, random.random() * weighed[-1])
                 balancer = self.bank[i]
-                balancer._taken += 1
+                balancer._accepted += 1
                 if not started:
                     continue
                 u = balancer._upstreams[cold]
-                if u not in u.level.healthy:
+                if u not in u.locality.candidates:
                     continue
                 told = now >= self.told_at[i]
-                if not told and random.random() > 1 / len(u.level.healthy):
+                if not told and random.random() > 1 / len(u.locality.candidates):
                     continue
                 tag += 1
-                visit = Visit(balancer, tag, balancer._lanes[0], now, 2_000.0, False)
+                visit = Visit(balancer, tag, balancer._request_classes[0], now, 2_000.0, False)
                 if balancer._send(visit, u, now):
-                    u.out.clear()
-                    u.level.out = 0
+                    u.in_flight.clear()
+                    u.locality.in_flight = 0
                     yield now, told
 
 
--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -215,21 +215,21 @@
     def _beliefs(self) -> list[dict[str, Any]]:
         """What our balancers think of each zone, on the mean; nothing of other arms."""
         living: list[Any] = [
-            b.policy for b in self.front.living if b is not None and hasattr(b.policy, "_levels")
+            b.policy for b in self.front.living if b is not None and hasattr(b.policy, "_localities")
         ]
         if not living or self.folder.path is None:
             return []
         now, n, out = self.world.now, len(living), []
         for zone, name in enumerate(self.scenario.zones.names):
-            levels = [policy._levels[zone] for policy in living]
+            levels = [policy._localities[zone] for policy in living]
             out.append(
                 {
                     "zone": name,
                     "latency": round(sum(level.latency for level in levels) / n, 2),
-                    "healthy": round(sum(len(level.healthy) for level in levels) / n, 2),
-                    "out": sum(level.out for level in levels),
+                    "healthy": round(sum(len(level.candidates) for level in levels) / n, 2),
+                    "out": sum(level.in_flight for level in levels),
                     "capacity": round(sum(_capacity(policy, zone) for policy in living) / n, 3),
-                    "short": round(sum(now - policy._short_at < 1_000 for policy in living) / n, 3),
+                    "short": round(sum(now - policy._capacity_short_at < 1_000 for policy in living) / n, 3),
                 }
             )
         return out
@@ -319,7 +319,7 @@
 
 def _capacity(policy: Any, zone: int) -> float:
     """What it thinks that a warm server of the zone carries for it; earlier texts had one figure for all."""
-    level = policy._levels[zone]
+    level = policy._localities[zone]
     return float(level.capacity if hasattr(level, "capacity") else policy._capacity)
 
 
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -553,7 +553,7 @@
     for _ in range(3):
         begun = process_time()
         for i in range(times):
-            balancer._rank(100_000.0 + i)
+            balancer._update_candidates(100_000.0 + i)
         best = min(best, 1e3 * (process_time() - begun) / times)
     gc.unfreeze()
     return best, told
@@ -757,7 +757,7 @@
             ask_for_list=True,
             must_ask_in=10_000.0,
         )
-        alone.append(Balancer(_Nobody(), terms, number, 0.0)._asking.due)
+        alone.append(Balancer(_Nobody(), terms, number, 0.0)._call_schedule.due)
     found.add("calls_alone_most_s", count, most(alone))
     paces = []
     for number in range(count):
--- a/ospreyline/state.py
+++ b/ospreyline/state.py
@@ -100,7 +100,7 @@
         self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
     ) -> None:
         """One of its fetches has ended; final: the client has its answer."""
-        self._balancer._ended(self, self.fetches[number], now, end, spent, final, report)
+        self._balancer._fetch_ended(self, self.fetches[number], now, end, spent, final, report)
 
     def left(self, now: float) -> None:
         """The client has gone: nothing is owed any more."""
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -23,14 +23,14 @@
 
 def granted(host: FakeHost, part: float = 4.0) -> None:
     balancer = host.balancer
-    for level in balancer._levels:
-        level.capacity = part / balancer._cold_window / 0.5
+    for level in balancer._localities:
+        level.capacity = part / balancer._cold_sends_per_capacity / 0.5
 
 
 def greedy(host: FakeHost, upstream: int = 0, tries: int = 30) -> int:
     """How many of so many visits at once are let through to it."""
     balancer = host.balancer
-    u, lane = balancer._upstreams[upstream], balancer._lanes[0]
+    u, lane = balancer._upstreams[upstream], balancer._request_classes[0]
     return sum(
         balancer._send(Visit(balancer, -1 - i, lane, host.now, 2_500.0, False), u, host.now)
         for i in range(tries)
@@ -46,19 +46,19 @@
     host = cold_host()
     u = host.balancer._upstreams[0]
     spent = greedy(host)
-    u.failing, u.trial_at, host.balancer._due = True, host.now, [u]
+    u.ejected, u.trial_at, host.balancer._trials_due = True, host.now, [u]
     for _ in range(10):
         visit = host.take()
-        assert not visit.fetches and not u.trial_out
+        assert not visit.fetches and not u.trial_in_flight
         host.pass_time(10)
-        u.trial_at, host.balancer._due = host.now, [u]
+        u.trial_at, host.balancer._trials_due = host.now, [u]
     assert spent in (4, 5) and most_in_a_window(host) == spent
 
 
 def test_a_trial_within_the_part_is_one_of_it():
     host = cold_host()
     u = host.balancer._upstreams[0]
-    u.failing, u.trial_at, host.balancer._due = True, host.now, [u]
+    u.ejected, u.trial_at, host.balancer._trials_due = True, host.now, [u]
     visit = host.take()
     assert visit.fetches[0].trial and len(u.cold_sends) == 1
 
@@ -67,9 +67,9 @@
     host = cold_host(3)
     balancer = host.balancer
     for u in balancer._upstreams.values():
-        u.failing, u.trial_at = True, host.now + 1e9
-    balancer._rank(host.now)
-    assert not balancer._shares
+        u.ejected, u.trial_at = True, host.now + 1e9
+    balancer._update_candidates(host.now)
+    assert not balancer._zone_shares
     for _ in range(60):
         granted(host)
         host.take()
@@ -103,7 +103,7 @@
             host.balancer.told_all(host.now, [line])
         else:
             host.balancer.told_changes(host.now, [line])
-    assert host.balancer._upstreams[0].start == 100_000.0
+    assert host.balancer._upstreams[0].started_at == 100_000.0
     assert 4 <= sent <= 5 and most_in_a_window(host) == sent
 
 
@@ -141,7 +141,9 @@
     host.balancer.forget(0)
     host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0)])
     u = host.balancer._upstreams[0]
-    assert u.start == 99_000.0 and host.balancer._warmth(u, host.now) == pytest.approx(0.5 + 0.5 * 51 / 60)
+    assert u.started_at == 99_000.0 and host.balancer._warmth(u, host.now) == pytest.approx(
+        0.5 + 0.5 * 51 / 60
+    )
     granted(host)
     assert 4 <= greedy(host) <= 8
 
@@ -150,7 +152,7 @@
     # guards: the clock counts from the start of our machine, which may be younger than an upstream
     host = FakeHost([listed(0, came_up=-5_000.0)], start=8_000.0, **TERMS)
     granted(host)
-    assert host.balancer._upstreams[0].start == -5_000.0 and greedy(host) in (4, 5)
+    assert host.balancer._upstreams[0].started_at == -5_000.0 and greedy(host) in (4, 5)
 
 
 @pytest.mark.parametrize("end", [End.FULL, End.UNSENT, End.UNREACHED, End.ERRORED])
@@ -215,8 +217,8 @@
                 greedy(host, tries=9)
             else:
                 balancer = host.balancer
-                visit = Visit(balancer, -1, balancer._lanes[0], host.now, 2_500.0, False)
-                balancer._may_go(visit, balancer._upstreams[0], host.now)
+                visit = Visit(balancer, -1, balancer._request_classes[0], host.now, 2_500.0, False)
+                balancer._may_send(visit, balancer._upstreams[0], host.now)
             sends += [host.now] * (len(host.sends) - before)
             host.now += 50.0
     windows = [sum(at - 2_000 < other <= at for other in sends) for at in sorted(set(sends))]
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -111,10 +111,10 @@
 
 def hold(service: Service, monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
     """Visits that come are held; room comes with what is returned."""
-    balancer, place = service.turn.balancer, service.turn.balancer._place
-    monkeypatch.setattr(balancer, "_place", lambda *_: False)
-    balancer._flow = 1e6  # none is bounced for the wait
-    return lambda: monkeypatch.setattr(balancer, "_place", place)
+    balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+    monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+    balancer._delivery_rate = 1e6  # none is bounced for the wait
+    return lambda: monkeypatch.setattr(balancer, "_choose_and_send", place)
 
 
 async def warm(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -168,11 +168,11 @@
             room = hold(service, monkeypatch)
             sock = connected(service)
             sock.sendall(request())
-            while not service.turn.balancer._held:
+            while not service.turn.balancer._queued:
                 await asyncio.sleep(0)
             Delay(late, lambda: leave(sock, how))()
             room()
-            service.turn.balancer._look(clock())
+            service.turn.balancer._check_queue(clock())
             service.turn._turn()  # the very next thing; nothing is read before
             await over(service)
             assert (len(peer.requests), len(peer.writers)) == begun
@@ -211,7 +211,7 @@
             if kept:
                 await warm(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
-            monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
+            monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
             socks = [connected(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
@@ -250,14 +250,14 @@
             if where == "held":
                 room = hold(service, monkeypatch)
             else:
-                monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
+                monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
             socks = [connected(service) for _ in range(many)]
             for sock in socks:
                 sock.sendall(request())
 
             def waiting() -> int:
                 peer = service.turn.upstreams.peers[0]
-                return service.turn.balancer._held if where == "held" else len(peer.errands)
+                return service.turn.balancer._queued if where == "held" else len(peer.errands)
 
             while waiting() < many:
                 await asyncio.sleep(0)
@@ -266,13 +266,13 @@
             Delay(late, lambda: [leave(sock, ways[i % 3]) for i, sock in enumerate(socks)])()
             if where == "held":
                 room()
-                service.turn.balancer._look(clock())
+                service.turn.balancer._check_queue(clock())
                 service.turn._turn()
             await over(service)
             while service.clients.open:
                 await asyncio.sleep(0)
             assert not gate.got and not service.turn.upstreams.open and not service.turn._ids
-            assert not service.turn.balancer._held and not service.turn.counts["faults"]
+            assert not service.turn.balancer._queued and not service.turn.counts["faults"]
             client = await caller(service)
             client.writer.write(request(trace="next"))
             while b"next" not in gate.got:
@@ -371,14 +371,16 @@
             room, turn, balancer = hold(service, monkeypatch), service.turn, service.turn.balancer
             sock = connected(service)
             sock.sendall(request())
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
             turn._alarm.cancel()
-            turn._wakes = [(clock(), -1, balancer._look)]  # due now, and the loop is late from now on
+            turn._wakes = [(clock(), -1, balancer._check_queue)]  # due now, and the loop is late from now on
             Delay(late, lambda: leave(sock))()  # over `LATE`
             room()
-            placed, place = [], balancer._place
-            monkeypatch.setattr(balancer, "_place", lambda *args: placed.append(args) or place(*args))
+            placed, place = [], balancer._choose_and_send
+            monkeypatch.setattr(
+                balancer, "_choose_and_send", lambda *args: placed.append(args) or place(*args)
+            )
             turn._ring()
             await over(service)
             assert not placed and not peer.requests and not peer.writers
@@ -721,11 +723,11 @@
             if place in ("accept", "read"):
                 delay()  # it lies in the listener's queue, or in its own socket
             if room is not None:
-                while not service.turn.balancer._held:
+                while not service.turn.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 room()
-                service.turn.note(service.turn.balancer._look)
+                service.turn.note(service.turn.balancer._check_queue)
             assert await answered(sock) == 200
             told.check(1, late)
 
@@ -791,11 +793,11 @@
             if place == "read":
                 delay()  # before the first attempt: both know it
             if place == "held":
-                while not turn.balancer._held:
+                while not turn.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 room()
-                turn.note(turn.balancer._look)
+                turn.note(turn.balancer._check_queue)
             assert await answered(sock) == 200
             told.check(2, late)
 
@@ -834,7 +836,9 @@
             status, _, _ = await client.ask(request("/change", "POST", b"x", X_Expires_In="0.1"))
             # it never ran, and its upstream is not to blame
             assert status == 503 and (len(peer.requests), len(peer.writers)) == begun
-            assert not service.turn.balancer._upstreams[0].run and service.turn.counts["unreached"] == 0
+            assert (
+                not service.turn.balancer._upstreams[0].failure_run and service.turn.counts["unreached"] == 0
+            )
 
     play(story)
 
@@ -913,7 +917,7 @@
             room = hold(service, monkeypatch) if place == "held" else None
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x", X_Expires_In="0.6"))
-            while not (service.turn.balancer._held if room else gate.connecting.is_set()):
+            while not (service.turn.balancer._queued if room else gate.connecting.is_set()):
                 await asyncio.sleep(0)
             if first == "drain":
                 await registry.tell(5, target("u0", gate.port, state="leaving"))
@@ -930,7 +934,7 @@
             gate.open.set()
             if room:
                 room()
-                service.turn.note(service.turn.balancer._look)
+                service.turn.note(service.turn.balancer._check_queue)
             assert (await client.answer())[0] == 503  # it never ran
             await over(service)
             assert not gate.got and not service.turn.upstreams.open
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -141,17 +141,17 @@
 def test_a_load_read_under_other_fields_counts_no_more():
     host = FakeHost([listed(i) for i in range(3)], report_fields=("queue",))
     u = host.balancer._upstreams[0]
-    host.balancer._take_report(u, host.now, (30.0,))
-    host.balancer._rank(host.now)
-    assert host.balancer._mean_report == 30.0
-    terms = replace(host.balancer._terms, report_fields=("util",))
+    host.balancer._record_load(u, host.now, (30.0,))
+    host.balancer._update_candidates(host.now)
+    assert host.balancer._mean_load == 30.0
+    terms = replace(host.balancer._settings, report_fields=("util",))
     host.balancer.set_terms(host.now, terms)
-    host.balancer._rank(host.now)
-    assert host.balancer._mean_report == 0.0
-    host.balancer._take_report(u, host.now, (0.5,))
+    host.balancer._update_candidates(host.now)
+    assert host.balancer._mean_load == 0.0
+    host.balancer._record_load(u, host.now, (0.5,))
     host.balancer.set_terms(host.now, terms)  # and the same again leaves it
-    host.balancer._rank(host.now)
-    assert host.balancer._mean_report == 0.5
+    host.balancer._update_candidates(host.now)
+    assert host.balancer._mean_load == 0.5
 
 
 def pushed(service, registry):
@@ -220,18 +220,22 @@
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             await registry.tell(4)
-            turn, balancer, place = service.turn, service.turn.balancer, service.turn.balancer._place
+            turn, balancer, place = (
+                service.turn,
+                service.turn.balancer,
+                service.turn.balancer._choose_and_send,
+            )
             while turn.discovery.rev != 4:
                 await asyncio.sleep(0)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200  # a connection stands ready now
             monkeypatch.setattr(upstreams, "SETTLE", 0.0)
-            monkeypatch.setattr(balancer, "_place", lambda *_: False)
-            balancer._flow = 100.0
+            monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+            balancer._delivery_rate = 100.0
             client.writer.write(request())
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(balancer, "_place", place)
+            monkeypatch.setattr(balancer, "_choose_and_send", place)
             leaving = target("u0", peer.port, state="leaving")
             line = json.dumps({"rev": 5, "targets": [leaving]}).encode() + b"\n"
             sock = registry.writers[0].transport.get_extra_info("socket")
@@ -239,7 +243,7 @@
             turn._alarm.cancel()
             if late:
                 turn._wakes = [(at - 10 * LATE, *more) for at, *more in turn._wakes]
-            turn._wakes.append((clock() - (10 * LATE if late else 0.0), -1, balancer._look))
+            turn._wakes.append((clock() - (10 * LATE if late else 0.0), -1, balancer._check_queue))
             turn._wakes.sort(key=lambda wake: wake[:2])
             turn._ring()
             assert (await client.answer())[0] == 503
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -235,7 +235,7 @@
 def test_calls_after_losses_in_a_row_come_further_and_further_apart():
     # a service that resets each call at once was called again without a pause by who is first in the bank
     host = FakeHost([listed(0)], ask_for_list=True, balancers=200)
-    host.balancer._asking.place = 0.0
+    host.balancer._call_schedule.place = 0.0
     host.pass_time(5_000.0)
     host.watches.clear()
     began = host.now
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -161,20 +161,20 @@
     async def story():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._place
-            monkeypatch.setattr(balancer, "_place", lambda *_: False)
-            balancer._flow = 100.0
+            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+            monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+            balancer._delivery_rate = 100.0
             client = await caller(service)
             client.writer.write(asked(path))
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
             leave(client, "end")
             while service.clients.open:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(balancer, "_place", place)
-            balancer._look(clock())
+            monkeypatch.setattr(balancer, "_choose_and_send", place)
+            balancer._check_queue(clock())
             await passes()
-            assert not balancer._held and not service.turn.visits and not peer.requests
+            assert not balancer._queued and not service.turn.visits and not peer.requests
 
     play(story)
 
@@ -187,20 +187,20 @@
     async def story():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._place
+            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
             if idle:  # a connection stands ready, so nothing else lies between the turn and the write
                 monkeypatch.setattr(upstreams, "SETTLE", 0.0)
                 assert (await (await caller(service)).ask(request()))[0] == 200
             before = len(peer.requests)
-            monkeypatch.setattr(balancer, "_place", lambda *_: False)
-            balancer._flow = 100.0
+            monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+            balancer._delivery_rate = 100.0
             sock = socket.create_connection(service.at)
             sock.sendall(asked(path))
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(balancer, "_place", place)
+            monkeypatch.setattr(balancer, "_choose_and_send", place)
             sock.close()  # from here to the turn nothing is read
-            balancer._look(clock())
+            balancer._check_queue(clock())
             service.turn._turn()
             while service.turn.visits:
                 await asyncio.sleep(0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -196,18 +196,18 @@
         async with running(Peer(), registry=old) as service:
             balancer = service.turn.balancer
             await old.until(lambda: bool(old.requests))
-            while not balancer._asking.failures:  # it has been told of one
+            while not balancer._call_schedule.failures:  # it has been told of one
                 await asyncio.sleep(0)
-            balancer._asking.due = inf  # as if it were to wait for long
+            balancer._call_schedule.due = inf  # as if it were to wait for long
             if first == "waits":
-                new.answers, balancer._asking.due = [ok()], 0.0  # the next beat would ask
+                new.answers, balancer._call_schedule.due = [ok()], 0.0  # the next beat would ask
             moved(service, new)
             if first == "fails":
                 await asyncio.wait_for(new.until(lambda: len(new.requests) > 1), 3)
             else:
                 await new.until(lambda: bool(new.writers))
                 call = service.turn.discovery._watch
-                balancer._beat(clock())
+                balancer._tick(clock())
                 service.turn._turn()
                 assert service.turn.discovery._watch is call is not None
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -16,7 +16,7 @@
     users = Counter()
     for number in range(0, 300, 3):
         host = FakeHost([listed(i) for i in range(20)], balancers=300, number=number)
-        used = {u.id for u in host.balancer._levels[0].healthy}
+        used = {u.id for u in host.balancer._localities[0].candidates}
         assert len(used) == 3 and set(host.serve(5)) <= used
         users.update(used)
     assert len(users) == 20 and max(users.values()) <= 1.25 * min(users.values())
@@ -34,20 +34,20 @@
             visit = out.pop(0)
             if visit.out:
                 visit.ended(host.now, 0, End.DELIVERED, 100.0, True, ())
-    assert fewest <= len(host.balancer._levels[0].healthy) <= most
+    assert fewest <= len(host.balancer._localities[0].candidates) <= most
 
 
 def test_a_lost_upstream_in_use_is_replaced_by_the_next_and_comes_back():
     host = FakeHost([listed(i) for i in range(20)], balancers=300)
-    before = {u.id for u in host.balancer._levels[0].healthy}
+    before = {u.id for u in host.balancer._localities[0].candidates}
     lost = min(before)
-    host.balancer._upstreams[lost].failing, host.balancer._upstreams[lost].trial_at = True, host.now + 1e9
+    host.balancer._upstreams[lost].ejected, host.balancer._upstreams[lost].trial_at = True, host.now + 1e9
     host.pass_time(500)
-    after = {u.id for u in host.balancer._levels[0].healthy}
+    after = {u.id for u in host.balancer._localities[0].candidates}
     assert len(after) == 3 and len(before & after) == 2 and lost not in after
-    host.balancer._upstreams[lost].failing = False
+    host.balancer._upstreams[lost].ejected = False
     host.pass_time(500)
-    assert {u.id for u in host.balancer._levels[0].healthy} == before
+    assert {u.id for u in host.balancer._localities[0].candidates} == before
 
 
 def test_hundreds_grant_no_free_first_visit_at_a_crowded_upstream():
@@ -55,7 +55,7 @@
     sends = 0
     for seed in range(100):
         host = FakeHost([listed(i) for i in range(8)], seed=seed, balancers=300)
-        for level in host.balancer._levels:
+        for level in host.balancer._localities:
             level.latency = 5_000.0
         host.take()
         sends += len(host.sends)
@@ -71,7 +71,7 @@
         host.end(visit, End.TIMED_OUT if stuck else End.DELIVERED, 900.0 if stuck else 50.0)
         while visit.out:
             host.end(visit, End.DELIVERED)
-    assert host.balancer._levels[0].latency < 200
+    assert host.balancer._localities[0].latency < 200
 
 
 def test_a_zone_that_nobody_has_been_to_lately_is_not_thought_to_be_faster():
@@ -81,7 +81,7 @@
         visit = host.take()
         if visit.out:
             host.end(visit, End.DELIVERED, 400)
-    home, away = host.balancer._levels[0], host.balancer._levels[1]
+    home, away = host.balancer._localities[0], host.balancer._localities[1]
     assert away.latency > 0.7 * home.latency > 150
 
 
@@ -89,16 +89,16 @@
 def test_fewer_failures_in_a_row_eject_where_fewer_fail(late, needed):
     # met on an incident: five failures of an upstream that is seldom met take half a minute
     host = FakeHost([listed(i) for i in range(4)], prefixes=(prefix(Kind.MUTATING),))
-    level = host.balancer._levels[0]
+    level = host.balancer._localities[0]
     host.serve(40)
-    level.kept, bad = 1 - late, host.balancer._upstreams[3]
+    level.in_time_share, bad = 1 - late, host.balancer._upstreams[3]
     failures = 0
-    while not bad.failing:
+    while not bad.ejected:
         visit = host.take()
         failed = visit.fetches[0].upstream is bad
         failures += failed
         host.end(visit, End.RESET if failed else End.DELIVERED)
-        level.kept = 1 - late
+        level.in_time_share = 1 - late
     assert failures == needed
 
 
@@ -118,9 +118,9 @@
     lanes = (prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE))
     host = FakeHost([listed(0)], prefixes=lanes, worst_prefix=0.2)
     host.serve(2, lane=0)
-    host.balancer._lanes[1].arrived = 1.0
+    host.balancer._request_classes[1].arrived = 1.0
     host.pass_time(1_000)
-    first, second = (lane.value for lane in host.balancer._lanes)
+    first, second = (lane.value for lane in host.balancer._request_classes)
     assert second < 2 * first
 
 
@@ -132,10 +132,10 @@
         sends = 0
         for host in hosts:
             balancer, cold = host.balancer, host.balancer._upstreams[0]
-            balancer._levels[0].capacity = 0.2  # of 20 visits a second that the 100 bring to a warm one
+            balancer._localities[0].capacity = 0.2  # of 20 visits a second that the 100 bring to a warm one
             if not window:
                 host.balancer.told_changes(host.now, [listed(0, came_up=host.now)])
-            visit = Visit(balancer, 1, balancer._lanes[0], host.now, 2_500.0, False)
+            visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
             sends += balancer._send(visit, cold, host.now)
             host.pass_time(2_000)
         assert sends <= 2 * (0.1 + 0.06 * window) * 20 * 2
@@ -150,11 +150,11 @@
         host.pass_time(300)
         host.serve(1)
     host.balancer.told_changes(host.now, [listed(0, came_up=host.now - 8_000)])
-    host.balancer._levels[0].latency = 2_000.0
+    host.balancer._localities[0].latency = 2_000.0
     for u in host.balancer._upstreams.values():
         if u.id:
             u.latency, u.measured_at, u.sent_at = 2_000.0, host.now, host.now
-    host.balancer._levels[0].capacity = 4.0
+    host.balancer._localities[0].capacity = 4.0
     assert set(host.serve(10)) == {0}
 
 
@@ -164,13 +164,18 @@
     lines = [listed(i, zone=i % zones) for i in range(10)]
     hosts = [FakeHost(lines, seed=seed, balancers=40, zones=zones, number=seed) for seed in range(40)]
     for host in hosts:
-        host.balancer._delivered, host.balancer._flow = 8, 8.0
+        host.balancer._delivered, host.balancer._delivery_rate = 8, 8.0
         host.pass_time(1_300)
-        assert max(level.rate for level in host.balancer._levels) < 0.2 * host.balancer._levels[0].capacity
+        assert (
+            max(level.delivery_rate for level in host.balancer._localities)
+            < 0.2 * host.balancer._localities[0].capacity
+        )
     for u in range(10):
         # all balancers that use an upstream, together, in visits a second that each of them delivers evenly
-        using = [h.balancer for h in hosts if any(u == x.id for x in h.balancer._levels[u % zones].healthy)]
-        budget = sum(b._cold_window * b._levels[u % zones].capacity for b in using) / 2
+        using = [
+            h.balancer for h in hosts if any(u == x.id for x in h.balancer._localities[u % zones].candidates)
+        ]
+        budget = sum(b._cold_sends_per_capacity * b._localities[u % zones].capacity for b in using) / 2
         # under the rule's factor, 2 here, times what it would carry, were all spread evenly
         assert budget <= 0.85 * 2.0 * 40 * 8 / 10
 
@@ -186,8 +191,8 @@
         for host in hosts:
             balancer, cold = host.balancer, host.balancer._upstreams[0]
             host.balancer.told_changes(host.now, [listed(0, came_up=host.now - 3_000)])
-            balancer._levels[0].capacity = 1.0
-            visit = Visit(balancer, 1, balancer._lanes[0], host.now, 2_500.0, False)
+            balancer._localities[0].capacity = 1.0
+            visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
             sends[-1] += balancer._send(visit, cold, host.now)
             host.pass_time(2_000)
     part = 2 * 2 / 3 * (0.1 + 0.9 * 0.1)  # of each balancer in a window
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,7 +7,7 @@
 import pytest
 from stand_ins import FakeHost, listed, prefix
 
-from ospreyline.decide import FACTOR, HOLD_DOWN, shares
+from ospreyline.decide import EJECTION_MS, OVERPROVISIONING_FACTOR, zone_shares
 from ospreyline.host import End, Kind
 
 
@@ -27,7 +27,9 @@
     ],
 )
 def test_shares_fill_in_order(healthy, expected):
-    totals = shares(list(range(len(healthy))), [min(100.0, FACTOR * h) for h in healthy])
+    totals = zone_shares(
+        list(range(len(healthy))), [min(100.0, OVERPROVISIONING_FACTOR * h) for h in healthy]
+    )
     got, before = [0.0] * len(healthy), 0.0
     for total, zone in totals:
         got[zone], before = total - before, total
@@ -46,10 +48,10 @@
     host = FakeHost([listed(i) for i in range(4)], prefixes=(prefix(kind),))
     for _ in range(40):
         host.serve(1, lambda u: end if u == 2 else End.DELIVERED)
-        if host.balancer._upstreams[2].failing:
+        if host.balancer._upstreams[2].ejected:
             break
     assert 2 not in host.serve(50)
-    host.pass_time(HOLD_DOWN)
+    host.pass_time(EJECTION_MS)
     trials = [host.take() for _ in range(3)]
     assert [v.fetches[0].upstream.id for v in trials].count(2) == 1
     for visit in trials:
@@ -61,13 +63,13 @@
 def test_full_answers_do_not_eject():
     host = FakeHost([listed(i) for i in range(3)])
     host.serve(100, lambda u: End.FULL if u == 1 else End.DELIVERED)
-    assert not host.balancer._upstreams[1].failing
+    assert not host.balancer._upstreams[1].ejected
 
 
 def test_with_all_health_gone_all_ready_ones_are_drawn():
     host = FakeHost([listed(i, zone=i) for i in range(3)])
     for u in host.balancer._upstreams.values():
-        u.failing, u.trial_at = True, host.now + 1e9
+        u.ejected, u.trial_at = True, host.now + 1e9
     host.pass_time(100)
     visits = [host.take() for _ in range(9)]
     assert {v.fetches[0].upstream.id for v in visits} == {0, 1, 2}
@@ -100,7 +102,7 @@
     ends = {0: lambda: End.ERRORED if next(turn) % 3 else End.DELIVERED}
     host.serve(300, lambda u: ends.get(u, lambda: End.DELIVERED)())
     bad, good = host.balancer._upstreams[0], host.balancer._upstreams[1]
-    assert bad.failing or bad.latency > 3 * good.latency
+    assert bad.ejected or bad.latency > 3 * good.latency
 
 
 def test_a_level_without_room_passes_visits_on_while_crossing_pays():
@@ -157,7 +159,7 @@
     # met on sockets: between two looks at held visits the oldest took the room that came, answered too late
     host = FakeHost([listed(0)])
     host.serve(30)
-    host.balancer._flow = 50.0
+    host.balancer._delivery_rate = 50.0
     out = []
     while not (first := host.take()).held:
         out.append(first)
@@ -192,7 +194,7 @@
             while visit.out:
                 host.end(visit, End.TIMED_OUT, 0.0)
         host.pass_time(3_000.0)
-    assert host.balancer._upstreams[0].failing is not overlapping
+    assert host.balancer._upstreams[0].ejected is not overlapping
 
 
 @pytest.mark.parametrize(("end", "fetches"), [(End.ERRORED, 2), (End.RESET, 2), (End.TIMED_OUT, 1)])
@@ -201,7 +203,7 @@
     host = FakeHost([listed(0), listed(1)])
     host.serve(20)
     visit = host.take()
-    host.balancer._short_at = host.now
+    host.balancer._capacity_short_at = host.now
     host.end(visit, end)
     assert len(visit.fetches) == fetches and host.answers(visit) == (fetches == 1)
 
@@ -220,12 +222,12 @@
         for lane, spent in ((0, 100.0), (1, 400.0)):
             visit = host.take(lane)
             host.end(visit, End.DELIVERED, spent)
-    paces = [lane.pace for lane in host.balancer._lanes]
+    paces = [lane.pace for lane in host.balancer._request_classes]
     assert paces[1] > 2 * paces[0]
     home = next(u for u in host.balancer._ready if u.zone == 0)
     costs = []
     for lane in range(2):
         visit = host.take(lane)
-        costs.append(host.balancer._cost(visit, home, host.now))
+        costs.append(host.balancer._expected_loss(visit, home, host.now))
         host.end(visit, End.DELIVERED)
     assert costs[1] > 2 * costs[0]
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -39,26 +39,26 @@
         monkeypatch.setattr(upstreams, "SETTLE", 0.0)
         raw, loop = Raw(), asyncio.get_running_loop()
         async with running(known=[target("u0", raw.port)]) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._place
+            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
             client = await caller(service)
             client.writer.write(request())
             conn, _ = await raw.take()
             conn.sendall(ok(b"first"))
             assert (await client.answer())[2] == b"first"
             # the next one waits, so that it is sent in a turn before which nothing is read
-            monkeypatch.setattr(balancer, "_place", lambda *_: False)
-            balancer._flow = 100.0
+            monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+            balancer._delivery_rate = 100.0
             client.writer.write(request(path, "GET" if path == "/read" else "POST", trace="next"))
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(balancer, "_place", place)
+            monkeypatch.setattr(balancer, "_choose_and_send", place)
             if what == "reset":
                 conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             if what in ("end", "reset"):
                 conn.close()
             elif what == "second answer":
                 conn.sendall(ok(b"first"))
-            balancer._look(clock())
+            balancer._check_queue(clock())
             service.turn._turn()
             if what == "nothing":
                 got = await loop.sock_recv(conn, 65_536)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -82,7 +82,7 @@
     host = FakeHost([listed(0)], prefixes=(prefix(Kind.READ_LIKE, gain=3.0),))
     host.serve(30)
     host.pass_time(2_000)
-    host.balancer._flow = 50.0
+    host.balancer._delivery_rate = 50.0
     visits = [host.take() for _ in range(12)] + [host.take(ttl=400.0) for _ in range(6)]
     late = [v for v in visits if v.held and v.expires - host.now <= 400]
     host.pass_time(380)
@@ -134,7 +134,7 @@
     host.balancer.told_changes(host.now, [listed(back, came_up=host.now)])
     start = host.now
     host.serve(400, lambda u: end if u == back else End.DELIVERED)
-    capacity = host.balancer._levels[0].capacity  # it may have been seen to be more since
+    capacity = host.balancer._localities[0].capacity  # it may have been seen to be more since
     sends = [at for _, u, _, at in host.sends if u == back and at >= start]
     for at in sends:
         window = sum(at - 2_000 < other <= at for other in sends)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
 def touched(monkeypatch):
     """How many upstreams a ranking, and a reload, have looked at."""
     found = {"ranked": 0, "placed": 0}
-    expected, put = decide.Upstream.expected, decide.Balancer._put
+    expected, put = decide.Upstream.expected_latency, decide.Balancer._assign_locality
 
     def count_expected(self, now, memory):
         found["ranked"] += 1
@@ -41,8 +41,8 @@
         found["placed"] += 1
         put(self, u, zone)
 
-    monkeypatch.setattr(decide.Upstream, "expected", count_expected)
-    monkeypatch.setattr(decide.Balancer, "_put", count_put)
+    monkeypatch.setattr(decide.Upstream, "expected_latency", count_expected)
+    monkeypatch.setattr(decide.Balancer, "_assign_locality", count_put)
     return found
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -222,7 +222,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("call", ["take", "_ended"])
+@pytest.mark.parametrize("call", ["take", "_fetch_ended"])
 def test_a_fault_in_the_decisions_costs_one_visit_and_that_is_answered(call, monkeypatch):
     async def story():
         peers = Peer(ok(b"", b"", b"500 Internal Server Error"), ok()), Peer()
@@ -247,11 +247,11 @@
     async def story():
         # met on busy days: hundreds of open visits in the counts, with some dozens of clients
         async with running(Peer()) as service:
-            monkeypatch.setattr(service.turn.balancer, "_place", lambda *_: False)
-            service.turn.balancer._flow = 100.0
+            monkeypatch.setattr(service.turn.balancer, "_choose_and_send", lambda *_: False)
+            service.turn.balancer._delivery_rate = 100.0
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
-            while not service.turn.balancer._held:
+            while not service.turn.balancer._queued:
                 await asyncio.sleep(0)
             assert service.turn.visits and (await client.answer())[0] == 503
             assert not service.turn.visits
@@ -304,7 +304,7 @@
         async with running(*peers, registry=old) as service:
             client = await caller(service)
             await old.tell(7, target("u9", 1, state="left"))
-            while service.turn.balancer._asking.due < inf:  # else it may ask once more by itself
+            while service.turn.balancer._call_schedule.due < inf:  # else it may ask once more by itself
                 await asyncio.sleep(0)
             moved(service, new)
             await new.until(lambda: bool(new.writers))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -7,7 +7,7 @@
 import pytest
 from stand_ins import FakeHost, listed, prefix
 
-from ospreyline.decide import AGREE, HINT, HOLD_DOWN
+from ospreyline.decide import BALANCERS_PER_HINT, EJECTION_MS, IDLE_TIMEOUT_HINT
 from ospreyline.host import End, Kind
 
 TWO = (prefix(Kind.READ_LIKE), prefix(Kind.MUTATING))
@@ -41,13 +41,13 @@
     before = len(host.sends)
     host.serve(30, lane=1)
     assert 2 not in {u for _, u, _, _ in host.sends[before:]}
-    assert not host.balancer._upstreams[2].failing and 2 in host.serve(60, lane=0)
+    assert not host.balancer._upstreams[2].ejected and 2 in host.serve(60, lane=0)
 
 
 def test_a_prefix_that_was_unanswered_is_tried_again_once_after_the_hold_down():
     host = warm()
     leave(host, 2, 1)
-    host.pass_time(HOLD_DOWN)
+    host.pass_time(EJECTION_MS)
     tried = [host.take(1) for _ in range(12)]
     assert [v.fetches[0].upstream.id for v in tried if v.fetches].count(2) == 1
 
@@ -58,9 +58,9 @@
     for _ in range(30):
         host.serve(1, lane=0)
     u = host.balancer._upstreams[0]
-    assert not visit.done and not u.out and u.level.out == 0
+    assert not visit.done and not u.in_flight and u.locality.in_flight == 0
     visit.ended(host.now, 0, End.TIMED_OUT, 2_500.0, False, ())
-    assert u.level.out == 0
+    assert u.locality.in_flight == 0
 
 
 def test_slow_upstreams_that_answer_in_order_are_not_silent():
@@ -69,7 +69,7 @@
     visits = [host.take(1) for _ in range(3)]
     host.pass_time(1_600)
     u = host.balancer._upstreams[0]
-    assert len(u.out) == sum(bool(v.fetches) for v in visits) > 0 and not u.until
+    assert len(u.in_flight) == sum(bool(v.fetches) for v in visits) > 0 and not u.class_ejected_until
 
 
 def rested(host: FakeHost, lanes: tuple[int, ...], silent: bool, rest: float = 3_000.0) -> None:
@@ -84,7 +84,7 @@
 
 def rest_all(host: FakeHost, rest: float) -> None:
     for u in host.balancer._upstreams.values():
-        u.used_at = host.now
+        u.connection_used_at = host.now
     host.pass_time(rest)
 
 
@@ -107,7 +107,7 @@
 def test_silence_after_short_rests_is_no_fault_of_the_connection():
     # met on class_fail days: connections were renewed though upstreams were silent
     host = warm(8)
-    host.balancer._rests.clear()
+    host.balancer._recent_fetches.clear()
     rested(host, (0,) * 9, silent=False, rest=300.0)
     rested(host, (1, 1, 1), silent=True, rest=300.0)
     rested(host, (0,), silent=False)
@@ -121,7 +121,7 @@
     visit = host.take(1)
     host.pass_time(1_010)
     visit.ended(host.now, 0, End.TIMED_OUT, 1_010.0, False, ())
-    assert not visit.fetches[0].silent and not visit.fetches[0].upstream.until
+    assert not visit.fetches[0].silent and not visit.fetches[0].upstream.class_ejected_until
 
 
 @pytest.mark.parametrize(("lanes", "told"), [((0, 1, 0, 1), True), ((1, 1, 1, 1), False)])
@@ -138,9 +138,11 @@
 @pytest.mark.parametrize("enough", [True, False])
 def test_others_hints_count_when_as_many_agree(enough):
     host = warm()
-    host.balancer.set_terms(host.now, replace(host.balancer._terms, may_tell=True, balancers=3 * AGREE))
+    host.balancer.set_terms(
+        host.now, replace(host.balancer._settings, may_tell=True, balancers=3 * BALANCERS_PER_HINT)
+    )
     for _ in range(5 if enough else 4):
-        host.balancer.heard(host.now, HINT.pack(1_500))
+        host.balancer.heard(host.now, IDLE_TIMEOUT_HINT.pack(1_500))
     host.balancer.heard(host.now, b"odd")
     assert drops(host, 2_000) is enough and not drops(host, 500)
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -252,7 +252,7 @@
 def retold(host: FakeHost, lines: list, **terms: object) -> None:
     from dataclasses import replace
 
-    host.balancer.set_terms(host.now, replace(host.balancer._terms, **terms))
+    host.balancer.set_terms(host.now, replace(host.balancer._settings, **terms))
     host.balancer.told_changes(host.now, lines, first=True)
 
 
@@ -266,9 +266,9 @@
     cold = host.balancer._upstreams[0]
     while not cold.cold_sends:
         host.serve(1)
-    spent, start = len(cold.cold_sends), cold.start
+    spent, start = len(cold.cold_sends), cold.started_at
     retold(host, lines, overload_factor=factor)
-    assert len(cold.cold_sends) == spent and cold.start == start
+    assert len(cold.cold_sends) == spent and cold.started_at == start
     before = len(host.sends)
     host.serve(10)
     assert 0 not in [u for _, u, _, _ in host.sends[before:]]  # nothing before the next window
@@ -278,12 +278,18 @@
     # guards: a fleet that has just started would be sent nothing for a window after any reload
     lines = [listed(i, came_up=99_000.0) for i in range(3)]
     host = FakeHost(lines, cold_from=0.5, overload_factor=4.0, warm_within=60_000.0)
-    host.balancer._levels[0].capacity = 50.0
+    host.balancer._localities[0].capacity = 50.0
     host.serve(3)
-    granted = [(u.allowed, u.drawn_at, list(u.cold_sends)) for u in host.balancer._upstreams.values()]
+    granted = [
+        (u.cold_sends_allowed, u.cold_sends_drawn_at, list(u.cold_sends))
+        for u in host.balancer._upstreams.values()
+    ]
     assert any(allowed for allowed, _, _ in granted)
     retold(host, lines, prefixes=(prefix(Kind.READ_LIKE, gain=5.0),))
-    assert granted == [(u.allowed, u.drawn_at, list(u.cold_sends)) for u in host.balancer._upstreams.values()]
+    assert granted == [
+        (u.cold_sends_allowed, u.cold_sends_drawn_at, list(u.cold_sends))
+        for u in host.balancer._upstreams.values()
+    ]
     assert len(host.serve(6)) >= 3
 
 
@@ -316,7 +322,7 @@
     lines = [listed(0)]
     host = FakeHost(lines, prefixes=(prefix(Kind.READ_LIKE, gain=3.0),))
     host.serve(30)
-    host.balancer._flow = 50.0
+    host.balancer._delivery_rate = 50.0
     visits = [host.take() for _ in range(18)]
     waiting = [v for v in visits if v.held]
     assert waiting
@@ -332,7 +338,7 @@
     visit = host.take()
     host.balancer.set_terms(
         host.now,
-        host.balancer._terms.__class__(
+        host.balancer._settings.__class__(
             zone=0, zones=1, balancers=3, number=0, prefixes=terms, zone_names=("c",), ask_for_list=False
         ),
     )
@@ -346,4 +352,4 @@
     visit = host.take()
     retold(host, [listed(0, zone=1), listed(1, zone=0)], zone_names=("b", "a"))
     host.end(visit, End.DELIVERED)
-    assert [level.out for level in host.balancer._levels] == [0, 0]
+    assert [level.in_flight for level in host.balancer._localities] == [0, 0]
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -95,8 +95,8 @@
         self.begins: list[float] = []
         self.reached = self.told_at = inf
         self.changed = False  # the phase is longer than the wait
-        terms_now = self.balancer._terms
-        self.balancer._asking.place = place
+        terms_now = self.balancer._settings
+        self.balancer._call_schedule.place = place
         self.pace = Pace(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
         if self.pace is not None:
             self.pace.place = place
@@ -493,7 +493,7 @@
         on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
         async with running(*peers, registry=old, operator=on) as service:
             await old.tell(7)
-            while (service.turn._pace or service.turn.balancer._asking).due < inf:  # it has been told
+            while (service.turn._pace or service.turn.balancer._call_schedule).due < inf:  # it has been told
                 await asyncio.sleep(0)
             service.reload(lambda: (moved_post(new), on))
             await new.until(lambda: len(new.mute) == 1)
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -13,7 +13,7 @@
 from stand_ins import SILENT, FakeHost, Peer, caller, listed, request, running
 from test_clients import play
 
-from ospreyline.decide import BEAT, Visit
+from ospreyline.decide import TICK_MS, Visit
 from ospreyline.host import End
 from ospreyline.net.turn import STOOD
 from ospreyline.net.upstreams import Errand
@@ -110,7 +110,7 @@
                 host.balancer.told_all(host.now, [listed(100 + i, zone=i % 3) for i in range(30)])
 
         day = Day(host, per_s, lambda upstream: upstream >= 100).play(8, tell)
-        assert host.watches[0] - began <= min(3_000.0, 500.0 + 10 * balancers) + BEAT
+        assert host.watches[0] - began <= min(3_000.0, 500.0 + 10 * balancers) + TICK_MS
         assert min(day.attempts()) - told[0] <= 1e3 / per_s + SERVING
         assert day.longest(began) < MOST
 
@@ -122,7 +122,7 @@
         host = balancer(balancers, zones, max_fetches=3)
         if before:
             Day(host, per_s, lambda upstream: True).play(before)
-        used = {u.id for level in host.balancer._levels for u in level.healthy}
+        used = {u.id for level in host.balancer._localities for u in level.candidates}
         assert len(used) <= 20
         day, since = Day(host, per_s, lambda upstream, used=used: upstream not in used), host.now
         assert day.play(10).longest(since) < MOST and max(day.attempts()) > since + 9_000
@@ -169,7 +169,7 @@
             errand = taken.errands[0]
             assert isinstance(errand, Errand)
             (u,) = turn.balancer._upstreams.values()
-            was = u.level.latency
+            was = u.locality.latency
             before = 10_000.0 if stood else STOOD / 2  # the clock cannot be turned on: all else is put back
             errand.sent -= before
             errand.expires -= before
@@ -177,7 +177,11 @@
             span = errand.expires - errand.sent
             errand.peer._expire(errand)
             assert (await client.answer())[0] >= 500
-            assert turn.counts["timed_out"] == 1 and not u.out
-            assert (u.level.latency == was and not u.run) if stood else was < u.level.latency <= span
+            assert turn.counts["timed_out"] == 1 and not u.in_flight
+            assert (
+                (u.locality.latency == was and not u.failure_run)
+                if stood
+                else was < u.locality.latency <= span
+            )
 
     play(story)
