--- a/ospreyline/host.py
+++ b/ospreyline/host.py
@@ -1,8 +1,8 @@
-"""The interface between the decisions (`decide.py`) and whatever carries them out: a front.
+"""The interface between the decisions (`decide.py`) and the host that carries them out.
 
-A front builds one `decide.Balancer` an instance, hands it a `Host` to act through and tells it what
-happens by calls. Times are milliseconds as floats on one clock that only goes forward. Upstreams are
-small indices that the front gives out; visits are named towards the front by the `tag` it chose.
+A host builds one `decide.Balancer` per instance, passes itself as a `Host` to act through, and reports
+events by calling the balancer. Times are milliseconds as floats on one monotonic clock. Upstreams are small
+indices that the host assigns; visits are named towards the host by the `tag` that it chose.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Kind(Enum):
-    """What a path prefix allows once a backend fetch may have run."""
+    """Whether a visit of a path prefix may be repeated once a backend fetch of it may have executed."""
 
     READ_LIKE = "read-like"
     TAGGED = "tagged"
@@ -22,7 +22,7 @@
 
 
 class Scope(Enum):
-    """The upstreams among which the repeat of a tagged visit is dropped."""
+    """The group of upstreams that recognizes and drops the repeat of a tagged visit."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,21 +32,21 @@
 class End(IntEnum):
     """How a backend fetch or a probe ended."""
 
-    ERRORED = 0  # may have run
+    ERRORED = 0  # may have executed
     DELIVERED = 1
-    FULL = 2  # turned away unseen: never ran
-    TIMED_OUT = 3  # may have run, or still run
-    UNREACHED = 4  # no connection: never ran
-    RESET = 5  # may have run
-    CANCELLED = 6  # may have run
-    UNSENT = 7  # never left
+    FULL = 2  # rejected unread by a full upstream: did not execute
+    TIMED_OUT = 3  # may have executed, or still be executing
+    UNREACHED = 4  # no connection: did not execute
+    RESET = 5  # may have executed
+    CANCELLED = 6  # may have executed
+    UNSENT = 7  # never sent: did not execute
 
 
 NEVER_RAN = frozenset((End.FULL, End.UNREACHED, End.UNSENT))
 
 
 class Readiness(IntEnum):
-    """What the list says of an upstream."""
+    """The state of an upstream in the upstream list."""
 
     READY = 1
     DRAINING = 2
@@ -55,90 +55,90 @@
 
 @dataclass(slots=True, frozen=True)
 class Listed:
-    """One line of the list of upstreams."""
+    """One entry of the upstream list."""
 
     upstream: int
-    mark: int  # the same number at every balancer, for hashing only
+    mark: int  # hash key, the same at every balancer
     zone: int
     cell: int
     readiness: Readiness
-    came_up: float  # start of the process on our clock (under 0: before its zero), 0 for long ago
+    came_up: float  # start of the process on our clock, negative if before its zero; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class PathPrefix:
-    """What is promised and permitted for the visits of one path prefix."""
+    """The settings of one path prefix: what is promised and permitted for its visits. Times in ms."""
 
     kind: Kind
     scope: Scope
-    window: float  # how long upstreams remember a tag
+    window: float  # for which upstreams remember a tag
     target_latency: float
     client_timeout: float
     gain: float
-    late_gain: float  # share of the gain for an answer between target latency and client timeout
-    name: str = ""  # tells the same path prefix after a reload, nothing else
+    late_gain: float  # of an answer between target latency and client timeout, as share of the gain
+    name: str = ""  # only to recognize the same path prefix after a reload
 
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """The figures of a deployment that a balancer is told at its start."""
+    """The settings of a deployment, which a balancer gets at its start and on a reload. Times in ms."""
 
-    zone: int
-    zones: int
-    balancers: int
+    zone: int  # of this balancer, from 0
+    zones: int  # how many
+    balancers: int  # how many
     number: int  # of this balancer among them, from 0
     prefixes: tuple[PathPrefix, ...]
     max_fetches: int = 3
     may_cancel: bool = True
     may_probe: bool = False
-    max_retry_after: float = 0.0  # 0: clients are given no advice
-    ask_for_list: bool = True  # the list comes only when asked for
-    must_ask_in: float = 10_000.0
-    drain_grace: float = 500.0  # in which sends to an upstream must end once its drain was told
-    cold_from: float = 0.1
-    warm_within: float = 30_000.0
-    overload_factor: float = 2.0
-    tip_after: float = 2_000.0
+    max_retry_after: float = 0.0  # 0: bounces have no Retry-After
+    ask_for_list: bool = True  # the list is polled or watched, not pushed
+    must_ask_in: float = 10_000.0  # without a list call for so long, updates count as received
+    drain_grace: float = 500.0  # in which sends to an upstream must end once its drain was sent to us
+    cold_from: float = 0.1  # share of its capacity that an upstream has at its start
+    warm_within: float = 30_000.0  # until it has all of it
+    overload_factor: float = 2.0  # of a cold upstream's capacity, the most that it may be sent
+    tip_after: float = 2_000.0  # the window in which these sends are counted
     cross_fee: float = 0.0  # share of the mean gain, for each backend fetch to another zone
     probe_fee: float = 0.0
-    may_tell: bool = False  # short messages to the other balancers, which may be lost
+    may_tell: bool = False  # may send messages to the other balancers, which may be lost
     worst_prefix: float = 0.0  # weight of the worst-served path prefix in the goal
-    zone_names: tuple[str, ...] = ()  # tell the same zones after a reload, nothing else
-    report_fields: tuple[str, ...] = ()  # in-flight, queue, util, latency, rate, errors
+    zone_names: tuple[str, ...] = ()  # only to recognize the same zones after a reload
+    report_fields: tuple[str, ...] = ()  # of in-flight, queue, util, latency, rate, errors
 
 
 class Host(Protocol):
-    """What a front does for the decisions. None of these calls back before returning."""
+    """What the host does for the decisions. None of these calls back before it returns."""
 
     def send(self, tag: int, upstream: int, time_out: float) -> None:
-        """Start a backend fetch of the visit; fetches are numbered from 0 in the order of sends."""
+        """Start a backend fetch of the visit, for `time_out` ms; a visit's fetches are numbered from 0."""
 
     def cancel(self, tag: int, fetch: int) -> None:
-        """Stop waiting for one backend fetch."""
+        """Cancel one backend fetch: stop waiting for its answer."""
 
     def bounce(self, tag: int, retry_after: float) -> None:
-        """Final answer: trying again is harmless, after so long (0: no advice)."""
+        """Final answer: a retry is harmless, after `retry_after` ms (0: no advice)."""
 
     def fail(self, tag: int) -> None:
-        """Final answer: an error page, with no promise."""
+        """Final answer: an error, without a promise about retries."""
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
-        """Call back with the time, at that time or soon after it."""
+        """Set a timer: call `call` with the time, at `at` or soon after it."""
 
     def probe(self, upstream: int) -> None:
-        """Ask an upstream how it does."""
+        """Send a probe to an upstream; its result goes to `Balancer.probed`."""
 
     def drop(self, upstream: int) -> None:
-        """Close the idle connections to an upstream: the next fetch opens a new one."""
+        """Close the idle connections to an upstream: its next fetch opens a new one."""
 
     def tell(self, message: bytes) -> None:
-        """Tell all other balancers, where the settings allow it; it may be lost."""
+        """Send a message to all other balancers, where the settings allow it; it may be lost."""
 
     def watch(self, on: bool) -> None:
-        """Ask for the changes of the list from now on."""
+        """Call the list service for a watch: the changes of the upstream list from now on."""
 
     def refresh(self) -> None:
-        """Ask once for the whole list."""
+        """Poll the whole upstream list once."""
 
     def log(self, text: str) -> None:
-        """Leave a line for on-call staff."""
+        """Write a log line."""
