--- a/ospreyline/drill/__init__.py
+++ b/ospreyline/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The front for the bench: the same decisions on the simulator's wire. It decides nothing."""
+"""The bench adapter: the decisions unmodified, on the protocol of the bench. It decides nothing."""
--- a/ospreyline/drill/__main__.py
+++ b/ospreyline/drill/__main__.py
@@ -1,18 +1,18 @@
-"""Reads batches on standard input, writes replies on standard output: `python -m ospreyline.drill`."""
+"""The bench adapter: batches on standard input, replies on standard output (`python -m ospreyline.drill`)."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from ospreyline.drill.frames import Drill, FrameError
+from ospreyline.drill.frames import BenchAdapter, FrameError
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
     """Answer batches until the input ends; the exit status is 1 after a malformed frame."""
-    drill = Drill()
+    adapter = BenchAdapter()
     try:
-        while (reply := drill.answer_next(source)) is not None:
+        while (reply := adapter.answer_next_batch(source)) is not None:
             sink.write(reply)
             sink.flush()
     except FrameError as error:
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -1,7 +1,7 @@
-"""The bench's frames: batches become calls on the decisions, what these ask for becomes replies.
+"""The bench protocol: batches of events become calls on the decisions, their actions become replies.
 
-Ids are mapped here: an upstream's address becomes a small index, one table an instance, so that
-instances share nothing; a visit's wire id is the tag its handle carries back.
+Ids are mapped here: the address of an upstream becomes a small index, with one table per instance, so that
+instances share nothing; the id of a visit in the protocol is its tag.
 """
 
 from __future__ import annotations
@@ -16,303 +16,339 @@
 from ospreyline.host import End, Listed, Readiness
 from ospreyline.state import Visit
 
-_BATCH = Struct("<IIIQ")
-_REPLY = Struct("<III")
+_BATCH_HEADER = Struct("<IIIQ")
+_REPLY_HEADER = Struct("<III")
 _CODE = Struct("<H")
 _U32 = Struct("<I")
 _FLOATS = [Struct(f"<{n}f") for n in range(256)]
 
-# fields of the events, behind the code
-_LAUNCH = Struct("<QI")
-_SYNC = Struct("<BHI")
-_REQ = Struct("<IBHQIIB")
-_HEAD = Struct("<IH6sI")
-_ANSWER = Struct("<IH6sHIBB")
-_PROBED = Struct("<6sHIB")
-_INBOX = Struct("<IH")
-_PAGE = Struct("<HI")
-_ENTRY = Struct("<fBHBHQ6s")
-
-# whole actions
-_TRY = Struct("<HI6sI")
+# fields of the events, after their code
+_START = Struct("<QI")
+_LIST_UPDATE = Struct("<BHI")
+_REQUEST = Struct("<IBHQIIB")
+_ANSWER_HEAD = Struct("<IH6sI")
+_ANSWER_END = Struct("<IH6sHIBB")
+_PROBE_RESULT = Struct("<6sHIB")
+_MESSAGE_IN = Struct("<IH")
+_LIST_HEADER = Struct("<HI")
+_LIST_ENTRY = Struct("<fBHBHQ6s")
+
+# whole actions, with their code
+_SEND = Struct("<HI6sI")
 _BOUNCE = Struct("<HII")
-_LOSE = Struct("<HI")
-_UNDO = Struct("<HIH")
-_WAKE = Struct("<HQI")
-_PROBE = Struct("<H6s")  # and the drop of connections
+_FAIL = Struct("<HI")
+_CANCEL = Struct("<HIH")
+_TIMER = Struct("<HQI")
+_UPSTREAM_ACTION = Struct("<H6s")  # a probe, or closing idle connections
 _TEXT = Struct("<HH")
-_TELL = Struct("<HHH")
-_ALL = 0xFFFF
-_FOLLOW = Struct("<HB")
-_FROM = Struct("<HI")
+_MESSAGE_OUT = Struct("<HHH")
+_ALL_BALANCERS = 0xFFFF
+_WATCH = Struct("<HB")
+_SENDER = Struct("<HI")
 
 _ENDS = {int(end): end for end in End}
 _READINESS = {int(r): r for r in Readiness}
-_CHANGES, _FAILED = 0, 3  # kinds of a sync
+_LIST_CHANGES, _LIST_CALL_FAILED = 0, 3  # kinds of a list update
 _U32_MAX = 2**32 - 1
-_REPEAT = 2  # bit of Marks
+_REPEAT_MARK = 2  # a bit of a request's marks
 
 
-Line = tuple[float, int, int, int, int, int, bytes]
-Lines = list[Line]
+ListEntry = tuple[float, int, int, int, int, int, bytes]
+ListEntries = list[ListEntry]
 Report = tuple[float, ...]
 
 
 class FrameError(Exception):
-    """The input is not what the wire's page describes."""
+    """The input does not follow the bench protocol."""
 
 
 class Instance:
-    """One balancer on the wire: the host of its decisions and the tables of its ids."""
+    """One balancer in the bench: the host of its decisions, and the tables of its ids."""
 
     def __init__(self, seed: int, settings: bytes, now: float) -> None:
-        self.out = bytearray()
-        self.count = 0
+        self.actions = bytearray()
+        self.action_count = 0
         self.visits: dict[int, Visit] = {}
         self._addresses: list[bytes] = []
         self._indices: dict[bytes, int] = {}
-        self._wakes: dict[int, Callable[[float], None]] = {}
-        self._token = 0
+        self._timers: dict[int, Callable[[float], None]] = {}
+        self._last_timer = 0
         self.balancer = Balancer(self, facts.read(settings), seed, now)
 
-    def _index(self, address: bytes) -> int:
+    def _index_of(self, address: bytes) -> int:
+        """The index of an upstream's address; a new one if it is unknown."""
         found = self._indices.get(address)
         if found is None:
             found = self._indices[address] = len(self._addresses)
             self._addresses.append(address)
         return found
 
-    # what the wire tells
-
-    def request(
-        self, now: float, tid: int, prefix: int, _tenant: int, _key: int, ttl: int, _effort: int, marks: int
+    # events
+
+    def visit_arrived(
+        self,
+        now: float,
+        visit_id: int,
+        prefix: int,
+        _tenant: int,
+        _key: int,
+        ttl: int,
+        _effort: int,
+        marks: int,
     ) -> None:
-        visit = self.balancer.take(now, tid, prefix, ttl / 1e3, bool(marks & _REPEAT))
+        """A client's request."""
+        visit = self.balancer.take(now, visit_id, prefix, ttl / 1e3, bool(marks & _REPEAT_MARK))
         if not visit.settled:
-            self.visits[tid] = visit
-
-    def answer(
-        self, now: float, tid: int, fetch: int, _at: bytes, how: int, us: int, final: int, report: Report
+            self.visits[visit_id] = visit
+
+    def fetch_ended(
+        self,
+        now: float,
+        visit_id: int,
+        fetch: int,
+        _at: bytes,
+        end_code: int,
+        spent_us: int,
+        final: int,
+        report: Report,
     ) -> None:
-        if (visit := self.visits.get(tid)) is not None:
-            visit.ended(now, fetch, _ENDS.get(how, End.ERRORED), us / 1e3, bool(final), report)
+        """A backend fetch has ended, with the `End` of this code."""
+        if (visit := self.visits.get(visit_id)) is not None:
+            visit.ended(now, fetch, _ENDS.get(end_code, End.ERRORED), spent_us / 1e3, bool(final), report)
             if visit.settled:
-                del self.visits[tid]
+                del self.visits[visit_id]
 
-    def left(self, now: float, tid: int) -> None:
-        if (visit := self.visits.get(tid)) is not None:
+    def client_left(self, now: float, visit_id: int) -> None:
+        """The client of a visit has disconnected."""
+        if (visit := self.visits.get(visit_id)) is not None:
             visit.left(now)
             if visit.settled:
-                del self.visits[tid]
+                del self.visits[visit_id]
 
-    def ring(self, now: float, token: int) -> None:
-        call = self._wakes.pop(token, None)
+    def timer_fired(self, now: float, timer: int) -> None:
+        """A timer has fired; unknown ones are ignored."""
+        call = self._timers.pop(timer, None)
         if call is not None:
             call(now)
 
-    def probed(self, now: float, address: bytes, how: int, us: int, report: Report) -> None:
-        end = _ENDS.get(how, End.ERRORED)
-        self.balancer.probed(now, self._index(address), end, us / 1e3, report)
+    def probe_ended(self, now: float, address: bytes, end_code: int, spent_us: int, report: Report) -> None:
+        """A probe has ended."""
+        end = _ENDS.get(end_code, End.ERRORED)
+        self.balancer.probed(now, self._index_of(address), end, spent_us / 1e3, report)
 
-    def heard(self, now: float, message: bytes) -> None:
+    def message_received(self, now: float, message: bytes) -> None:
+        """A message of another balancer."""
         self.balancer.heard(now, message)
 
-    def sync(self, now: float, kind: int, lines: Lines) -> None:
-        if kind == _FAILED:
+    def list_updated(self, now: float, kind: int, entries: ListEntries) -> None:
+        """The whole list, changes of it, or a failed call or watch."""
+        if kind == _LIST_CALL_FAILED:
             self.balancer.told_nothing(now)
             return
         listed = [
             Listed(
-                upstream=self._index(address),
+                upstream=self._index_of(address),
                 mark=int.from_bytes(address, "big"),
                 zone=zone,
                 cell=cell,
                 readiness=_READINESS.get(state, Readiness.DRAINING),
                 came_up=came_up / 1e3,
             )
-            for _, state, _, zone, cell, came_up, address in lines
+            for _, state, _, zone, cell, came_up, address in entries
         ]
-        if kind == _CHANGES:
+        if kind == _LIST_CHANGES:
             self.balancer.told_changes(now, listed)
         else:
             self.balancer.told_all(now, listed)
 
-    # what the decisions ask for
+    # actions of the decisions: methods of `host.Host`
 
     def send(self, tag: int, upstream: int, time_out: float) -> None:
-        us = max(1, min(int(time_out * 1e3), _U32_MAX))
-        self._add(_TRY.pack(1, tag, self._addresses[upstream], us))
+        time_out_us = max(1, min(int(time_out * 1e3), _U32_MAX))
+        self._append(_SEND.pack(1, tag, self._addresses[upstream], time_out_us))
 
     def cancel(self, tag: int, fetch: int) -> None:
-        self._add(_UNDO.pack(4, tag, fetch))
+        self._append(_CANCEL.pack(4, tag, fetch))
 
     def bounce(self, tag: int, retry_after: float) -> None:
-        self._add(_BOUNCE.pack(2, tag, min(int(retry_after * 1e3), _U32_MAX)))
+        self._append(_BOUNCE.pack(2, tag, min(int(retry_after * 1e3), _U32_MAX)))
 
     def fail(self, tag: int) -> None:
-        self._add(_LOSE.pack(3, tag))
+        self._append(_FAIL.pack(3, tag))
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
-        self._token = self._token + 1 & _U32_MAX
-        self._wakes[self._token] = call
-        self._add(_WAKE.pack(5, int(at * 1e3), self._token))
+        self._last_timer = self._last_timer + 1 & _U32_MAX
+        self._timers[self._last_timer] = call
+        self._append(_TIMER.pack(5, int(at * 1e3), self._last_timer))
 
     def probe(self, upstream: int) -> None:
-        self._add(_PROBE.pack(6, self._addresses[upstream]))
+        self._append(_UPSTREAM_ACTION.pack(6, self._addresses[upstream]))
 
     def drop(self, upstream: int) -> None:
-        self._add(_PROBE.pack(7, self._addresses[upstream]))
+        self._append(_UPSTREAM_ACTION.pack(7, self._addresses[upstream]))
 
     def tell(self, message: bytes) -> None:
-        self._add(_TELL.pack(8, _ALL, len(message)) + message)
+        self._append(_MESSAGE_OUT.pack(8, _ALL_BALANCERS, len(message)) + message)
 
     def watch(self, on: bool) -> None:
-        self._add(_FOLLOW.pack(11, on))
+        self._append(_WATCH.pack(11, on))
 
     def refresh(self) -> None:
-        self._add(_CODE.pack(12))
+        self._append(_CODE.pack(12))
 
     def log(self, text: str) -> None:
-        self._add(_text(9, text))
+        self._append(_text_action(9, text))
 
-    def crash(self, error: Exception) -> None:
+    def report_crash(self, error: Exception) -> None:
+        """Replace the actions of this batch by one that reports an exception in the decisions."""
         trace = error.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
         where = f"{trace.tb_frame.f_code.co_name}, line {trace.tb_lineno}" if trace else "?"
-        self.out.clear()
-        self.count = 0
-        self._add(_text(10, f"{type(error).__name__} in {where}: {error}"))
+        self.actions.clear()
+        self.action_count = 0
+        self._append(_text_action(10, f"{type(error).__name__} in {where}: {error}"))
 
-    def _add(self, record: bytes) -> None:
-        self.out += record
-        self.count += 1
+    def _append(self, record: bytes) -> None:
+        self.actions += record
+        self.action_count += 1
 
 
-def _text(code: int, text: str) -> bytes:
+def _text_action(code: int, text: str) -> bytes:
+    """An action whose only field is a text, cut to 65535 bytes."""
     data = text.encode()[:65535]
     return _TEXT.pack(code, len(data)) + data
 
 
-class Drill:
-    """All instances of this process, and the numbered lists that the wire shares among them."""
+class BenchAdapter:
+    """All instances of this process, and the numbered upstream lists that the protocol shares among them."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
-        self._pages: dict[int, Lines] = {}
+        self._lists: dict[int, ListEntries] = {}
 
-    def answer_next(self, source: BinaryIO) -> bytes | None:
-        """Read one batch and return the reply to it; None at the end of the input."""
-        head = source.read(_BATCH.size)
+    def answer_next_batch(self, source: BinaryIO) -> bytes | None:
+        """Read one batch and return the reply to it; None at the end of the input. Errors: `FrameError`."""
+        head = source.read(_BATCH_HEADER.size)
         if not head:
             return None
-        if len(head) < _BATCH.size:
-            raise FrameError("the input ends inside the header of a batch")
-        number, records, length, clock = _BATCH.unpack(head)
+        if len(head) < _BATCH_HEADER.size:
+            raise FrameError("the input ends inside a batch header")
+        number, records, length, clock = _BATCH_HEADER.unpack(head)
         body = source.read(length)
         if len(body) < length:
-            raise FrameError(f"batch {number}: the input ends inside it")
+            raise FrameError(f"the input ends inside batch {number}")
         try:
-            touched = self._play(body, records, clock / 1e3)
+            active = self._process(body, records, clock / 1e3)
         except StructError as error:
             raise FrameError(f"batch {number}: malformed record ({error})") from error
-        return self._reply(number, touched)
+        return self._reply(number, active)
 
-    def _reply(self, number: int, touched: dict[int, Instance]) -> bytes:
+    def _reply(self, number: int, active: dict[int, Instance]) -> bytes:
+        """The reply to a batch: the actions of each instance, after its id."""
         parts: list[bytes] = []
         count = 0
-        for who, instance in touched.items():
-            if instance.count:
-                parts += (_FROM.pack(13, who), bytes(instance.out))
-                count += 1 + instance.count
-                instance.out.clear()
-                instance.count = 0
+        for instance_id, instance in active.items():
+            if instance.action_count:
+                parts += (_SENDER.pack(13, instance_id), bytes(instance.actions))
+                count += 1 + instance.action_count
+                instance.actions.clear()
+                instance.action_count = 0
         actions = b"".join(parts)
-        return _REPLY.pack(number, count, len(actions)) + actions
+        return _REPLY_HEADER.pack(number, count, len(actions)) + actions
 
-    def _play(self, body: bytes, records: int, now: float) -> dict[int, Instance]:
-        touched: dict[int, Instance] = {}
-        at, who = 0, -1
+    def _process(self, body: bytes, records: int, now: float) -> dict[int, Instance]:
+        """Deliver all records of a batch; returns the instances that had an event."""
+        active: dict[int, Instance] = {}
+        offset, instance_id = 0, -1
         for _ in range(records):
-            (code,) = _CODE.unpack_from(body, at)
-            at += 2
+            (code,) = _CODE.unpack_from(body, offset)
+            offset += 2
             if code == 12:
-                (who,) = _U32.unpack_from(body, at)
-                at += 4
+                (instance_id,) = _U32.unpack_from(body, offset)
+                offset += 4
             elif code == 11:
-                at = self._define(body, at)
+                offset = self._define_list(body, offset)
             elif code == 10:
-                self._instances.pop(who, None)
-                touched.pop(who, None)
+                self._instances.pop(instance_id, None)
+                active.pop(instance_id, None)
             elif code == 1:
-                at = self._launch(body, at, who, now)
-                touched[who] = self._instances[who]
+                offset = self._start_instance(body, offset, instance_id, now)
+                active[instance_id] = self._instances[instance_id]
             else:
-                instance = self._instances.get(who)
+                instance = self._instances.get(instance_id)
                 if instance is not None:
-                    touched[who] = instance
-                at += self._event(body, at, code, instance, now)
-        if at != len(body):
-            raise FrameError(f"{len(body) - at} bytes are left behind the last record")
-        return touched
-
-    def _define(self, body: bytes, at: int) -> int:
-        page, entries = _PAGE.unpack_from(body, at)
-        start = at + _PAGE.size
-        end: int = start + entries * _ENTRY.size
+                    active[instance_id] = instance
+                offset += self._deliver_event(body, offset, code, instance, now)
+        if offset != len(body):
+            raise FrameError(f"{len(body) - offset} bytes follow the last record of a batch")
+        return active
+
+    def _define_list(self, body: bytes, offset: int) -> int:
+        """Store a numbered list; returns the offset after it."""
+        list_id, entries = _LIST_HEADER.unpack_from(body, offset)
+        start = offset + _LIST_HEADER.size
+        end: int = start + entries * _LIST_ENTRY.size
         if end > len(body):
-            raise FrameError("a list runs past the end of its batch")
-        self._pages[page] = list(_ENTRY.iter_unpack(body[start:end]))
+            raise FrameError("an upstream list is longer than its batch")
+        self._lists[list_id] = list(_LIST_ENTRY.iter_unpack(body[start:end]))
         return end
 
-    def _launch(self, body: bytes, at: int, who: int, now: float) -> int:
+    def _start_instance(self, body: bytes, offset: int, instance_id: int, now: float) -> int:
+        """Start an instance with its settings; returns the offset after them."""
         size: int
-        seed, size = _LAUNCH.unpack_from(body, at)
-        start = at + _LAUNCH.size
+        seed, size = _START.unpack_from(body, offset)
+        start = offset + _START.size
         if start + size > len(body):
-            raise FrameError("the settings run past the end of their batch")
+            raise FrameError("the settings are longer than their batch")
         try:
-            self._instances[who] = Instance(seed, body[start : start + size], now)
+            self._instances[instance_id] = Instance(seed, body[start : start + size], now)
         except facts.FactError as error:
-            raise FrameError(f"instance {who}: unusable settings: {error}") from error
+            raise FrameError(f"instance {instance_id}: unusable settings: {error}") from error
         return start + size
 
-    def _event(self, body: bytes, at: int, code: int, instance: Instance | None, now: float) -> int:
-        """Tell an instance of one event; the size of the event's fields comes back."""
+    def _deliver_event(
+        self, body: bytes, offset: int, code: int, instance: Instance | None, now: float
+    ) -> int:
+        """Deliver one event to an instance; returns the size of the event's fields."""
         size: int
         call: Callable[..., None]
         fields: tuple[Any, ...]
         if code == 3:
-            size, call, fields = _REQ.size, Instance.request, _REQ.unpack_from(body, at)
+            size, call, fields = _REQUEST.size, Instance.visit_arrived, _REQUEST.unpack_from(body, offset)
         elif code == 5:
-            fields = _ANSWER.unpack_from(body, at)
+            fields = _ANSWER_END.unpack_from(body, offset)
             floats = _FLOATS[fields[-1]]
-            size, call = _ANSWER.size + floats.size, Instance.answer
-            fields = (*fields[:-1], floats.unpack_from(body, at + _ANSWER.size))
+            size, call = _ANSWER_END.size + floats.size, Instance.fetch_ended
+            fields = (*fields[:-1], floats.unpack_from(body, offset + _ANSWER_END.size))
         elif code == 7:
-            size, call, fields = 4, Instance.ring, _U32.unpack_from(body, at)
+            size, call, fields = 4, Instance.timer_fired, _U32.unpack_from(body, offset)
         elif code == 8:
-            fields = _PROBED.unpack_from(body, at)
+            fields = _PROBE_RESULT.unpack_from(body, offset)
             floats = _FLOATS[fields[-1]]
-            size, call = _PROBED.size + floats.size, Instance.probed
-            fields = (*fields[:-1], floats.unpack_from(body, at + _PROBED.size))
+            size, call = _PROBE_RESULT.size + floats.size, Instance.probe_ended
+            fields = (*fields[:-1], floats.unpack_from(body, offset + _PROBE_RESULT.size))
         elif code == 2:
-            kind, page, _ = _SYNC.unpack_from(body, at)
-            if kind != _FAILED and page not in self._pages:
-                raise FrameError(f"a sync points at list {page}, which was never defined")
-            size, call, fields = _SYNC.size, Instance.sync, (kind, self._pages.get(page, []))
+            kind, list_id, _ = _LIST_UPDATE.unpack_from(body, offset)
+            if kind != _LIST_CALL_FAILED and list_id not in self._lists:
+                raise FrameError(f"a list update names list {list_id}, which is not defined")
+            size, call, fields = (
+                _LIST_UPDATE.size,
+                Instance.list_updated,
+                (kind, self._lists.get(list_id, [])),
+            )
         elif code == 6:
-            size, call, fields = 4, Instance.left, _U32.unpack_from(body, at)
+            size, call, fields = 4, Instance.client_left, _U32.unpack_from(body, offset)
         elif code == 4:
-            return _HEAD.size  # no path prefix streams: its answer's end is told, too
+            return _ANSWER_HEAD.size  # no path prefix streams answers, and their end is an event of its own
         elif code == 9:
-            size = _INBOX.size + _INBOX.unpack_from(body, at)[1]
-            call, fields = Instance.heard, (body[at + _INBOX.size : at + size],)
+            size = _MESSAGE_IN.size + _MESSAGE_IN.unpack_from(body, offset)[1]
+            call, fields = Instance.message_received, (body[offset + _MESSAGE_IN.size : offset + size],)
         else:
-            raise FrameError(f"unknown code {code} of an event")
+            raise FrameError(f"unknown event code {code}")
         if instance is not None:
             try:
                 call(instance, now, *fields)
-            except Exception as error:  # the decision code has failed: the wire has a word for that
-                instance.crash(error)
+            except Exception as error:  # reported by an action of its own, for this instance alone
+                instance.report_crash(error)
         return size
