--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,4 +1,4 @@
-"""What a cold upstream is sent: all that counts against one balancer's part, and the sum over all of them."""
+"""Sends to a cold upstream: what counts against one balancer's share of the budget, and the sum over all."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 
 def cold_host(count: int = 1, start: float = 100_000.0, **terms: object) -> FakeHost:
-    """A host whose upstreams have just started, with a part of four sends at each."""
+    """A host whose upstreams have just started, with a budget of four sends to each."""
     host = FakeHost([listed(i, came_up=start - 1_000) for i in range(count)], start, **TERMS | terms)
-    granted(host)
+    set_budget(host)
     return host
 
 
-def granted(host: FakeHost, part: float = 4.0) -> None:
+def set_budget(host: FakeHost, budget: float = 4.0) -> None:
+    """Set the estimated capacities so that a half-warm upstream may be sent so many in a window."""
     balancer = host.balancer
     for level in balancer._localities:
-        level.capacity = part / balancer._cold_sends_per_capacity / 0.5
+        level.capacity = budget / balancer._cold_sends_per_capacity / 0.5
 
 
-def greedy(host: FakeHost, upstream: int = 0, tries: int = 30) -> int:
-    """How many of so many visits at once are let through to it."""
+def send_many(host: FakeHost, upstream: int = 0, tries: int = 30) -> int:
+    """How many of so many simultaneous visits the rules let through to an upstream."""
     balancer = host.balancer
     u, lane = balancer._upstreams[upstream], balancer._request_classes[0]
     return sum(
@@ -38,6 +39,7 @@
 
 
 def most_in_a_window(host: FakeHost, upstream: int = 0, span: float = 2_000.0) -> int:
+    """The most sends to an upstream in any window of `span` ms."""
     sends = [at for _, u, _, at in host.sends if u == upstream]
     return max((sum(at - span < other <= at for other in sends) for at in sends), default=0)
 
@@ -45,7 +47,7 @@
 def test_trials_count_against_the_part():
     host = cold_host()
     u = host.balancer._upstreams[0]
-    spent = greedy(host)
+    spent = send_many(host)
     u.ejected, u.trial_at, host.balancer._trials_due = True, host.now, [u]
     for _ in range(10):
         visit = host.take()
@@ -71,7 +73,7 @@
     balancer._update_candidates(host.now)
     assert not balancer._zone_shares
     for _ in range(60):
-        granted(host)
+        set_budget(host)
         host.take()
         host.pass_time(20)
     assert host.sends and all(0 < most_in_a_window(host, u) <= 5 for u in range(3))
@@ -90,15 +92,15 @@
 
 @pytest.mark.parametrize("told", ["again", "whole"])
 def test_a_start_that_lies_ahead_gives_its_part_once_a_window(told):
-    # guards: clocks differ a little, and a list that comes again names the same start
+    # clocks differ a little, and a list that is received again names the same start
     host = cold_host()
     line = listed(0, came_up=host.now + 1_500)
     host.balancer.told_changes(host.now, [line])
     sent = 0
     for _ in range(15):
-        sent += greedy(host)
+        sent += send_many(host)
         host.pass_time(100)
-        granted(host)
+        set_budget(host)
         if told == "whole":
             host.balancer.told_all(host.now, [line])
         else:
@@ -112,30 +114,30 @@
 def test_one_that_is_away_and_back_within_a_window_gets_no_second_part(away, newer):
     host = cold_host()
     was = listed(0, came_up=99_000.0, readiness=away)
-    sent = greedy(host)
+    sent = send_many(host)
     for _ in range(4):
         host.balancer.told_changes(host.now, [was])
         host.pass_time(100)
-        granted(host)
+        set_budget(host)
         host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0 + newer)])
-        sent += greedy(host)
+        sent += send_many(host)
     assert 4 <= sent <= 5 and most_in_a_window(host) == sent
 
 
 @pytest.mark.parametrize(("came_up", "cold"), [(99_000.0, True), (10_000.0, False), (0.0, False)])
 def test_one_that_is_back_is_as_old_as_the_list_says(came_up, cold):
-    # the list names each start of a process; 0 is long ago, whatever happened to the machine
+    # the list has each start of a process; 0 means long ago, whatever happened to the machine
     host = FakeHost([listed(0, came_up=came_up)], **TERMS)
     host.balancer.told_changes(host.now, [listed(0, came_up=came_up, readiness=Readiness.GONE)])
     host.pass_time(500)
     host.balancer.told_changes(host.now, [listed(0, came_up=came_up)])
-    granted(host)
-    assert greedy(host) in ((4, 5) if cold else (30,))
+    set_budget(host)
+    assert send_many(host) in ((4, 5) if cold else (30,))
 
 
 def test_one_that_was_forgotten_and_is_named_again_is_as_old_as_the_list_says():
     host = cold_host(2)
-    greedy(host)
+    send_many(host)
     host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0, readiness=Readiness.GONE)])
     host.pass_time(50_000)
     host.balancer.forget(0)
@@ -144,29 +146,29 @@
     assert u.started_at == 99_000.0 and host.balancer._warmth(u, host.now) == pytest.approx(
         0.5 + 0.5 * 51 / 60
     )
-    granted(host)
-    assert 4 <= greedy(host) <= 8
+    set_budget(host)
+    assert 4 <= send_many(host) <= 8
 
 
 def test_a_start_before_our_clocks_zero_is_a_start():
-    # guards: the clock counts from the start of our machine, which may be younger than an upstream
+    # our clock counts from the start of our machine, which may be later than that of an upstream
     host = FakeHost([listed(0, came_up=-5_000.0)], start=8_000.0, **TERMS)
-    granted(host)
-    assert host.balancer._upstreams[0].started_at == -5_000.0 and greedy(host) in (4, 5)
+    set_budget(host)
+    assert host.balancer._upstreams[0].started_at == -5_000.0 and send_many(host) in (4, 5)
 
 
 @pytest.mark.parametrize("end", [End.FULL, End.UNSENT, End.UNREACHED, End.ERRORED])
 def test_what_was_sent_counts_however_it_ends(end):
     host = cold_host(prefixes=(prefix(Kind.READ_LIKE),))
     for _ in range(40):
-        granted(host)
+        set_budget(host)
         visit = host.take()
         if visit.out:
             host.end(visit, end, 10.0)
     assert host.sends and most_in_a_window(host) <= 5
 
 
-# -- the sum over all balancers: `ospreyline lab cold` plays fifty draws of more sizes --------------------
+# -- the sum over all balancers; `ospreyline lab cold` runs fifty draws, in more sizes --------------------
 
 
 @pytest.mark.parametrize("shape", cold.SHAPES)
@@ -200,7 +202,7 @@
 
 @pytest.mark.parametrize(("balancers", "budget"), [(4, 1.0), (5, 10.0), (50, 10.0), (50, 100.0)])
 def test_draws_that_are_won_early_and_used_late_keep_to_the_budget_and_its_chance(balancers, budget):
-    # all draw while visits go elsewhere, send at the end of a window, and again as the next is drawn
+    # all draw their budget while visits go elsewhere, send at the end of the window and again in the next
     hosts = [
         FakeHost(
             [listed(0, came_up=100_000.0)], seed=seed, balancers=8 * balancers, **TERMS | {"cold_from": 1.0}
@@ -211,10 +213,10 @@
     for step in range(400):
         sending = 34 < step % 80 <= 44
         for host in hosts:
-            granted(host, 0.8 * budget / balancers / 2)  # its warmth is 1
+            set_budget(host, 0.8 * budget / balancers / 2)  # fully warm from its start
             before = len(host.sends)
             if sending:
-                greedy(host, tries=9)
+                send_many(host, tries=9)
             else:
                 balancer = host.balancer
                 visit = Visit(balancer, -1, balancer._request_classes[0], host.now, 2_500.0, False)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors, discovery is down: what still has room, and what is closed for it."""
+"""Descriptors are full of idle clients and the list service is down: who is still served, what is closed."""
 
 from __future__ import annotations
 
@@ -24,17 +24,18 @@
 from ospreyline.net.discovery import Discovery
 from ospreyline.net.listing import News
 
-OWN = 16  # descriptors of a process that does nothing, at the most; 14 here
-PATIENT = 30.0  # s that a process gets where others keep the machine busy
+OWN_DESCRIPTORS = 16  # the most that an idle process has; 14 here
+PATIENT = 30.0  # s, timeout of a process, as others may keep the machine busy
 HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def descriptors(pid: int | str = "self") -> int:
+    """How many descriptors a process has open."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 def waiting(service, count: int) -> list[socket.socket]:
-    """Connections that have come up in the listener's queue, before a pass of the loop."""
+    """Connections that wait in the listener's queue, not yet seen by the event loop."""
     found = []
     for _ in range(count):
         found.append(socket.create_connection(service.at))
@@ -48,12 +49,12 @@
             await asyncio.sleep(0.001)
 
 
-# in one pass: forced
+# cases forced into one pass of the event loop
 
 
 @pytest.mark.parametrize("asked", [True, False])
 def test_who_makes_room_counts_until_its_descriptor_is_free(asked, monkeypatch):
-    # room was made again and again in one pass, in which nothing is closed: over the limit by half of it
+    # connections were evicted again and again in one pass, but closed only after it: half the limit too many
     async def story():
         async with running(Peer(), sockets=64) as service:
             most = service.turn.most_clients
@@ -75,9 +76,9 @@
 
 
 def test_sends_of_one_turn_open_no_more_connections_than_there_is_room_for(monkeypatch):
-    # a connection counted from the pass after; the sends of a turn each saw the same room
+    # a connection counted only from the next pass on; all sends of one event batch saw the same free capacity
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 1e9)  # none that has answered is used again
+        monkeypatch.setattr(upstreams, "SETTLE", 1e9)  # no connection is reused after its answer
         async with running(Peer(), sockets=64) as service:
             pool = service.turn.upstreams
             pool.most_open = 4
@@ -121,7 +122,7 @@
 
 @pytest.mark.parametrize("asked", [True, False])
 def test_who_makes_room_has_nothing_unread(asked, monkeypatch):
-    # after a late pass the listener may be read before a request that lies in a connection's socket
+    # after a late pass the listener may be read before a request that waits in a connection's socket
     async def story():
         async with running(Peer(), sockets=64) as service:
             most = service.turn.most_clients
@@ -133,7 +134,7 @@
             for name in ("SETTLED", "FRESH"):
                 monkeypatch.setattr(clients, name, -1.0)
             for client in held[:-1]:
-                # at once in the socket, unread by us
+                # in the socket at once, not read by the process
                 os.write(client.writer.get_extra_info("socket").fileno(), request())
             new = waiting(service, 1)
             service.clients.accept()
@@ -147,10 +148,10 @@
 
 
 def test_who_waits_at_the_limit_is_accepted_as_soon_as_one_has_gone(monkeypatch):
-    # 20 ms later: what has that much time left was lost
+    # it was accepted 20 ms later: a request with that much time left was lost
     async def story():
         monkeypatch.setattr(clients, "FRESH", 60.0)
-        monkeypatch.setattr(clients.Clients, "_make_room", lambda *_: False)  # they are all busy
+        monkeypatch.setattr(clients.Clients, "_make_room", lambda *_: False)  # all are busy
         async with running(Peer(), sockets=64) as service:
             most = service.turn.most_clients
             held = [await caller(service) for _ in range(most)]
@@ -167,11 +168,11 @@
     play(story)
 
 
-# calls to discovery
+# calls to the list service
 
 
-class Mute:
-    """In place of the loop: connections that never come up."""
+class NeverConnectingLoop:
+    """A stand-in for the event loop: connections are never established."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -182,10 +183,10 @@
 
 
 def test_calls_to_discovery_fit_among_the_descriptors_of_our_own_whatever_crosses():
-    # every order of five: the decisions ask, it moves, two seconds go by, a call says something new, one ends
+    # every order of five events: a call, a move of the service, two seconds, an update, the end of a call
     log, most = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None), 0
     for steps in product(range(11), repeat=5):
-        loop = Mute()
+        loop = NeverConnectingLoop()
         calls = Discovery(loop, ("h", 1), 1, log, lambda news: None, lambda wait: None)
         calls.watch(True)
 
@@ -202,15 +203,15 @@
                 break
             kinds[step]()
             most = max(most, len(calls._calls))
-    # those that stand, calls and as many that were dropped in this very pass, a file that is read
-    assert OWN + 2 * most + 1 <= 32
+    # its own, calls and as many that were dropped in this same pass, and a file that is read
+    assert OWN_DESCRIPTORS + 2 * most + 1 <= 32
 
 
-# a process, with its descriptors as the machine counts them
+# a process, with its descriptors as the kernel counts them
 
 
 class Running:
-    """`serve` in a process of its own."""
+    """`serve` in a process of its own; `most` is its highest number of descriptors."""
 
     def __init__(self, process: asyncio.subprocess.Process, file: Path) -> None:
         self.process, self.file = process, file
@@ -259,8 +260,8 @@
         await reading
 
 
-class Away:
-    """Discovery before it is there: connections are `refused`, come up and are `mute`, or `never` come up."""
+class AbsentListService:
+    """An absent list service: connections are `refused`, accepted but `mute`, or `never` accepted."""
 
     def __init__(self, kind: str) -> None:
         self.sock = socket.socket()
@@ -268,12 +269,12 @@
         self.port = self.sock.getsockname()[1]
         self.fill: list[socket.socket] = []
         self.kind = kind
-        self.fallen_silent = socket.socket()  # the call on which something was said
+        self.fallen_silent = socket.socket()  # the call on which data was sent
         if kind != "refused":
             self.sock.listen(64)
 
     def says_that_nothing_has_changed(self) -> None:
-        """Say so on the call that comes first, and nothing from then on."""
+        """Send an update without changes on the first call, and nothing from then on."""
         self.sock.settimeout(PATIENT)
         call, _ = self.sock.accept()
         call.recv(4096)
@@ -289,7 +290,7 @@
         self.sock.settimeout(None)
 
     def called(self) -> bool:
-        """Whether a call hangs here."""
+        """Whether a call is open or being connected here."""
         lines = Path("/proc/net/tcp").read_text().splitlines()[1:]
         return sum(line.split()[2].endswith(f":{self.port:04X}") for line in lines) > len(self.fill)
 
@@ -307,7 +308,7 @@
 def test_idle_clients_fill_the_descriptors_while_discovery_is_away(away, idle, tmp_path):
     async def story():
         peers = await Peer(ok(b"0")).start(), await Peer(ok(b"1")).start()
-        discovery = Away(away)
+        discovery = AbsentListService(away)
         async with serving(tmp_path, peers[0], discovery.port) as one:
             if away == "refused":
                 await one.says("call to discovery failed")
@@ -320,21 +321,21 @@
             assert answer[2] == b"0"
             usual.writer.close()
             crowd = []
-            for _ in range(48):  # three times what clients may open
+            for _ in range(48):  # three times the limit of clients
                 crowd.append(await one.caller())
                 if idle == "asked":
                     crowd[-1].writer.write(request())
                 one.open()
-            for path in (HEALTH, request()):  # who comes with something to ask is served beside them
+            for path in (HEALTH, request()):  # a client with a request is served beside them
                 late = await one.caller()
                 assert (await late.ask(path))[0] == 200
                 crowd.append(late)
                 one.open()
-            assert (await crowd[-1].ask(request()))[0] == 200  # on the connection that is open
+            assert (await crowd[-1].ask(request()))[0] == 200  # on the open connection
             registry = await discovery.back()
             async with asyncio.timeout(PATIENT):
                 while not any(line.get("uid") == "u1" for line in one.log):
-                    with suppress(ConnectionError):  # a call that was given up may stand last
+                    with suppress(ConnectionError):  # the latest call may be one that was abandoned
                         await registry.tell(
                             9, target("u0", peers[0].port, state="leaving"), target("u1", peers[1].port)
                         )
@@ -343,7 +344,7 @@
             assert one.open() <= one.most <= 64
             for client in crowd:
                 client.writer.close()
-            # nothing is left but a watch, and a connection kept to each of the two
+            # only a watch is left, and one idle connection to each of the two upstreams
             await until(lambda: one.open() <= one.own + 3, PATIENT)
         for peer in peers:
             peer.server.close()
@@ -354,7 +355,7 @@
 def test_idle_clients_that_come_again_at_once_keep_out_nobody_with_a_request(tmp_path):
     async def story():
         peer = await Peer().start()
-        async with serving(tmp_path, peer, Away("refused").port) as one:
+        async with serving(tmp_path, peer, AbsentListService("refused").port) as one:
             await one.says("call to discovery failed")
             crowd = {}
 
@@ -369,7 +370,8 @@
             await until(lambda: len(crowd) == 48, PATIENT)
             for _ in range(10):
                 late = await one.caller()
-                assert (await late.ask(request()))[0] == 200  # within 5 s: its time is over after 2
+                # `ask` times out after 5 s, the request after 2 s
+                assert (await late.ask(request()))[0] == 200
                 one.open()
             assert one.most <= 64
             for task in staying:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""What was met with hundreds of balancers, each seeing little."""
+"""Failures that hundreds of balancers had together, as each of them sees few visits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_each_of_many_balancers_uses_a_few_upstreams_and_all_are_used_alike():
-    # met at full size: one visit at an upstream every 15 s teaches nothing of it
+    # with 300 balancers, one visit every 15 s says nothing of an upstream
     users = Counter()
     for number in range(0, 300, 3):
         host = FakeHost([listed(i) for i in range(20)], balancers=300, number=number)
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize(("every", "fewest", "most"), [(500.0, 3, 3), (20.0, 10, 20)])
 def test_a_balancer_asked_more_than_others_uses_more_upstreams(every, fewest, most):
-    # met at full size: one asked twenty times the mean crowded its four beside others that stood idle
+    # a balancer with twenty times the mean load overloaded its four upstreams while others were idle
     host = FakeHost([listed(i) for i in range(20)], balancers=300)
     out: list[Visit] = []
     for _ in range(int(6_000 / every)):
@@ -51,7 +51,7 @@
 
 
 def test_hundreds_grant_no_free_first_visit_at_a_crowded_upstream():
-    # met at full size: 2000 such visits in the first seconds overran a fleet
+    # 2000 first visits in the first seconds overloaded a fleet
     sends = 0
     for seed in range(100):
         host = FakeHost([listed(i) for i in range(8)], seed=seed, balancers=300)
@@ -63,7 +63,7 @@
 
 
 def test_a_stuck_upstream_does_not_make_its_zone_look_slow():
-    # met on an incident: two of twelve that answered nothing had a third of all visits bounced
+    # two of twelve upstreams that answered nothing caused a third of all visits to bounce
     host = FakeHost([listed(i) for i in range(10)])
     for _ in range(60):
         visit = host.take()
@@ -75,7 +75,7 @@
 
 
 def test_a_zone_that_nobody_has_been_to_lately_is_not_thought_to_be_faster():
-    # met at full size: visits crossed to and fro between zones that were as slow
+    # visits crossed back and forth between zones that were equally slow
     host = FakeHost([listed(i, zone=i % 2) for i in range(6)], cross_fee=0.3)
     for _ in range(20):
         visit = host.take()
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize(("late", "needed"), [(0.0, 2), (0.1, 4), (0.2, 5)])
 def test_fewer_failures_in_a_row_eject_where_fewer_fail(late, needed):
-    # met on an incident: five failures of an upstream that is seldom met take half a minute
+    # five failures of an upstream that is seldom used take half a minute
     host = FakeHost([listed(i) for i in range(4)], prefixes=(prefix(Kind.MUTATING),))
     level = host.balancer._localities[0]
     host.serve(40)
@@ -103,7 +103,7 @@
 
 
 def test_a_lost_zone_shows_by_the_first_few_of_its_upstreams():
-    # met at full size: each balancer found the dead ones one by one, a connect time-out each
+    # each balancer found the dead upstreams one by one, with a connect time-out each
     host = FakeHost([listed(i, zone=i // 20) for i in range(40)], balancers=300)
     host.serve(20)
     host.pass_time(3_000)
@@ -114,9 +114,9 @@
 
 
 def test_a_few_visits_do_not_swing_what_path_prefixes_are_worth():
-    # met at full size: with two visits a second one late answer made its prefix the worst served
-    lanes = (prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE))
-    host = FakeHost([listed(0)], prefixes=lanes, worst_prefix=0.2)
+    # with two visits a second, one late answer made its path prefix the worst served
+    prefixes = (prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE))
+    host = FakeHost([listed(0)], prefixes=prefixes, worst_prefix=0.2)
     host.serve(2, lane=0)
     host.balancer._request_classes[1].arrived = 1.0
     host.pass_time(1_000)
@@ -125,14 +125,14 @@
 
 
 def test_hundreds_of_balancers_keep_the_cold_budget_together():
-    # met at full size: one send a window was always allowed, 400 of them pushed a cold upstream over
+    # one send per window was always allowed, and those of 400 balancers overloaded a cold upstream
     hosts = [FakeHost([listed(i) for i in range(8)], seed=seed, balancers=300) for seed in range(100)]
     total = 0
     for window in range(3):
         sends = 0
         for host in hosts:
             balancer, cold = host.balancer, host.balancer._upstreams[0]
-            balancer._localities[0].capacity = 0.2  # of 20 visits a second that the 100 bring to a warm one
+            balancer._localities[0].capacity = 0.2  # of 20 visits a second that the 100 send to a warm one
             if not window:
                 host.balancer.told_changes(host.now, [listed(0, came_up=host.now)])
             visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
@@ -144,7 +144,7 @@
 
 
 def test_a_cold_upstream_beside_crowded_ones_is_not_thought_to_be_slower_still():
-    # met on a roll at full size: half of a fleet, new and idle, stood beside warm ones that timed out
+    # in a rolling restart, half of a fleet was new and idle while the warm upstreams timed out
     host = FakeHost([listed(i) for i in range(3)], balancers=40, zones=5)
     for _ in range(100):
         host.pass_time(300)
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("zones", [1, 3, 5])
 def test_one_that_meets_only_crowded_upstreams_has_its_cold_budget_from_what_is_delivered(zones):
-    # met on a roll: balancers that had just been restarted gave cold upstreams a third of what those could do
+    # in a rolling restart, restarted balancers gave cold upstreams a third of what those could serve
     lines = [listed(i, zone=i % zones) for i in range(10)]
     hosts = [FakeHost(lines, seed=seed, balancers=40, zones=zones, number=seed) for seed in range(40)]
     for host in hosts:
@@ -171,19 +171,19 @@
             < 0.2 * host.balancer._localities[0].capacity
         )
     for u in range(10):
-        # all balancers that use an upstream, together, in visits a second that each of them delivers evenly
+        # the budget of all balancers that use an upstream, in visits a second, where each delivers evenly
         using = [
             h.balancer for h in hosts if any(u == x.id for x in h.balancer._localities[u % zones].candidates)
         ]
         budget = sum(b._cold_sends_per_capacity * b._localities[u % zones].capacity for b in using) / 2
-        # under the rule's factor, 2 here, times what it would carry, were all spread evenly
+        # below the overload factor, 2 here, times its load if all were spread evenly
         assert budget <= 0.85 * 2.0 * 40 * 8 / 10
 
 
 @pytest.mark.parametrize(("balancers", "least", "most"), [(300, 0.3, 0.7), (3, 0.8, 1.2)])
 def test_parts_of_a_send_leave_room_for_the_chance_of_hundreds(balancers, least, most):
-    # met in the laboratory: 100 balancers that all use their whole part come near the rule by chance; and in
-    # service, where two gave new upstreams too little when half was kept from them as well
+    # 100 balancers that all use their whole share come near the limit by chance, in simulation; in service,
+    # two balancers gave new upstreams too little when half was withheld from them as well
     sends = []
     hosts = [FakeHost([listed(i) for i in range(8)], seed=seed, balancers=balancers) for seed in range(100)]
     for _ in range(12):
@@ -195,5 +195,5 @@
             visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
             sends[-1] += balancer._send(visit, cold, host.now)
             host.pass_time(2_000)
-    part = 2 * 2 / 3 * (0.1 + 0.9 * 0.1)  # of each balancer in a window
-    assert least * 100 * part < sum(sends) / len(sends) < most * 100 * part
+    share = 2 * 2 / 3 * (0.1 + 0.9 * 0.1)  # of one balancer in a window
+    assert least * 100 * share < sum(sends) / len(sends) < most * 100 * share
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path of the design page, and the failures that its exceptions answer."""
+"""The choice of an upstream as the design page has it, and the failures behind its exceptions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize(
     ("healthy", "expected"),
     [
-        # the worked table of the source, with one priority a zone
+        # the table of the page that the rule is from, with one priority per zone
         ([100, 100], [100, 0]),
         ([72, 100], [100, 0]),
         ([71, 100], [99, 1]),
@@ -76,7 +76,7 @@
 
 
 def test_a_slow_upstream_is_measured_again_and_not_locked_out():
-    # met on the first scores: one that was slow once got no visits and so stayed slow for us
+    # an upstream that was slow once got no visits, so it was never measured again and stayed slow for us
     host = FakeHost([listed(0), listed(1)])
     slow = host.balancer._upstreams[0]
     host.serve(40)
@@ -98,29 +98,29 @@
 
 def test_one_that_errors_fast_does_not_look_idle():
     host = FakeHost([listed(0), listed(1)])
-    turn = iter(range(10_000))
-    ends = {0: lambda: End.ERRORED if next(turn) % 3 else End.DELIVERED}
+    calls = iter(range(10_000))
+    ends = {0: lambda: End.ERRORED if next(calls) % 3 else End.DELIVERED}
     host.serve(300, lambda u: ends.get(u, lambda: End.DELIVERED)())
     bad, good = host.balancer._upstreams[0], host.balancer._upstreams[1]
     assert bad.ejected or bad.latency > 3 * good.latency
 
 
 def test_a_level_without_room_passes_visits_on_while_crossing_pays():
-    cheap, dear = (
+    low_fee, high_fee = (
         FakeHost([listed(0), listed(1, zone=1)], cross_fee=0.1),
         FakeHost([listed(0), listed(1, zone=1)], cross_fee=2.0),
     )
-    for host in (cheap, dear):
+    for host in (low_fee, high_fee):
         host.serve(30)
         for _ in range(25):
             host.take()
-    assert any(u == 1 for _, u, _, _ in cheap.sends)
-    assert not any(u == 1 for _, u, _, _ in dear.sends)
+    assert any(u == 1 for _, u, _, _ in low_fee.sends)
+    assert not any(u == 1 for _, u, _, _ in high_fee.sends)
 
 
 def test_little_gain_yields_first_when_room_is_short():
-    lanes = (prefix(Kind.MUTATING, gain=1.0), prefix(Kind.MUTATING, gain=9.0))
-    host = FakeHost([listed(0), listed(1)], prefixes=lanes)
+    prefixes = (prefix(Kind.MUTATING, gain=1.0), prefix(Kind.MUTATING, gain=9.0))
+    host = FakeHost([listed(0), listed(1)], prefixes=prefixes)
     sent = [0, 0]
     for _ in range(60):
         for lane in (0, 1):
@@ -132,7 +132,7 @@
 
 
 def test_a_crowd_of_balancers_does_not_flood_an_unknown_fleet():
-    # met on an incident: short answers came first, everything looked fast, all upstreams were overrun
+    # after a start the short answers come first: everything looked fast, and all upstreams were overloaded
     host = FakeHost([listed(i) for i in range(4)], balancers=12)
     for _ in range(200):
         host.take()
@@ -149,14 +149,14 @@
 
 
 def test_a_fetch_ends_at_the_target_latency_where_a_late_answer_has_no_gain():
-    # met on overloaded days: heavy visits held upstreams for seconds after their gain was gone
+    # in overload long visits kept upstreams busy for seconds after their gain was gone
     host = FakeHost([listed(0)], prefixes=(prefix(Kind.MUTATING),))
     visit = host.take()
     assert host.sends[0][2] <= visit.lane.target < visit.expires - host.now
 
 
 def test_room_is_not_offered_to_a_held_visit_that_is_past_its_time():
-    # met on sockets: between two looks at held visits the oldest took the room that came, answered too late
+    # between two checks of the queue the oldest visit got the free capacity, and its answer came too late
     host = FakeHost([listed(0)])
     host.serve(30)
     host.balancer._delivery_rate = 50.0
@@ -165,7 +165,7 @@
         out.append(first)
     second = host.take()
     assert second.held and not host.answers(first)
-    # room comes before the next look: the first one's time is over, the second one's is not
+    # capacity is free before the next check: the deadline of the first is over, that of the second is not
     first.target_at -= 1_000.0
     for visit in out:
         visit.ended(host.now, 0, End.DELIVERED, 50.0, True, ())
@@ -174,7 +174,7 @@
 
 
 def test_a_client_with_little_patience_is_not_taken_for_a_repeat():
-    # met on an incident: its fetches were cut off after some milliseconds
+    # its fetches were ended after some milliseconds
     host = FakeHost([listed(0), listed(1)])
     host.serve(20)
     visit = host.take(ttl=1_600.0)
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize("overlapping", [True, False])
 def test_one_pause_that_several_visits_meet_is_one_failure(overlapping):
-    # met on days of replacements: most of a fleet stood ejected, as each time-out of a crowded moment counted
+    # most of a fleet was ejected, as each time-out of one overloaded moment counted
     host = FakeHost([listed(0)])
     host.serve(20)
     for _ in range(1 if overlapping else 6):
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize(("end", "fetches"), [(End.ERRORED, 2), (End.RESET, 2), (End.TIMED_OUT, 1)])
 def test_in_overload_what_came_spoilt_is_repeated_and_what_was_slow_is_not(end, fetches):
-    # met on days of spoilt answers at three quarters of the load, where room is always short somewhere
+    # with invalid answers at three quarters of the load, capacity is always short somewhere
     host = FakeHost([listed(0), listed(1)])
     host.serve(20)
     visit = host.take()
@@ -209,7 +209,7 @@
 
 
 def test_a_path_prefix_of_heavy_visits_is_the_first_to_cross():
-    # met on busy days: a third of the visits of the highest gain timed out at home, one in fifty elsewhere
+    # a third of the visits of the highest gain timed out in the own zone, one in fifty elsewhere
     light, heavy = prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE)
     host = FakeHost(
         [listed(i, zone=i // 2) for i in range(4)],
@@ -222,12 +222,12 @@
         for lane, spent in ((0, 100.0), (1, 400.0)):
             visit = host.take(lane)
             host.end(visit, End.DELIVERED, spent)
-    paces = [lane.pace for lane in host.balancer._request_classes]
-    assert paces[1] > 2 * paces[0]
+    relative = [lane.pace for lane in host.balancer._request_classes]
+    assert relative[1] > 2 * relative[0]
     home = next(u for u in host.balancer._ready if u.zone == 0)
-    costs = []
+    losses = []
     for lane in range(2):
         visit = host.take(lane)
-        costs.append(host.balancer._expected_loss(visit, home, host.now))
+        losses.append(host.balancer._expected_loss(visit, home, host.now))
         host.end(visit, End.DELIVERED)
-    assert costs[1] > 2 * costs[0]
+    assert losses[1] > 2 * losses[0]
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""From exec to ready: processes that start at once, and what a pushed list is awaited for."""
+"""From exec to ready: processes that start at the same time, and how long one waits for a pushed list."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 from ospreyline.rig import ready as starts
 from ospreyline.rig.command import rig
 
-WITHIN = 10.0  # s, of nine in ten that were started again
+WITHIN = 10.0  # s, for nine in ten restarted processes
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def listing(text: bytes) -> bytes:
+    """An answer whose one chunk is this text."""
     return HEAD + b"%x\r\n%b\r\n" % (len(text), text)
 
 
@@ -31,7 +32,7 @@
     times = [one.ready for one in found]
     assert starts.share(times, 0.9) < WITHIN, starts.line(state, found)
     if pushed and state == "hang":
-        # what the agent may have counts as told: its silence is waited for first
+        # the agent may have an update that counts as received: no data for QUIET is waited for first
         assert min(times) > list_call.QUIET
 
 
@@ -42,7 +43,7 @@
 
 
 async def pushed_by(agent: Peer, monkeypatch):
-    """A balancer that calls the agent for its list; silence counts once the story says so."""
+    """A balancer that calls the agent for its list; silence counts once the test sets QUIET."""
     monkeypatch.setattr(list_call, "QUIET", inf)
     peer = await Peer().start()
     return running(peer, registry=agent, known=[target("u0", peer.port)], Discovery="push")
@@ -51,8 +52,8 @@
 @pytest.mark.parametrize(
     "said",
     [
-        SILENT,  # it connects and says nothing
-        HEAD,  # or a head
+        SILENT,  # it accepts the connection and sends nothing
+        HEAD,  # or sends a head
         HEAD + b'6\r\n{"rev"\r\n',  # or half a line
     ],
 )
@@ -74,7 +75,7 @@
     "said",
     [
         RESET,
-        ok(status=b"503 Service Unavailable", fields=b"Retry-After: 30\r\n"),  # whatever it asks for
+        ok(status=b"503 Service Unavailable", fields=b"Retry-After: 30\r\n"),  # whatever delay it asks for
         ("end", HEAD),
         ("end", b""),
         ok(b""),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each at its gate."""
+"""The four rules of each send: no visit lost, drains respected, no effect twice, cold budgets kept."""
 
 from __future__ import annotations
 
@@ -71,14 +71,14 @@
             if not visit.done and not visit.fetches:
                 assert host.now < visit.expires
     for visit in visits:
-        if visit.out:  # a time-out cut to the client timeout comes inside the slack
+        if visit.out:  # its time-out, cut to the client timeout, comes just in time
             host.end(visit, End.TIMED_OUT, 0)
         assert host.answers(visit) == 1
     assert len(host.sends) == sum(len(v.fetches) for v in visits)
 
 
 def test_a_held_visit_behind_another_is_answered_in_time():
-    # met on a drawn day: the second held one had less time than the first
+    # a queued visit with less time than the one before it was answered too late
     host = FakeHost([listed(0)], prefixes=(prefix(Kind.READ_LIKE, gain=3.0),))
     host.serve(30)
     host.pass_time(2_000)
@@ -123,7 +123,7 @@
             host.balancer.told_nothing(host.now)
     waits = [b - a for a, b in zip(host.watches, host.watches[1:], strict=False)]
     assert host.watches[0] < 100_600 and waits[0] < 1_000
-    assert 1_000 < max(waits) < 10_000  # never as long as it takes to be deemed told
+    assert 1_000 < max(waits) < 10_000  # never as long as until an update counts as received
 
 
 @pytest.mark.parametrize("end", [End.DELIVERED, End.FULL])
@@ -134,7 +134,7 @@
     host.balancer.told_changes(host.now, [listed(back, came_up=host.now)])
     start = host.now
     host.serve(400, lambda u: end if u == back else End.DELIVERED)
-    capacity = host.balancer._localities[0].capacity  # it may have been seen to be more since
+    capacity = host.balancer._localities[0].capacity  # of now; the estimate may have grown since the sends
     sends = [at for _, u, _, at in host.sends if u == back and at >= start]
     for at in sends:
         window = sum(at - 2_000 < other <= at for other in sends)
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -1,7 +1,7 @@
-"""A balancer that turns away all that it gets for 4 s on end: what could bring it there, forced.
+"""Nothing may make a balancer reject all visits for 4 s: the situations that could, forced.
 
-Visits come at an even pace; each fetch ends as its upstream has it. What is counted is the longest time for
-which visits were turned away, 15 at the least, and none was sent to an upstream that can be reached.
+Visits arrive at an even rate; each fetch ends as its upstream is reachable or not. The measure is the longest
+time in which visits, 15 or more, were rejected and none was sent to a reachable upstream.
 """
 
 from __future__ import annotations
@@ -18,31 +18,32 @@
 from ospreyline.net.turn import STOOD
 from ospreyline.net.upstreams import Errand
 
-CONNECTING, SERVING = 250.0, 50.0  # ms that a fetch takes that is not reached, or served
-MOST, FEWEST = 4_000.0, 15
+CONNECT_MS, SERVE_MS = 250.0, 50.0  # of a fetch whose upstream is not reached, or reached
+MAX_REJECTING_MS, MIN_REJECTED = 4_000.0, 15
 
 
 class Day:
-    """Visits at an even pace at a balancer, and what became of them."""
+    """Visits that arrive at a balancer at an even rate, and how they ended."""
 
     def __init__(self, host: FakeHost, per_s: float, reached: Callable[[int], bool]) -> None:
         self.host, self.step, self.reached = host, 1e3 / per_s, reached
         self.visits: dict[int, Visit] = {}
         self.out: list[tuple[float, int, int]] = []
-        self.away: list[float] = []  # when visits were turned away
+        self.rejected: list[float] = []  # when visits were rejected
         self._sends = len(host.sends)
 
     def _note(self, answers: int) -> int:
-        """What has been sent, and turned away, since answers were so many."""
+        """Note sends and rejections since the given number of answers; returns their number now."""
         for tag, upstream, _, at in self.host.sends[self._sends :]:
-            takes = SERVING if self.reached(upstream) else CONNECTING
+            takes = SERVE_MS if self.reached(upstream) else CONNECT_MS
             self.out.append((at + takes, tag, upstream))
         self._sends = len(self.host.sends)
         now = len(self.host.bounced) + len(self.host.failed)
-        self.away += [self.host.now] * (now - answers)
+        self.rejected += [self.host.now] * (now - answers)
         return now
 
     def play(self, seconds: float, each: Callable[[], None] = lambda: None) -> Day:
+        """Let visits arrive for so long, until all fetches have ended; `each` is called after each event."""
         host, answers = self.host, len(self.host.bounced) + len(self.host.failed)
         coming, end = host.now, host.now + 1e3 * seconds
         while coming < end or self.out:
@@ -71,17 +72,20 @@
         return self
 
     def attempts(self) -> list[float]:
+        """When visits were sent to reachable upstreams."""
         return [at for _, upstream, _, at in self.host.sends if self.reached(upstream)]
 
     def longest(self, since: float) -> float:
-        """ms for which all was turned away, the longest time with so many of them."""
+        """The longest time in which all visits were rejected, at least MIN_REJECTED, in ms."""
         found, first, many = 0.0, 0.0, 0
-        for at, away in sorted([(at, True) for at in self.away] + [(at, False) for at in self.attempts()]):
-            if at < since or not away:
+        for at, rejected in sorted(
+            [(at, True) for at in self.rejected] + [(at, False) for at in self.attempts()]
+        ):
+            if at < since or not rejected:
                 many = 0
                 continue
             first, many = (at if not many else first), many + 1
-            if many >= FEWEST:
+            if many >= MIN_REJECTED:
                 found = max(found, at - first)
         return found
 
@@ -99,7 +103,7 @@
 @pytest.mark.parametrize("balancers", [3, 30, 200])
 @pytest.mark.parametrize("fetches", [1, 3])
 def test_one_that_starts_with_an_old_list_sends_once_it_is_told_another(balancers, fetches):
-    # nothing of its list is left: it can only ask, which it does within so long
+    # no upstream of its list is left: it can only call the list service, which it does in time
     for per_s, seed in product((4, 30), (1, 2)):
         host = balancer(balancers, max_fetches=fetches, ask_for_list=True, must_ask_in=10_000.0, seed=seed)
         began, told = host.now, list[float]()
@@ -111,8 +115,8 @@
 
         day = Day(host, per_s, lambda upstream: upstream >= 100).play(8, tell)
         assert host.watches[0] - began <= min(3_000.0, 500.0 + 10 * balancers) + TICK_MS
-        assert min(day.attempts()) - told[0] <= 1e3 / per_s + SERVING
-        assert day.longest(began) < MOST
+        assert min(day.attempts()) - told[0] <= 1e3 / per_s + SERVE_MS
+        assert day.longest(began) < MAX_REJECTING_MS
 
 
 @pytest.mark.parametrize("balancers", [30, 200])
@@ -125,14 +129,14 @@
         used = {u.id for level in host.balancer._localities for u in level.candidates}
         assert len(used) <= 20
         day, since = Day(host, per_s, lambda upstream, used=used: upstream not in used), host.now
-        assert day.play(10).longest(since) < MOST and max(day.attempts()) > since + 9_000
+        assert day.play(10).longest(since) < MAX_REJECTING_MS and max(day.attempts()) > since + 9_000
 
 
 @pytest.mark.parametrize(
     ("stop", "told"),
     [
         (700.0, End.DELIVERED),
-        (1_500.0, End.DELIVERED),  # its answer lay in the socket
+        (1_500.0, End.DELIVERED),  # its answer was in the socket
         (700.0, End.CANCELLED),
         (2_500.0, End.CANCELLED),
         (10_000.0, End.CANCELLED),
@@ -141,7 +145,7 @@
     ids=str,
 )
 def test_one_that_was_stopped_goes_on(stop, told):
-    # as the front tells it: a time-out as called off
+    # as the event dispatcher reports it: a time-out during the stop counts as cancelled
     for balancers, per_s, out in product((30, 200), (10, 60), (5, 20)):
         host = balancer(balancers, upstreams=60, max_fetches=3)
         Day(host, per_s, lambda upstream: True).play(8)
@@ -152,12 +156,12 @@
                 f = visit.fetches[-1]
                 visit.ended(host.now, 0, told, host.now - f.sent, True, ())
         since = host.now
-        assert Day(host, per_s, lambda upstream: True).play(10).longest(since) < MOST
+        assert Day(host, per_s, lambda upstream: True).play(10).longest(since) < MAX_REJECTING_MS
 
 
 @pytest.mark.parametrize("stood", [True, False])
 def test_what_timed_out_while_this_process_stood_still_is_not_the_upstreams(stood):
-    # 10 s of a stop were told as latency of all upstreams that had something out
+    # 10 s of a stopped process were recorded as latency of all upstreams with a fetch in flight
     async def story():
         peer = Peer(SILENT)
         async with running(peer) as service:
@@ -170,7 +174,8 @@
             assert isinstance(errand, Errand)
             (u,) = turn.balancer._upstreams.values()
             was = u.locality.latency
-            before = 10_000.0 if stood else STOOD / 2  # the clock cannot be turned on: all else is put back
+            # the clock cannot be set forward, so all else is set back
+            before = 10_000.0 if stood else STOOD / 2
             errand.sent -= before
             errand.expires -= before
             turn._turned = errand.sent if stood else turn._turned
