--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -111,10 +111,10 @@
 
 def block_capacity(service: Service, monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
     """Queue all visits that arrive; call the result to give them capacity."""
-    balancer, place = service.turn.balancer, service.turn.balancer._place
-    monkeypatch.setattr(balancer, "_place", lambda *_: False)
-    balancer._flow = 1e6  # without this, visits would be bounced for the expected wait
-    return lambda: monkeypatch.setattr(balancer, "_place", place)
+    balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+    monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
+    balancer._delivery_rate = 1e6  # without this, visits would be bounced for the expected wait
+    return lambda: monkeypatch.setattr(balancer, "_choose_and_send", place)
 
 
 async def open_idle_connection(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -171,11 +171,11 @@
             free_capacity = block_capacity(service, monkeypatch)
             sock = open_client(service)
             sock.sendall(request())
-            while not service.turn.balancer._held:
+            while not service.turn.balancer._queued:
                 await asyncio.sleep(0)
             Delay(late, lambda: leave(sock, how))()
             free_capacity()
-            service.turn.balancer._look(clock())
+            service.turn.balancer._check_queue(clock())
             service.turn._turn()  # at once; nothing is read before
             await until_settled(service)
             assert (len(peer.requests), len(peer.writers)) == begun
@@ -214,7 +214,7 @@
             if kept:
                 await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
-            monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
+            monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
             socks = [open_client(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
@@ -253,14 +253,14 @@
             if where == "held":
                 free_capacity = block_capacity(service, monkeypatch)
             else:
-                monkeypatch.setattr(service.turn.balancer, "_has_room", lambda *_: True)
+                monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
             socks = [open_client(service) for _ in range(many)]
             for sock in socks:
                 sock.sendall(request())
 
             def waiting() -> int:
                 peer = service.turn.upstreams.peers[0]
-                return service.turn.balancer._held if where == "held" else len(peer.errands)
+                return service.turn.balancer._queued if where == "held" else len(peer.errands)
 
             while waiting() < many:
                 await asyncio.sleep(0)
@@ -270,13 +270,13 @@
             Delay(late, lambda: [leave(sock, ways[i % 3]) for i, sock in enumerate(socks)])()
             if where == "held":
                 free_capacity()
-                service.turn.balancer._look(clock())
+                service.turn.balancer._check_queue(clock())
                 service.turn._turn()
             await until_settled(service)
             while service.clients.open:
                 await asyncio.sleep(0)
             assert not gate.got and not service.turn.upstreams.open and not service.turn._ids
-            assert not service.turn.balancer._held and not service.turn.counts["faults"]
+            assert not service.turn.balancer._queued and not service.turn.counts["faults"]
             client = await caller(service)
             client.writer.write(request(trace="next"))
             while b"next" not in gate.got:
@@ -380,14 +380,16 @@
             )
             sock = open_client(service)
             sock.sendall(request())
-            while not balancer._held:
+            while not balancer._queued:
                 await asyncio.sleep(0)
             turn._alarm.cancel()
-            turn._wakes = [(clock(), -1, balancer._look)]  # due now, and the loop stalls from now on
+            turn._wakes = [(clock(), -1, balancer._check_queue)]  # due now, and the loop stalls from now on
             Delay(late, lambda: leave(sock))()  # longer than `LATE`
             free_capacity()
-            placed, place = [], balancer._place
-            monkeypatch.setattr(balancer, "_place", lambda *args: placed.append(args) or place(*args))
+            placed, place = [], balancer._choose_and_send
+            monkeypatch.setattr(
+                balancer, "_choose_and_send", lambda *args: placed.append(args) or place(*args)
+            )
             turn._ring()
             await until_settled(service)
             assert not placed and not peer.requests and not peer.writers
@@ -739,11 +741,11 @@
             if place in ("accept", "read"):
                 delay()  # it waits in the listener's backlog, or unread in its socket
             if free_capacity is not None:
-                while not service.turn.balancer._held:
+                while not service.turn.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 free_capacity()
-                service.turn.note(service.turn.balancer._look)
+                service.turn.note(service.turn.balancer._check_queue)
             assert await answered(sock) == 200
             recorder.check(1, late)
 
@@ -809,11 +811,11 @@
             if place == "read":
                 delay()  # before the first attempt: it counts for both
             if place == "held":
-                while not turn.balancer._held:
+                while not turn.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 free_capacity()
-                turn.note(turn.balancer._look)
+                turn.note(turn.balancer._check_queue)
             assert await answered(sock) == 200
             recorder.check(2, late)
 
@@ -852,7 +854,9 @@
             status, _, _ = await client.ask(request("/change", "POST", b"x", X_Expires_In="0.1"))
             # it never ran, and its upstream is not to blame
             assert status == 503 and (len(peer.requests), len(peer.writers)) == begun
-            assert not service.turn.balancer._upstreams[0].run and service.turn.counts["unreached"] == 0
+            assert (
+                not service.turn.balancer._upstreams[0].failure_run and service.turn.counts["unreached"] == 0
+            )
 
     play(scenario)
 
@@ -933,7 +937,7 @@
             free_capacity = block_capacity(service, monkeypatch) if place == "held" else None
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x", X_Expires_In="0.6"))
-            while not (service.turn.balancer._held if free_capacity else gate.connecting.is_set()):
+            while not (service.turn.balancer._queued if free_capacity else gate.connecting.is_set()):
                 await asyncio.sleep(0)
             if first == "drain":
                 await registry.tell(5, target("u0", gate.port, state="leaving"))
@@ -950,7 +954,7 @@
             gate.open.set()
             if free_capacity:
                 free_capacity()
-                service.turn.note(service.turn.balancer._look)
+                service.turn.note(service.turn.balancer._check_queue)
             assert (await client.answer())[0] == 503  # it never ran
             await until_settled(service)
             assert not gate.got and not service.turn.upstreams.open
