--- a/ospreyline/net/clients.py
+++ b/ospreyline/net/clients.py
@@ -78,8 +78,8 @@
     closing: bool
     counts: Counter[str]
 
-    def take(self, request: Request, client: Client) -> bool: ...
-    def left(self, client: Client) -> None: ...
+    def accept_request(self, request: Request, client: Client) -> bool: ...
+    def client_left(self, client: Client) -> None: ...
     def ready(self) -> bool: ...
 
 
@@ -307,7 +307,7 @@
                 self.answer(response(status, b"", body, self._last()))
             else:
                 self.out = found
-                if not self.clients.door.take(found, self):
+                if not self.clients.door.accept_request(found, self):
                     # guards: the id of another's open request would be a second copy at an upstream, and
                     # whoever waits for that id may get the other's answer
                     self.out = None
@@ -397,7 +397,7 @@
         """Its client waits no more: told at once, not when the connection is closed some passes later."""
         if self.out is not None:
             self.out = None
-            self.clients.door.left(self)
+            self.clients.door.client_left(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.clients.lost(self)
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -45,7 +45,7 @@
         self._operator = operator  # None: nothing that is off by default is on
         self._log = structlog.get_logger()
         self.turn = Turn(loop, post, operator)
-        self.clients = Clients(loop, self.turn, self.turn.most_clients, self.turn.events)
+        self.clients = Clients(loop, self.turn, self.turn.max_clients, self.turn.events)
         self.at = post.listen
         self._rounds = 0
         self._tidying: asyncio.TimerHandle | None = None
@@ -88,14 +88,14 @@
         )
         settings = any(getattr(self._post, key) != getattr(new, key) for key in SETTINGS)
         if settings:
-            self.turn.adopt(new)
+            self.turn.apply_config(new)
         self._post = new
         if operator is not None and operator != self._operator:
-            self.turn.operate(operator)
+            self.turn.apply_operator(operator)
             self._operator = operator
         self._log.info("reloaded", discovery="{}:{}".format(*new.discovery), moved=moved, settings=settings)
         if moved:
-            self.turn.move(new.discovery)
+            self.turn.move_discovery(new.discovery)
 
     async def stop(self) -> None:
         """Finish what was taken; new connections are accepted for a while yet, and kept ones used."""
@@ -114,7 +114,9 @@
             if not listening and not self.clients.busy() and not self.clients.open:
                 break
             await asyncio.sleep(0.02)
-        while (self.turn.waiting() or self.clients.sending()) and self._loop.time() < ends + LAST_BYTES:
+        while (
+            self.turn.has_unanswered_visits() or self.clients.sending()
+        ) and self._loop.time() < ends + LAST_BYTES:
             self.turn.answer_all()  # guards: the rest of a request may have come since
             await asyncio.sleep(0.005)
         self.end()
@@ -134,7 +136,7 @@
         self._tidying = self._loop.call_later(TIDY, self._tidy)
         self.clients.tidy()
         self.turn.upstreams.tidy(clock())
-        self.turn.tidy(clock())
+        self.turn.run_maintenance(clock())
         self.turn.discovery.tidy()
         self._rounds += 1
         if self._rounds % COUNTS == 0:
@@ -143,7 +145,7 @@
     def _counts(self) -> None:
         """A line of what was counted since the last one."""
         turn = self.turn
-        times = sorted(turn.latencies)
+        times = sorted(turn.latencies_ms)
         figures: dict[str, float] = {}
         if len(times) > 1:
             cuts = statistics.quantiles(times, n=100, method="inclusive")
@@ -153,15 +155,15 @@
             open_visits=len(turn.visits),
             clients=len(self.clients.open),
             connections=len(turn.upstreams.open),
-            lag_ms=round(turn.lag, 1),
+            lag_ms=round(turn.max_timer_lag_ms, 1),
             **figures,
             **dict(sorted(turn.counts.items())),
             **(turn.bank.counts() if turn.bank is not None else {}),
             **(turn.covering.counts() if turn.covering is not None else {}),
         )
         turn.counts.clear()
-        turn.latencies.clear()
-        turn.lag = 0.0
+        turn.latencies_ms.clear()
+        turn.max_timer_lag_ms = 0.0
 
 
 class LogFile:
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -1,7 +1,8 @@
-"""The host of the decisions on sockets: what is ready is gathered and handed over in one go, a turn.
+"""Runs the balancer's decisions on sockets: events are queued and handled together in one event batch.
 
-Callbacks of connections, timers and the list only `note` what came. One turn a pass of the loop reads the
-clock once, tells the decisions all of it in the order it came, then carries out what they asked for.
+Callbacks of connections, timers and the list service only enqueue events (`note`). Once per event loop
+iteration a batch reads the clock, passes all queued events to the decisions in order of arrival, and then
+executes the actions that the decisions asked for.
 """
 
 from __future__ import annotations
@@ -38,124 +39,136 @@
     from ospreyline.net.covering import Covering
     from ospreyline.operator import Operator
 
-BACKSTOP = 15.0  # ms past its client timeout at which a visit that has no answer yet is answered anyhow
-LATE = 20.0  # ms that a timer is late, from which on sockets are read before what is due is decided
-STOOD = 600.0  # ms without a turn that mean that this process was stopped: three times the decisions' beat
-SETTLED = 100.0  # ms after which what waited in sockets meanwhile has been read
-SAID = 100.0  # ms that an update has to be in doubt for its end to be logged
-FORGET = 60_000.0  # ms after which one that the list took away is forgotten
-AGAIN, MOST_AGAIN = 25.0, 250.0  # ms until a pushed list's watch is opened anew: at first, and at the most
-FLEET = 64  # descriptors for links to other balancers, where they are on
-PROBE_TIME_OUTS = 2.0  # a probe may take this many times as long as connecting may
-_READINESS = {"active": Readiness.READY, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
+BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
+LATE_TIMER_MS = 20.0  # if a timer fires later than this, sockets are read before due timers run
+# time without a batch that means this process was stalled: three times the decisions' 200 ms tick
+STALL_MS = 600.0
+STALL_RECOVERY_MS = 100.0  # after a stall, time until all data that waited in sockets has been read
+# a possibly lost update must have lasted this long for the lease renewal to be logged
+LEASE_DOUBT_LOG_MS = 100.0
+REMOVE_GONE_AFTER_MS = 60_000.0  # a removed upstream is forgotten after this time
+# delay before a pushed list's watch is reopened: first and maximum
+WATCH_RETRY_MS, MAX_WATCH_RETRY_MS = 25.0, 250.0
+FLEET_DESCRIPTORS = 64  # descriptors reserved for links to other balancers, if enabled
+PROBE_TIMEOUT_FACTOR = 2.0  # a probe's timeout, as a multiple of the connect timeout
+_READINESS_BY_STATE = {"active": Readiness.READY, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
 
 
 def clock() -> float:
-    """Milliseconds on a clock that only goes forward."""
+    """Monotonic clock, in milliseconds."""
     return time.monotonic() * 1e3
 
 
 class Taken:
-    """A visit as the front knows it: who waits for it, its handle, and the errands out for it."""
+    """A visit on the socket side: the client that waits for it, its decision handle and its exchanges."""
 
     __slots__ = (
         "answered",
-        "came",
+        "arrived_at",
+        "backstop_timer",
         "client",
-        "ends",
         "errands",
+        "fetch_ends",
         "handle",
-        "late",
+        "last_timed_out",
         "left",
         "request",
         "tag",
         "terms",
-        "timed_out",
     )
 
     def __init__(self, tag: int, request: Request, terms: PathPrefix, client: Client | None) -> None:
         self.tag = tag
         self.request = request
-        self.terms = terms  # of its path prefix when it came; after a reload its index may be another's
+        # its path prefix settings at arrival; after a reload the same index may mean another prefix
+        self.terms = terms
         self.client = client
         self.handle: Visit | None = None
         self.errands: list[Errand | None] = []
-        self.ends: list[str] = []  # of its attempts, in the order in which they ended, for the log
-        self.came = 0.0  # its last byte to this machine, as far as the system tells
+        self.fetch_ends: list[str] = []  # how its fetches ended, in that order, for the log
+        # when its last byte reached this machine (`clock()` ms), as far as the OS reports it
+        self.arrived_at = 0.0
         self.answered = False
-        self.left = False  # its client has, and nothing begins without
-        self.timed_out = False  # its latest errand
-        self.late: asyncio.TimerHandle | None = None
+        self.left = False  # the client has disconnected; no new fetch starts
+        self.last_timed_out = False  # whether its latest fetch timed out
+        self.backstop_timer: asyncio.TimerHandle | None = None
 
     def wanted(self) -> bool:
-        """Whether anybody waits for it: asked before a byte of it goes to an upstream."""
+        """Whether a client still waits for it; checked before a byte of it is sent to an upstream."""
         return not (self.answered or self.left or (self.client is not None and self.client.gone()))
 
 
 class Turn:
-    """The `Host` of one balancer, and the `Door` of its clients."""
+    """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, post: Post, operator: Operator | None = None) -> None:
         self.logger: Any = structlog.get_logger()
         self._operator: Operator | None = None
-        self._pace: Pace | None = None  # of calls to the list service, if it is switched on
-        self._keeping: Keeping | None = None  # of the list on disk, likewise
-        self.bank: Bank | None = None  # links to the other balancers, likewise
-        self.covering: Covering | None = None  # takeover of work in hand, likewise
+        self._pace: Pace | None = None  # paces calls to the list service, if enabled
+        self._list_cache: Keeping | None = None  # cached list on disk, if enabled
+        self.bank: Bank | None = None  # links to the other balancers, if enabled
+        self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
         self.closing = False
         self.visits: dict[int, Taken] = {}
-        self._ids: set[bytes] = set()  # of the open ones
+        self._open_ids: set[bytes] = set()  # request ids of the open visits
         self.counts: Counter[str] = Counter()
         self.events = EventLog(self.logger, clock, self.counts)
-        self.latencies: list[float] = []  # ms, of the visits delivered since the last line of counts
-        self.lag = 0.0  # ms, the most that a timer came late since then
+        self.latencies_ms: list[float] = []  # of the visits delivered since the last "counts" log line
+        self.max_timer_lag_ms = 0.0  # maximum timer delay since the last "counts" log line
         self._loop = loop
-        self._set(post)
-        self._tags = 0
-        self._noted: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self._to_do: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self._wakes: list[tuple[float, int, Callable[[float], None]]] = []
-        self._wake_number = 0
-        self._turned = inf  # the last turn; the decisions' periodic work brings one every 200 ms
-        self._stood_from = self.stood_to = -inf  # until then, what comes may have waited since then
-        self._alarm: asyncio.TimerHandle | None = None
-        self._alarm_at = 0.0
-        self._scheduled = False
-        self._news_noted = False  # a list, or changes, have come and are not told yet
-        self._put_off = False  # what is to be done, until the sockets have been read once more
-        self._unix_offset = time.time() * 1e3 - clock()  # once: start times must not wander with the clock
-        self._indices: dict[str, int] = {}
-        self._states: dict[str, Readiness] = {}
-        self._gone: dict[str, float] = {}  # since when, oldest first
-        self._uids: dict[int, str] = {}
-        self._places: dict[int, tuple[str, int]] = {}  # zone and cell of each
-        self._targets: dict[str, Target] = {}  # the latest of each, with its place
-        # descriptors: some for the loop, the listener and discovery; half of the rest for each side
-        part = (post.sockets - 32 - (FLEET if operator is not None and operator.fleet.bank else 0)) // 2
-        self.most_clients = part
-        self._again, self._draw = AGAIN, Random(post.seed + 2).random
+        self._use_config(post)
+        self._last_tag = 0
+        self._queued_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self._pending_actions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self._timers: list[tuple[float, int, Callable[[float], None]]] = []
+        self._timer_number = 0
+        # time of the last batch; the decisions' periodic tick causes one every 200 ms
+        self._last_batch_at = inf
+        # until stood_to, input may have been waiting since _stalled_from
+        self._stalled_from = self.stood_to = -inf
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_at = 0.0
+        self._batch_scheduled = False
+        self._update_queued = False  # a list update is queued and not yet passed to the decisions
+        self._actions_deferred = False  # pending actions wait until the sockets have been read once more
+        # computed once, so that converted start times do not drift with the wall clock
+        self._unix_offset = time.time() * 1e3 - clock()
+        self._index_by_uid: dict[str, int] = {}
+        self._readiness: dict[str, Readiness] = {}
+        self._gone_since: dict[str, float] = {}  # when each upstream was removed from the list, oldest first
+        self._uid_by_index: dict[int, str] = {}
+        self._place_by_index: dict[int, tuple[str, int]] = {}  # zone and cell of each upstream
+        # latest list entry of each upstream, with its zone and cell filled in
+        self._target_by_uid: dict[str, Target] = {}
+        # Descriptor budget: 32 are reserved for the event loop, the listener and discovery; the rest is split
+        # evenly between clients and upstreams.
+        max_per_side = (
+            post.sockets - 32 - (FLEET_DESCRIPTORS if operator is not None and operator.fleet.bank else 0)
+        ) // 2
+        self.max_clients = max_per_side
+        self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(post.seed + 2).random
         self.upstreams = Upstreams(
-            loop, clock, part, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
+            loop, clock, max_per_side, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
         )
         if operator is not None:
-            self._switch_on(operator)
-        kept = self._keeping.known(post.known) if self._keeping is not None else post.known
+            self._enable_features(operator)
+        kept = self._list_cache.known(post.known) if self._list_cache is not None else post.known
         known = read(kept, self.logger)
         self.discovery = Discovery(
             loop,
             post.discovery,
             known.rev if known else 0,
             self.logger,
-            tell=self._note_news,
-            tell_failed=lambda failure: self.note(self._told_nothing, failure),
-            tell_lease=lambda message: self.note(self._renew_lease, message),
+            tell=self._enqueue_list_update,
+            tell_failed=lambda failure: self.note(self._on_list_call_failed, failure),
+            tell_lease=lambda message: self.note(self._on_lease_message, message),
         )
-        self._fit()
+        self._configure_discovery()
         now = clock()
         self.balancer = Balancer(self, post.terms, post.seed, now)
         self.balancer.lease.begin(now)
-        self.upstreams.withheld = self._withheld
-        self.balancer.told_all(now, self._lines(known) if known else [])
+        self.upstreams.sends_blocked = self._sends_blocked
+        self.balancer.told_all(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
             self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.targets])
         if self._pace is not None:
@@ -163,13 +176,14 @@
             if self.bank is not None and self.bank.lists is not None and not self.bank.lists.passing:
                 later = self.bank.lists.late(post.terms.must_ask_in)
             self._pace.start(now, later)
-            self._plan()
+            self._schedule_list_call()
         elif not post.terms.ask_for_list:
-            self.discovery.watch(True)  # to the decisions it comes by itself: here a watch brings it
-        self.note(lambda now: None)  # the first turn carries out what the start asked for
+            # a pushed list: the decisions never ask for it, so a watch is opened here
+            self.discovery.watch(True)
+        self.note(lambda now: None)  # the first batch executes the actions requested during construction
 
-    def _switch_on(self, operator: Operator) -> None:
-        """What the operator's file has on, and only that is imported."""
+    def _enable_features(self, operator: Operator) -> None:
+        """Set up the features that the operator file enables; only those modules are imported."""
         self._operator = operator
         terms, lists = self._post.terms, operator.list
         if lists.calls_per_s:
@@ -181,11 +195,11 @@
                 self._pace.adopt(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
-            self.note(self.balancer.told_nothing)  # it asks in its own way from now on
-        if lists.keep and self._keeping is None:
+            self.note(self.balancer.told_nothing)  # the decisions schedule list calls themselves from now on
+        if lists.keep and self._list_cache is None:
             from ospreyline.fleet.kept import Keeping
 
-            self._keeping = Keeping(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
+            self._list_cache = Keeping(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
         if operator.fleet.bank and self.bank is None:
             from ospreyline.fleet.bank import Bank
 
@@ -197,9 +211,9 @@
                 zone,
                 operator.fleet,
                 self._post.seed,
-                listed=lambda news: self.note(self._told_by_others, news),
-                hinted=lambda body: self.note(self._hinted, body),
-                hasten=lambda: self.note(self._hasten),
+                listed=lambda news: self.note(self._on_list_from_balancer, news),
+                hinted=lambda body: self.note(self._on_bank_message, body),
+                hasten=lambda: self.note(self._hasten_list_call),
             )
             if operator.takeover.on:
                 from ospreyline.net.covering import Covering
@@ -213,162 +227,167 @@
                     self._post.seed,
                     terms.max_fetches,
                 )
-                self.bank.guard(self.covering.takeover, lambda: self.note(self.covering_news))
+                self.bank.guard(self.covering.takeover, lambda: self.note(self.run_takeover_results))
 
-    def _set(self, post: Post) -> None:
+    def _use_config(self, post: Post) -> None:
         self._post = post
         self.prefixes = {name.encode(): i for i, name in enumerate(post.prefix_names)}
         self.tagged = frozenset(i for i, terms in enumerate(post.terms.prefixes) if terms.kind is Kind.TAGGED)
-        self._zones = {name: i for i, name in enumerate(post.zone_names)}
-        self._reports = post.terms.report_fields
+        self._zone_index = {name: i for i, name in enumerate(post.zone_names)}
+        self._report_fields = post.terms.report_fields
 
-    def _fit(self) -> None:
+    def _configure_discovery(self) -> None:
         terms = self._post.terms
         self.discovery.again = period_of(terms.balancers, terms.must_ask_in) / 1e3
         self.discovery.patient = terms.ask_for_list or self._pace is not None
 
-    def adopt(self, post: Post) -> None:
-        """New settings, already checked: what came before is decided under the old ones, the rest by them."""
-        self._turn()
+    def apply_config(self, post: Post) -> None:
+        """Apply a new, validated configuration; events queued before are still handled under the old one."""
+        self._dispatch()
         now = clock()
-        self._set(post)
+        self._use_config(post)
         self.upstreams.adopt(post.connect_time_out, post.keep_idle)
         if self._operator is not None:
-            self._switch_on(self._operator)  # the size of the bank has a part in the pace of calls
+            self._enable_features(self._operator)  # the number of balancers affects the pace of list calls
         self.balancer.set_terms(now, post.terms)
-        self._fit()
-        # guards: told as a first list it renews no subscription, and what is cold or drained stays so
-        lines = [self._line(target, self._indices[uid]) for uid, target in self._targets.items()]
+        self._configure_discovery()
+        # Passed on as a first list, so that it renews no subscription and leaves cold and draining upstreams
+        # in their state.
+        lines = [
+            self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
+        ]
         self.balancer.told_changes(now, lines, first=True, own=False)
         if not post.terms.ask_for_list and not self.discovery.watching and self._pace is None:
             self.discovery.watch(True)
-        self._turn()
+        self._dispatch()
 
-    def operate(self, operator: Operator) -> None:
-        """A new operator's file, already checked: what SIGHUP applies of it."""
+    def apply_operator(self, operator: Operator) -> None:
+        """Apply the reloadable settings of a new, validated operator file."""
         paced = self._pace is not None
-        self._switch_on(operator)
-        self._fit()
+        self._enable_features(operator)
+        self._configure_discovery()
         if self._pace is not None and not paced:
-            # guards: a watch that stands is heard on; without one the first call takes its place
+            # An open watch is kept and still counts; without one the first paced call replaces it.
             self._pace.called(clock())
             if self.discovery.told_by_watch:
                 self._pace.told()
             elif not self.discovery.watching:
                 self._pace.failed(clock())
-            self._plan()
+            self._schedule_list_call()
 
-    def move(self, at: tuple[str, int]) -> None:
-        """The list service is elsewhere now: it is called there at once."""
+    def move_discovery(self, at: tuple[str, int]) -> None:
+        """Switch to a new list service address and call it at once."""
         self.discovery.move(at)
-        # guards: a wait that was running for the former address would have another call made here at once;
-        # and the next would come only once this one, should it say nothing, has been given up
+        # Restart the wait between calls. Otherwise a wait that was running for the old address would cause
+        # another call at once; and if this call received no data, the next one would start only after it was
+        # given up.
         self.balancer.asked(clock())
         if self._pace is not None:
             self._pace.called(clock(), anew=True)
-            self._plan()
+            self._schedule_list_call()
 
-    # -- the turn -----------------------------------------------------------------------------------------
+    # -- event batches ------------------------------------------------------------------------------------
 
     def note(self, call: Callable[..., None], *args: Any) -> None:
-        """Something came: it is told in the next turn."""
-        self._noted.append((call, args))
-        if not self._scheduled:
-            self._scheduled = True
-            self._loop.call_soon(self._turn)
-
-    def _note_news(self, news: News) -> None:
-        self._news_noted = self._news_noted or news.whole or bool(news.targets)
-        self.note(self._told, news)
-
-    def _withheld(self) -> bool:
-        """Whether nothing may begin at any upstream now, asked right before it would."""
+        """Enqueue an event, to be handled in the next batch."""
+        self._queued_events.append((call, args))
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
+            self._loop.call_soon(self._dispatch)
+
+    def _enqueue_list_update(self, news: News) -> None:
+        self._update_queued = self._update_queued or news.whole or bool(news.targets)
+        self.note(self._on_list_update, news)
+
+    def _sends_blocked(self) -> bool:
+        """Whether all sends to upstreams are blocked; checked right before each one."""
         now = clock()
-        if self._news_noted or self.balancer.lease.withholds(now):
+        if self._update_queued or self.balancer.lease.withholds(now):
             return True
-        # guards: a send that was held up since it was decided, or came to its turn late, as above
-        return now - self._turned > LATE and self.discovery.unread()
+        # Also blocks a send that was delayed since it was decided, or whose batch was late, if the list has
+        # unread data.
+        return now - self._last_batch_at > LATE_TIMER_MS and self.discovery.unread()
 
-    def _turn(self) -> None:
-        self._take_turn(sockets_read=False)
+    def _dispatch(self) -> None:
+        self._run_batch(sockets_read=False)
 
-    def _turn_behind_sockets(self) -> None:
-        self._take_turn(sockets_read=True)
+    def _dispatch_after_sockets(self) -> None:
+        self._run_batch(sockets_read=True)
 
-    def _take_turn(self, sockets_read: bool) -> None:
-        self._scheduled = False
+    def _run_batch(self, sockets_read: bool) -> None:
+        self._batch_scheduled = False
         now = clock()
-        if now - self._turned > STOOD:
-            self._stood_from, self.stood_to = self._turned, now + SETTLED
-            self.logger.warning("this process stood still", ms=round(now - self._turned))
-        self._turned = now
-        noted, self._noted, self._news_noted = self._noted, [], False
-        for call, args in noted:
-            self._tell(now, call, args)
-        while self._wakes and self._wakes[0][0] <= now:
-            due, _, wake = heappop(self._wakes)
-            self.lag = max(self.lag, now - due)
-            self._tell(now, wake, ())
-        if self._to_do and not sockets_read and (self._put_off or self.discovery.unread()):
-            return self._put_off_to_do()
-        self._put_off = False
-        to_do, self._to_do = self._to_do, []
-        for act, args in to_do:
-            self._tell(now, act, args)
-        self._set_alarm(now)
-
-    def _put_off_to_do(self) -> None:
-        """What is to be done waits until the sockets have been read.
-
-        Guards: after a hold-up news may lie unread that was written longer ago than the grace of a drain.
-        Once only, as a list that keeps coming must not keep everything waiting; and a turn that a reload
-        takes meanwhile does not end the wait.
+        if now - self._last_batch_at > STALL_MS:
+            self._stalled_from, self.stood_to = self._last_batch_at, now + STALL_RECOVERY_MS
+            self.logger.warning("this process stood still", ms=round(now - self._last_batch_at))
+        self._last_batch_at = now
+        queued, self._queued_events, self._update_queued = self._queued_events, [], False
+        for call, args in queued:
+            self._run_guarded(now, call, args)
+        while self._timers and self._timers[0][0] <= now:
+            due, _, callback = heappop(self._timers)
+            self.max_timer_lag_ms = max(self.max_timer_lag_ms, now - due)
+            self._run_guarded(now, callback, ())
+        if self._pending_actions and not sockets_read and (self._actions_deferred or self.discovery.unread()):
+            return self._defer_actions()
+        self._actions_deferred = False
+        actions, self._pending_actions = self._pending_actions, []
+        for act, args in actions:
+            self._run_guarded(now, act, args)
+        self._schedule_loop_timer(now)
+
+    def _defer_actions(self) -> None:
+        """Defer the pending actions until the sockets have been read.
+
+        After a stall, an unread list update may be older than the drain grace period. Actions are deferred
+        only once, as a list that keeps changing must not block them forever, and a batch that a reload runs
+        in between does not end the wait.
         """
-        if not self._put_off:
-            self._loop.call_soon(self._loop.call_soon, self._turn_behind_sockets)
-        self._put_off = self._scheduled = True
+        if not self._actions_deferred:
+            self._loop.call_soon(self._loop.call_soon, self._dispatch_after_sockets)
+        self._actions_deferred = self._batch_scheduled = True
 
-    def _tell(self, now: float, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _run_guarded(self, now: float, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         try:
             call(now, *args)
         except Exception:
-            # guards: a fault in the decisions costs the visit that it met, which still gets its answer
+            # An exception in the decisions costs only the visit concerned, which still gets an answer.
             self.counts["faults"] += 1
-            self.logger.exception("fault in a turn")
+            self.logger.exception("exception in an event handler")
             taken = next((arg for arg in args if isinstance(arg, Taken)), None)
             if taken is not None and not taken.answered:
                 self.fail(taken.tag)
-                self._drop(taken)
+                self._discard_visit(taken)
                 for errand in taken.errands:
                     if errand is not None:
                         errand.cut(Why.CALLED_OFF)
 
-    def _set_alarm(self, now: float) -> None:
-        if not self._wakes:
+    def _schedule_loop_timer(self, now: float) -> None:
+        if not self._timers:
             return
-        due = self._wakes[0][0]
-        if self._alarm is None or due < self._alarm_at:
-            if self._alarm is not None:
-                self._alarm.cancel()
-            self._alarm_at = due
-            # the loop's timers go by whole milliseconds
-            self._alarm = self._loop.call_later(max(0.0, due - now + 0.5) / 1e3, self._ring)
-
-    def _ring(self) -> None:
-        self._alarm = None
-        if self._scheduled:
+        due = self._timers[0][0]
+        if self._loop_timer is None or due < self._loop_timer_at:
+            if self._loop_timer is not None:
+                self._loop_timer.cancel()
+            self._loop_timer_at = due
+            # the event loop's timers have millisecond resolution
+            self._loop_timer = self._loop.call_later(max(0.0, due - now + 0.5) / 1e3, self._on_loop_timer)
+
+    def _on_loop_timer(self) -> None:
+        self._loop_timer = None
+        if self._batch_scheduled:
             return
-        if self._wakes and clock() - self._wakes[0][0] > LATE:
-            # guards: timers come before sockets. After a delay what is due would be decided by what was known
-            # before it, with a drain, an answer or a leaving unread; sockets are read first
-            self._scheduled = True
-            self._loop.call_soon(self._loop.call_soon, self._turn)
+        if self._timers and clock() - self._timers[0][0] > LATE_TIMER_MS:
+            # The event loop runs timers before it reads sockets. After a delay, due timers would decide
+            # without knowing of an unread drain, answer or disconnect, so sockets are read first.
+            self._batch_scheduled = True
+            self._loop.call_soon(self._loop.call_soon, self._dispatch)
         else:
-            self._turn()
+            self._dispatch()
 
     # -- visits -------------------------------------------------------------------------------------------
 
-    def covering_news(self, now: float) -> None:
+    def run_takeover_results(self, now: float) -> None:
         if self.covering is not None:
             self.covering.carry_out(now)
 
@@ -376,102 +395,116 @@
         return self._post.prefix_names[prefix]
 
     def place(self, upstream: int) -> tuple[str, int]:
-        """Where an upstream is: zone and cell."""
-        return self._places[upstream]
+        """Zone and cell of an upstream."""
+        return self._place_by_index[upstream]
 
-    def take(self, request: Request, client: Client) -> bool:
-        """A whole request has come; it is not taken while another visit has its id."""
-        if request.trace in self._ids:
+    def accept_request(self, request: Request, client: Client) -> bool:
+        """Start a visit for a whole request; False if another open visit has the same request id."""
+        if request.trace in self._open_ids:
             return self.covering is not None and self.covering.joins(request, client)
-        self._ids.add(request.trace)
-        self._tags += 1
+        self._open_ids.add(request.trace)
+        self._last_tag += 1
         terms = self._post.terms.prefixes[request.prefix]
-        taken = self.visits[self._tags] = Taken(self._tags, request, terms, client)
-        taken.came = clock() - client.waited()
-        client.tag = self._tags
-        self.note(self._take, taken)
+        taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
+        taken.arrived_at = clock() - client.waited()
+        client.tag = self._last_tag
+        self.note(self._begin_visit, taken)
         return True
 
-    def left(self, client: Client) -> None:
-        """The client of a visit has gone."""
+    def client_left(self, client: Client) -> None:
+        """Record that the client of a visit has disconnected."""
         taken = self.visits.get(client.tag)
         if taken is not None and taken.client is client:
             taken.client, taken.left = None, True
-            self.note(self._left, taken)
+            self.note(self._on_client_left, taken)
 
     def ready(self) -> bool:
-        """Whether a visit could be decided."""
+        """Readiness for health checks: a valid list lease and at least one upstream that is ready."""
         return (
             not self.closing
-            and Readiness.READY in self._states.values()
+            and Readiness.READY in self._readiness.values()
             and self.balancer.lease.ready(clock())
         )
 
-    def _take(self, now: float, taken: Taken) -> None:
+    def _begin_visit(self, now: float, taken: Taken) -> None:
         if taken.client is None:
-            self._drop(taken)
+            self._discard_visit(taken)
             return
         self.counts["visits"] += 1
         request, terms = taken.request, taken.terms
-        left = terms.client_timeout
+        time_left = terms.client_timeout
         if request.time_left is not None:
-            left = min(left, request.time_left)
-        # guards: what lay in its socket while the loop was late, or in the listener's queue, has less left;
-        # an upstream was told more, and its client answered after its time
-        waited = now - taken.came
+            time_left = min(time_left, request.time_left)
+        # Time that the request spent in its socket or in the listen queue while the loop was late counts,
+        # too. Otherwise the upstream would be given more time than is left, and the client answered after its
+        # timeout.
+        waited = now - taken.arrived_at
         if now <= self.stood_to:
-            # guards: a request that waited in its socket while this process was stopped would be sent on for
-            # a client that has gone; not every system tells when it came, so all of that time counts
-            waited = max(waited, now - self._stood_from)
-        left -= waited
-        taken.late = self._loop.call_later(max(0.0, left + BACKSTOP) / 1e3, self.note, self._overdue, taken)
-        if self.covering is None or self.covering.begins(now, taken, left, terms.kind):
-            self.decide(now, taken, left, ())
-
-    def decide(self, now: float, taken: Taken, left: float, ran: Sequence[tuple[str, int, float]]) -> None:
-        """The decisions get it; `ran`: what balancers before us may have sent, as (zone, cell, ms ago)."""
+            # A request may have waited in its socket during a stall and would be forwarded for a client that
+            # has gone. Not every OS reports when it arrived, so the whole stall counts.
+            waited = max(waited, now - self._stalled_from)
+        time_left -= waited
+        taken.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+        )
+        if self.covering is None or self.covering.begins(now, taken, time_left, terms.kind):
+            self.decide(now, taken, time_left, ())
+
+    def decide(
+        self, now: float, taken: Taken, time_left: float, prior_fetches: Sequence[tuple[str, int, float]]
+    ) -> None:
+        """Pass a visit to the decisions. `prior_fetches`: those that other balancers may have sent before, as
+        (zone, cell, ms ago).
+        """
         try:
             prefix = self._post.terms.prefixes.index(taken.terms)
         except ValueError:
-            # guards: it waited for a word over a reload, and its index is another's, or nobody's, by now
-            return self.fail(taken.tag) if ran else self.refuse(taken.tag)
+            # A reload came while the visit waited: its path prefix now has another index or no longer exists.
+            return self.fail(taken.tag) if prior_fetches else self.refuse(taken.tag)
         request = taken.request
-        before = [(self._zones.get(zone, -1), cell, now - ago) for zone, cell, ago in ran]
+        before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         taken.errands = [None] * len(before)
-        taken.handle = self.balancer.take(now, taken.tag, prefix, left, request.repeat, before)
+        taken.handle = self.balancer.take(now, taken.tag, prefix, time_left, request.repeat, before)
         if self.covering is not None and len(taken.errands) == len(before):
             self.covering.decided(now, taken)
-        self._settle(taken)
+        self._discard_if_settled(taken)
 
     def adopt_visit(
-        self, now: float, tag: int, request: Request, left: float, ran: Sequence[tuple[str, int, float]]
+        self,
+        now: float,
+        tag: int,
+        request: Request,
+        time_left: float,
+        prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
-        """A visit of a balancer that is lost, for which nobody waits here."""
+        """Take over a visit of a failed balancer; no client waits for it here."""
         taken = self.visits[tag] = Taken(tag, request, self._post.terms.prefixes[request.prefix], None)
-        taken.came = now
-        self._ids.add(request.trace)
-        taken.late = self._loop.call_later(max(0.0, left + BACKSTOP) / 1e3, self.note, self._overdue, taken)
-        self.decide(now, taken, left, ran)
+        taken.arrived_at = now
+        self._open_ids.add(request.trace)
+        taken.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+        )
+        self.decide(now, taken, time_left, prior_fetches)
 
     def refuse(self, tag: int) -> None:
-        """Answer a visit that the decisions have not seen: it never ran."""
+        """Answer a visit that the decisions have not seen with "retry": no fetch of it ran."""
         self.bounce(tag, self._post.terms.max_retry_after)
 
     def close_visit(self, now: float, taken: Taken) -> None:
-        """Nothing more is owed for it here."""
+        """Close a visit for which this balancer is no longer responsible."""
         taken.answered = True
         if taken.handle is not None:
             taken.handle.left(now)
-        self._settle(taken)
+        self._discard_if_settled(taken)
 
-    def _left(self, now: float, taken: Taken) -> None:
+    def _on_client_left(self, now: float, taken: Taken) -> None:
         if not taken.left:
-            return  # guards: another connection of its client has been joined to it since
+            return  # another connection of its client has joined it since
         if self.covering is not None and not taken.answered:
             if self.covering.goes_on(now, taken, taken.terms.kind):
-                return  # what was begun goes on; nothing further begins, unless it is asked for again
+                return  # open fetches continue; no new one starts unless the client asks again
             if taken.handle is None:
-                self._drop(taken)
+                self._discard_visit(taken)
         if taken.handle is not None:
             self.counts["clients_left"] += not taken.answered
             taken.answered = True
@@ -480,93 +513,98 @@
                 if errand is not None:
                     errand.withdraw()
                 elif self.covering is not None and self.covering.called_off(taken, number):
-                    # guards: its guardians were told that it is over, so no word comes; it stayed for good
+                    # Its acceptors were told that it is over and will not reply, so its end is reported here;
+                    # otherwise the visit would stay open forever.
                     self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
-            self._settle(taken)
+            self._discard_if_settled(taken)
 
-    def _overdue(self, now: float, taken: Taken) -> None:
-        """Guards: whatever went wrong, a visit that was taken is answered."""
+    def _on_overdue(self, now: float, taken: Taken) -> None:
+        """Backstop: answer a visit that has none yet, whatever went wrong."""
         if taken.answered and not (self.covering is not None and self.covering.overdue(taken.tag)):
-            return self._settle(taken)
+            return self._discard_if_settled(taken)
         self.counts["overdue"] += 1
         self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
         self.fail(taken.tag)
         if taken.handle is not None:
             taken.handle.left(now)
-        self._settle(taken)
+        self._discard_if_settled(taken)
 
     def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
-        end = told = end_of(outcome)
+        end = reported = end_of(outcome)
         self.counts[end.name.lower()] += 1
-        taken.ends.append(end.name.lower())
+        taken.fetch_ends.append(end.name.lower())
         errand = taken.errands[number]
-        spent = 0.0
+        elapsed = 0.0
         if errand is not None:
-            # guards: what goes beyond its time is our own lateness. Told as the upstreams', a stop of 30 s
-            # made all of them look as slow, and all was turned away for 4 s
-            spent = min(now, errand.expires) - errand.sent
-            if end is End.TIMED_OUT and now <= self.stood_to and errand.sent <= self._stood_from:
-                told = End.CANCELLED  # we did not listen: its answer may lie in the socket
-        taken.timed_out = end is End.TIMED_OUT
+            # Time beyond the fetch's deadline is our own delay. Reported as the upstreams', a 30 s stall made
+            # all of them look slow, and all requests were rejected for 4 s.
+            elapsed = min(now, errand.expires) - errand.sent
+            if end is End.TIMED_OUT and now <= self.stood_to and errand.sent <= self._stalled_from:
+                reported = End.CANCELLED  # stalled: its answer may be unread in the socket
+        taken.last_timed_out = end is End.TIMED_OUT
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
-            report = load_report(outcome.report, self._reports) if outcome.report else ()
+            report = load_report(outcome.report, self._report_fields) if outcome.report else ()
             if end is End.DELIVERED and not taken.answered:
                 taken.answered = True
-                self.latencies.append(now - taken.came)
+                self.latencies_ms.append(now - taken.arrived_at)
                 reply = taken, 200, outcome.head, outcome.body
                 if self.covering is None or self.covering.may_tell(now, taken, reply):
-                    self._to_do.append((self.reply, reply))
+                    self._pending_actions.append((self.reply, reply))
         if taken.handle is not None:
-            taken.handle.ended(now, number, told, spent, taken.answered, report)
-            self._settle(taken)
+            taken.handle.ended(now, number, reported, elapsed, taken.answered, report)
+            self._discard_if_settled(taken)
 
     def answer_all(self) -> None:
-        """The balancer ends: what has no answer yet gets one now."""
+        """At shutdown: answer all visits that have no answer yet."""
         for taken in self.visits.values():
-            self.note(self._overdue, taken)
+            self.note(self._on_overdue, taken)
 
-    def waiting(self) -> bool:
-        """Whether a visit has no answer yet."""
+    def has_unanswered_visits(self) -> bool:
+        """Whether any visit has no answer yet."""
         return any(not taken.answered for taken in self.visits.values())
 
     def close(self) -> None:
-        self._wakes.clear()
-        if self._alarm is not None:
-            self._alarm.cancel()
+        self._timers.clear()
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
         self.discovery.close()
         self.upstreams.close()
 
-    def _settle(self, taken: Taken) -> None:
+    def _discard_if_settled(self, taken: Taken) -> None:
         if self.covering is not None and self.covering.holds(taken.tag):
             return
         if taken.handle.settled if taken.handle is not None else taken.answered and taken.client is None:
-            self._drop(taken)
+            self._discard_visit(taken)
 
-    def _drop(self, taken: Taken) -> None:
+    def _discard_visit(self, taken: Taken) -> None:
         if self.visits.pop(taken.tag, None) is not None:
-            self._ids.discard(taken.request.trace)
+            self._open_ids.discard(taken.request.trace)
             if self.covering is not None:
                 self.covering.forget(taken.tag)
-        if taken.late is not None:
-            taken.late.cancel()
+        if taken.backstop_timer is not None:
+            taken.backstop_timer.cancel()
 
     def reply(self, now: float, taken: Taken, status: int, fields: bytes, body: bytes) -> None:
         if taken.client is not None:
             client, taken.client = taken.client, None
             client.reply(status, fields, body)
             self.counts[f"answers_{status}"] += 1
-        # guards: one that was held and then given up in another's turn was never forgotten
-        self._settle(taken)
+        # Without this, a visit that was queued and given up in another visit's batch was never removed.
+        self._discard_if_settled(taken)
 
     # -- upstreams ----------------------------------------------------------------------------------------
 
-    def _start(self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float) -> None:
+    def _start_fetch(
+        self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
+    ) -> None:
         if self.covering is None or self.covering.may_write(now, taken, number, upstream, times, until):
             self.write(now, taken, number, upstream, times, until)
 
     def write(self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float) -> None:
-        """A fetch goes out that may take until then, to the upstream as it was when it was chosen."""
+        """Start a fetch that may last until `until` (ms); withdrawn if the upstream's list entry has changed
+        since it was chosen (`times`).
+        """
         request, time_out = taken.request, until - now
         if time_out <= 0 or times != self.upstreams.peers[upstream].times:
             return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
@@ -583,55 +621,55 @@
             errand.begin_by = taken.handle.begin_by
         self.upstreams.peers[upstream].run(errand)
 
-    def _call_off(self, now: float, taken: Taken, number: int) -> None:
+    def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
         errand = taken.errands[number]
         if errand is not None:
             errand.cut(Why.CALLED_OFF)
         elif self.covering is not None and self.covering.called_off(taken, number):
             self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
 
-    def _probe(self, now: float, upstream: int) -> None:
+    def _send_probe(self, now: float, upstream: int) -> None:
         peer = self.upstreams.peers[upstream]
-        path = b"/stats" if self._reports else b"/health/live"
+        path = b"/stats" if self._report_fields else b"/health/live"
         head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, peer.at[0].encode(), peer.at[1])
         errand = Errand(
             head,
             b"",
             now,
-            PROBE_TIME_OUTS * self._post.connect_time_out,
+            PROBE_TIMEOUT_FACTOR * self._post.connect_time_out,
             False,
-            lambda outcome: self.note(self._probed, upstream, now, outcome),
+            lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
         )
         peer.run(errand)
 
-    def _probed(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
+    def _on_probe_ended(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
-            report = load_report(outcome.report or outcome.body, self._reports)
+            report = load_report(outcome.report or outcome.body, self._report_fields)
         end = end_of(outcome)
         self.counts["probes"] += 1
         self.balancer.probed(now, upstream, end, now - sent, report)
 
-    # -- the list -----------------------------------------------------------------------------------------
+    # -- the upstream list --------------------------------------------------------------------------------
 
-    def _plan(self) -> None:
-        """The next call is due at its time."""
+    def _schedule_list_call(self) -> None:
+        """Set a timer for the next paced list call."""
         if self._pace is not None and self._pace.due < inf:
-            self.wake(self._pace.due, self._call_list)
+            self.wake(self._pace.due, self._make_list_call)
 
-    def _call_list(self, now: float) -> None:
+    def _make_list_call(self, now: float) -> None:
         if self._pace is not None and now >= self._pace.due:
             self._pace.called(now)
-            self._plan()
+            self._schedule_list_call()
             self.discovery.watch(True)
 
-    def _wanted(self, now: float) -> None:
+    def _request_list_call(self, now: float) -> None:
         if self._pace is not None:
             self._pace.wanted(now)
-            self._plan()
+            self._schedule_list_call()
 
-    def _renew_lease(self, now: float, message: LeaseMessage) -> None:
-        """What became of a call: the lease on the list ends earlier, or is renewed."""
+    def _on_lease_message(self, now: float, message: LeaseMessage) -> None:
+        """Update the list lease from the outcome of a list call: it is shortened or renewed."""
         lease = self.balancer.lease
         before = lease.expires
         lease.take(now, message)
@@ -644,55 +682,56 @@
                     expires_in_ms=round(lease.expires - now),
                 )
             case CallSilent(call, age):
-                self.logger.info("list call was silent", call=call, s=round(age, 1))
+                self.logger.info("list call received no data", call=call, s=round(age, 1))
             case UpdateRead() if lease.lost:
-                self._ask_again(now)
-        if lease.expires > now >= before + SAID:
+                self._repeat_list_call(now)
+        if lease.expires > now >= before + LEASE_DOUBT_LOG_MS:
             self.logger.info("list lease renewed", after_ms=round(now - before))
 
-    def _ask_again(self, now: float) -> None:
-        """An answer did not settle what was lost: it had been asked for before that."""
+    def _repeat_list_call(self, now: float) -> None:
+        """Call again: the answer does not settle a possibly lost update, being requested before the loss."""
         if self._pace is not None:
             if self._pace.due == inf:
                 self._pace.lost(now)
-                self._plan()
+                self._schedule_list_call()
         elif self._post.terms.ask_for_list:
             self.balancer.ask_again(now)
         elif not self.discovery.waiting:
             self.discovery.watch(True)
 
-    def _told_nothing(self, now: float, failure: CallFailure) -> None:
-        told = self.bank is not None and self.bank.told_nothing()
+    def _on_list_call_failed(self, now: float, failure: CallFailure) -> None:
+        relayed = self.bank is not None and self.bank.told_nothing()
         if self._pace is not None:
-            self._pace.failed(now, failure.retry_after, told)
-            # guards: a service that goes down resets the calls of the whole bank, which has a pace to keep
+            self._pace.failed(now, failure.retry_after, relayed)
+            # A list service that goes down resets the calls of the whole bank, which must still keep its
+            # pace.
             if failure.seen:
                 self._pace.lost(now)
-            self._plan()
+            self._schedule_list_call()
         elif not self._post.terms.ask_for_list:
-            # guards: each change of a pushed list counts as told though no watch is open. To the decisions it
-            # comes by itself and no call fails; their waits for a service that is asked are far too long
-            self.wake(now + self._again * (0.5 + self._draw()), self._watch_again)
-            self._again = min(2 * self._again, MOST_AGAIN)
+            # For a pushed list, every change counts as received even if no watch is open. The decisions
+            # expect no failed calls then, and their retry delays, meant for polling, are far too long.
+            self.wake(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
+            self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
         self.balancer.told_nothing(now, failure.lost, failure.turned_away)
 
-    def _watch_again(self, now: float) -> None:
+    def _reopen_watch(self, now: float) -> None:
         if not self._post.terms.ask_for_list and not self.discovery.watching:
             self.discovery.watch(True)
 
-    def _hasten(self, now: float) -> None:
-        """The list is to be asked for as if nobody told us."""
+    def _hasten_list_call(self, now: float) -> None:
+        """Schedule the next list call as if no other balancer forwarded the list."""
         if self._pace is not None:
             self._pace.hasten(now)
-            self._plan()
+            self._schedule_list_call()
 
-    def _hinted(self, now: float, body: bytes) -> None:
+    def _on_bank_message(self, now: float, body: bytes) -> None:
         if self._post.terms.may_tell:
             self.balancer.heard(now, body)
 
-    def _told_by_others(self, now: float, others: Any) -> None:
-        """The list as another balancer has it from the service, newer than ours."""
+    def _on_list_from_balancer(self, now: float, others: Any) -> None:
+        """Apply a newer upstream list that another balancer received from the list service and forwarded."""
         if others.rev <= self.discovery.rev:
             return
         text = b'{"rev":%d,"all":%b,"targets":[%b]}' % (
@@ -705,47 +744,48 @@
             return
         self.counts["lists_from_others"] += 1
         self.discovery.took(news.rev)
-        lines = self._lines(news)
+        lines = self._list_entries(news)
         if news.whole:
             self.balancer.told_all(now, lines, own=False)
         else:
             self.balancer.told_changes(now, lines, own=False)
-        if self._keeping is not None:
-            self._keeping.told(changed=True)
-
-    def _told(self, now: float, news: News) -> None:
-        self._again = AGAIN
-        # guards: what another call brings, or the watch at a former address, is no word of our own watch:
-        # taken for one, nobody would be asked any more when that has ended or while it says nothing
-        own = self.discovery.told_by_watch
-        if self._pace is not None and own:
+        if self._list_cache is not None:
+            self._list_cache.told(changed=True)
+
+    def _on_list_update(self, now: float, news: News) -> None:
+        self._watch_retry_ms = WATCH_RETRY_MS
+        # Data from another call, or from the watch at a former address, does not count as received by our own
+        # watch. Otherwise nobody would be asked any more once that watch has ended or while it receives
+        # nothing.
+        from_watch = self.discovery.told_by_watch
+        if self._pace is not None and from_watch:
             self._pace.told()
-        if self._keeping is not None:
-            self._keeping.told(changed=news.whole or bool(news.targets))
+        if self._list_cache is not None:
+            self._list_cache.told(changed=news.whole or bool(news.targets))
         if self.bank is not None:
             self.bank.told(
                 news.rev,
                 news.whole,
                 [(target.uid, target.state == "left", json.encode(target)) for target, _ in news.targets],
             )
-        lines = self._lines(news)
+        lines = self._list_entries(news)
         if news.whole:
-            self.balancer.told_all(now, lines, own)
+            self.balancer.told_all(now, lines, from_watch)
         else:
-            self.balancer.told_changes(now, lines, own=own)
+            self.balancer.told_changes(now, lines, own=from_watch)
 
-    def _lines(self, news: News) -> list[Listed]:
-        """News as the decisions take it; what the list says of connections is acted upon here."""
+    def _list_entries(self, news: News) -> list[Listed]:
+        """Convert a list update to entries for the decisions, and update the connection pools from it."""
         lines = []
         for target, at in news.targets:
-            upstream = self._indices.get(target.uid)
+            upstream = self._index_by_uid.get(target.uid)
             if upstream is None:
                 if at is None or target.state == "left":
                     continue
-                upstream = self._indices[target.uid] = self.upstreams.add(at)
-                self._uids[upstream] = target.uid
-            lines.append(self._line(target, upstream))
-            self._note_state(target.uid, lines[-1].readiness, target)
+                upstream = self._index_by_uid[target.uid] = self.upstreams.add(at)
+                self._uid_by_index[upstream] = target.uid
+            lines.append(self._list_entry(target, upstream))
+            self._record_readiness(target.uid, lines[-1].readiness, target)
             self.upstreams.listed(
                 upstream,
                 at or self.upstreams.peers[upstream].at,
@@ -754,83 +794,101 @@
             )
         if news.whole:
             named = {target.uid for target, _ in news.targets}
-            for uid, upstream in self._indices.items():
-                if uid not in named and self._states.get(uid) is not Readiness.GONE:
-                    self._note_state(uid, Readiness.GONE, None)
-                    self._targets[uid] = structs.replace(self._targets[uid], state="left")
+            for uid, upstream in self._index_by_uid.items():
+                if uid not in named and self._readiness.get(uid) is not Readiness.GONE:
+                    self._record_readiness(uid, Readiness.GONE, None)
+                    self._target_by_uid[uid] = structs.replace(self._target_by_uid[uid], state="left")
                     self.upstreams.peers[upstream].withdraw()
         return lines
 
-    def _line(self, target: Target, upstream: int) -> Listed:
-        # guards: an entry that leaves out its place (one that is gone may) must not move the upstream, as
-        # repeats of what may have run there go by it. One never seen counts to the last zone that we spill to
-        was = self._targets.get(target.uid, target)
-        if target.az and target.az not in self._zones:
-            self.logger.warning("unknown zone in the list", uid=target.uid, zone=target.az)
-        az = target.az if target.az in self._zones or not was.az else was.az
-        cell = was.pod_group or 0 if target.pod_group is None else target.pod_group
-        self._targets[target.uid] = structs.replace(target, az=az, pod_group=cell)
-        self._places[upstream] = (az, cell)
-        zone = self._zones.get(az, (self._post.terms.zone - 1) % self._post.terms.zones)
+    def _list_entry(self, target: Target, upstream: int) -> Listed:
+        # An entry may omit its zone and cell (a removed one does); the upstream keeps its former ones, as
+        # repeats of fetches that may have executed there depend on them. An unseen upstream is assigned to
+        # the last spillover zone.
+        previous = self._target_by_uid.get(target.uid, target)
+        if target.az and target.az not in self._zone_index:
+            self.logger.warning("unknown zone in the upstream list", uid=target.uid, zone=target.az)
+        az = target.az if target.az in self._zone_index or not previous.az else previous.az
+        cell = previous.pod_group or 0 if target.pod_group is None else target.pod_group
+        self._target_by_uid[target.uid] = structs.replace(target, az=az, pod_group=cell)
+        self._place_by_index[upstream] = (az, cell)
+        zone = self._zone_index.get(az, (self._post.terms.zone - 1) % self._post.terms.zones)
         return Listed(
             upstream=upstream,
             mark=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
             zone=zone,
             cell=cell,
-            readiness=_READINESS.get(target.state, Readiness.DRAINING),  # unknown: nothing new
+            # an unknown state: no new requests
+            readiness=_READINESS_BY_STATE.get(target.state, Readiness.DRAINING),
             came_up=target.boot_ms - self._unix_offset if target.boot_ms > 0 else 0.0,
         )
 
-    def _note_state(self, uid: str, state: Readiness, target: Target | None) -> None:
-        if self._states.get(uid) is not state:
-            self._states[uid] = state
-            self._gone.pop(uid, None)
+    def _record_readiness(self, uid: str, state: Readiness, target: Target | None) -> None:
+        if self._readiness.get(uid) is not state:
+            self._readiness[uid] = state
+            self._gone_since.pop(uid, None)
             if state is Readiness.GONE:
-                self._gone[uid] = clock()
+                self._gone_since[uid] = clock()
             self.logger.info(
                 "upstream", uid=uid, state=state.name.lower(), boot_ms=target.boot_ms if target else None
             )
 
-    def tidy(self, now: float) -> None:
-        """Forget upstreams that are long gone. Guards: a fleet is replaced again and again, under new ids."""
-        if self._keeping is not None and not self._news_noted:
-            # guards: a version whose news is not in the list would never be asked for after a restart
+    def run_maintenance(self, now: float) -> None:
+        """Update the cached list and forget upstreams removed long ago, as fleets are often replaced under
+        new ids.
+        """
+        if self._list_cache is not None and not self._update_queued:
+            # A version is cached only with the complete list. After a restart, updates up to that version
+            # would never be requested again.
             whole = self.discovery.complete and not self.balancer.lease.lost
-            self._keeping.tidy(
+            self._list_cache.tidy(
                 self.discovery.rev if whole else 0,
-                lambda: [json.encode(target) for target in self._targets.values() if target.state != "left"],
+                lambda: [
+                    json.encode(target) for target in self._target_by_uid.values() if target.state != "left"
+                ],
             )
-        for uid, since in list(self._gone.items()):
-            upstream = self._indices[uid]
-            # one stays: what comes to a balancer that knows none is taken for its first list
-            if now - since < FORGET or self.upstreams.peers[upstream].errands or len(self._indices) == 1:
+        for uid, since in list(self._gone_since.items()):
+            upstream = self._index_by_uid[uid]
+            # keep one: a balancer that knows no upstream treats the next list as its first
+            if (
+                now - since < REMOVE_GONE_AFTER_MS
+                or self.upstreams.peers[upstream].errands
+                or len(self._index_by_uid) == 1
+            ):
                 return
             self.balancer.forget(upstream)
-            del self._gone[uid], self._indices[uid], self._states[uid], self._targets[uid]
-            del self.upstreams.peers[upstream], self._places[upstream], self._uids[upstream]
+            del (
+                self._gone_since[uid],
+                self._index_by_uid[uid],
+                self._readiness[uid],
+                self._target_by_uid[uid],
+            )
+            del self.upstreams.peers[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
 
-    # -- what the decisions ask for -----------------------------------------------------------------------
+    # -- Host: actions for the decisions ------------------------------------------------------------------
 
     def send(self, tag: int, upstream: int, time_out: float) -> None:
         taken = self.visits[tag]
-        if taken.ends:
+        if taken.fetch_ends:
             self.events.line(
                 "retry",
-                taken.ends[-1],
+                taken.fetch_ends[-1],
                 id=taken.request.trace.decode("latin-1"),
-                after=taken.ends,
+                after=taken.fetch_ends,
                 attempt=len(taken.errands) + 1,
-                upstream=self._uids[upstream],
+                upstream=self._uid_by_index[upstream],
             )
         taken.errands.append(None)
         times = self.upstreams.peers[upstream].times
-        # guards: counted from when it was decided, whenever it is carried out
-        until = self._turned + time_out
-        self._to_do.append((self._start, (taken, len(taken.errands) - 1, upstream, times, until)))
+        # The timeout counts from the decision, not from when the action is executed.
+        until = self._last_batch_at + time_out
+        self._pending_actions.append(
+            (self._start_fetch, (taken, len(taken.errands) - 1, upstream, times, until))
+        )
 
     def cancel(self, tag: int, fetch: int) -> None:
         if (taken := self.visits.get(tag)) is not None:
-            self._to_do.append((self._call_off, (taken, fetch)))
+            self._pending_actions.append((self._cancel_fetch, (taken, fetch)))
 
     def bounce(self, tag: int, retry_after: float) -> None:
         taken = self.visits[tag]
@@ -838,48 +896,56 @@
         self._log_refusal("rejected", taken)
         fields = b"Retry-After: %.3f\r\n" % (retry_after / 1e3) if retry_after else b""
         reply = taken, 503, fields, b"no room, try again\n"
-        if self.covering is None or self.covering.may_bounce(self._turned, taken, reply):
-            self._to_do.append((self.reply, reply))
+        if self.covering is None or self.covering.may_bounce(self._last_batch_at, taken, reply):
+            self._pending_actions.append((self.reply, reply))
 
     def fail(self, tag: int) -> None:
         taken = self.visits[tag]
         taken.answered = True
         self._log_refusal("failed", taken)
         if self.covering is not None:
-            self.covering.failed(self._turned, taken)
-        self._to_do.append((self.reply, (taken, 504 if taken.timed_out else 502, b"", b"no answer\n")))
+            self.covering.failed(self._last_batch_at, taken)
+        self._pending_actions.append(
+            (self.reply, (taken, 504 if taken.last_timed_out else 502, b"", b"no answer\n"))
+        )
 
     def _log_refusal(self, event: str, taken: Taken) -> None:
-        """Say why a request gets an answer that no upstream gave."""
-        why = "its attempts failed" if taken.ends else "no upstream has room for it in time"
-        if (withheld := self.balancer.lease.why(self._turned)) is not None:
+        """Log why a request gets an answer that did not come from an upstream."""
+        why = "its attempts failed" if taken.fetch_ends else "no upstream has room for it in time"
+        if (withheld := self.balancer.lease.why(self._last_batch_at)) is not None:
             why = withheld.value
         self.events.line(
-            event, why, id=taken.request.trace.decode("latin-1"), prefix=taken.terms.name, attempts=taken.ends
+            event,
+            why,
+            id=taken.request.trace.decode("latin-1"),
+            prefix=taken.terms.name,
+            attempts=taken.fetch_ends,
         )
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
-        self._wake_number += 1
-        heappush(self._wakes, (at, self._wake_number, call))
+        self._timer_number += 1
+        heappush(self._timers, (at, self._timer_number, call))
 
     def probe(self, upstream: int) -> None:
-        self._to_do.append((self._probe, (upstream,)))
+        self._pending_actions.append((self._send_probe, (upstream,)))
 
     def drop(self, upstream: int) -> None:
-        self._to_do.append((lambda now: self.upstreams.peers[upstream].drop_idle("it may be silent"), ()))
+        self._pending_actions.append(
+            (lambda now: self.upstreams.peers[upstream].drop_idle("it may be silent"), ())
+        )
 
     def tell(self, message: bytes) -> None:
-        if self.bank is not None:  # without links nothing is sent; what is told is only ever a hint
+        if self.bank is not None:  # without links nothing is sent; these messages are only hints
             self.bank.tell(message)
 
     def watch(self, on: bool) -> None:
         if self._pace is not None:
-            self._to_do.append((self._wanted, ()))
+            self._pending_actions.append((self._request_list_call, ()))
             return
-        self._to_do.append((lambda now: self.discovery.watch(on), ()))
+        self._pending_actions.append((lambda now: self.discovery.watch(on), ()))
 
     def refresh(self) -> None:
-        self._to_do.append((lambda now: self.discovery.refresh(), ()))
+        self._pending_actions.append((lambda now: self.discovery.refresh(), ()))
 
     def log(self, text: str) -> None:
         self.logger.info(text)
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -437,7 +437,7 @@
             now < errand.begin_by
             and errand.expires - now >= LEAST
             and errand.wanted()
-            and not self.pool.withheld()
+            and not self.pool.sends_blocked()
         ):
             return True
         errand.cut(Why.WITHDRAWN)
@@ -540,7 +540,7 @@
         self.events = events
         self.held = 0  # bytes of answers that are not yet whole
         self.adopt(connect_time_out, keep_idle)
-        self.withheld: Callable[[], bool] = _never  # whether nothing may begin at any upstream now
+        self.sends_blocked: Callable[[], bool] = _never  # whether nothing may begin at any upstream now
         self.peers: dict[int, Peer] = {}
         self._added = -1
         self.open: dict[Conn, None] = {}
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -171,7 +171,7 @@
             await settled(registry, service, 1)
             await place(day)
             async with asyncio.timeout(2):
-                while service.turn._states["u0"] is Readiness.READY:
+                while service.turn._readiness["u0"] is Readiness.READY:
                     await asyncio.sleep(0.005)
 
     play(story)
@@ -205,7 +205,7 @@
             watch.connection_lost(ConnectionResetError())
             plain.number = day.lists.begun + 1  # as if it had been asked for after the loss
             plain.data_received(day.whole() + END)  # of version 40
-            service.turn._turn()
+            service.turn._dispatch()
             assert service.turn.balancer.lease.lost
 
     play(story)
@@ -223,12 +223,12 @@
             moved(service, elsewhere)
             await elsewhere.until(lambda: bool(elsewhere.writers))
             await registry.tell(41, target("u0", peers[0].port, state="leaving"))
-            while service.turn._states["u0"] is Readiness.READY:
+            while service.turn._readiness["u0"] is Readiness.READY:
                 await asyncio.sleep(0)
             await elsewhere.tell(7, *(target(f"u{i}", p.port) for i, p in enumerate(peers)), whole=True)
             await elsewhere.until(lambda: len(elsewhere.requests) == 2)
             assert b"?watch=1" not in elsewhere.requests[1][0]  # the whole list has the last word
-            assert service.turn._states["u0"] is Readiness.DRAINING
+            assert service.turn._readiness["u0"] is Readiness.DRAINING
 
     play(story)
 
@@ -258,7 +258,7 @@
             ended = clock()
             while clock() - ended < 1_000.0:  # nobody else answers, and this one does not end
                 await asyncio.sleep(0.01)
-                service.turn._turn()
+                service.turn._dispatch()
                 assert service.turn.balancer.lease.withholds(ended + 300.0)
 
     play(story)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -214,7 +214,7 @@
         async with running(Peer(), sockets=64) as service:
             usual = await caller(service)
             assert (await usual.ask(request()))[0] == 200
-            flood = [await caller(service) for _ in range(6 * service.turn.most_clients)]
+            flood = [await caller(service) for _ in range(6 * service.turn.max_clients)]
             assert (await (await caller(service)).ask(request()))[0] == 200
             # the one that has asked something keeps its connection, those that are silent make room
             assert (await usual.ask(request()))[0] == 200
@@ -270,10 +270,10 @@
     async def story():
         async with running(Peer(), sockets=64) as service:
             held = []
-            for _ in range(3 * service.turn.most_clients):
+            for _ in range(3 * service.turn.max_clients):
                 held.append(await caller(service))
                 assert (await held[-1].ask(request()))[0] == 200
-            assert len(service.clients.open) <= service.turn.most_clients
+            assert len(service.clients.open) <= service.turn.max_clients
             assert await held[0].reader.read() == b""
 
     play(story)
@@ -288,10 +288,10 @@
             busy = await caller(service)
             busy.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
-            for _ in range(2 * service.turn.most_clients):
+            for _ in range(2 * service.turn.max_clients):
                 assert (await (await caller(service)).ask(request()))[0] == 200
             service.clients.tidy()
-            assert len(service.clients.open) <= service.turn.most_clients // 2
+            assert len(service.clients.open) <= service.turn.max_clients // 2
             peer.writers[0].write(ok(b"still there"))
             assert (await busy.answer())[2] == b"still there"
 
@@ -328,7 +328,7 @@
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
             held = []
-            for _ in range(2 * service.turn.most_clients):
+            for _ in range(2 * service.turn.max_clients):
                 held.append(await caller(service))
                 held[-1].writer.write(request(X_Expires_In="0.3"))
             answers = await asyncio.gather(*(client.answer() for client in held))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -576,7 +576,7 @@
             ):
                 await asyncio.sleep(0)
             assert (await usual.ask(request()))[0] == 200
-            assert len(peer.requests) == 2 and not service.turn.visits and not service.turn._ids
+            assert len(peer.requests) == 2 and not service.turn.visits and not service.turn._open_ids
             assert not service.turn.counts["faults"]
 
     play(story)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -187,7 +187,7 @@
         assert b"after=3" in registry.requests[0][0]
         again = Registry()
         async with running(registry=again, known=[], operator=lists) as service:
-            assert list(service.turn._targets) == ["s-9"]
+            assert list(service.turn._target_by_uid) == ["s-9"]
             await again.until(lambda: bool(again.requests))
             assert b"watch=1&after=41" in again.requests[0][0]
             # it may be of any age until the service has said that it is not
@@ -223,7 +223,7 @@
         (tmp_path / "kept").write_bytes(text)
         registry = Registry()
         async with running(registry=registry, operator=lists, known=[target("s-1", 9_001)]) as service:
-            assert list(service.turn._targets) == ["s-1"]
+            assert list(service.turn._target_by_uid) == ["s-1"]
             await registry.until(lambda: bool(registry.requests))
             assert b"after=3" in registry.requests[0][0]
             await heard(service, registry)
@@ -236,7 +236,7 @@
     async def story():
         (tmp_path / "kept").write_bytes(kept.encode(time() * 1e3, 2, TARGETS))
         async with running(operator=lists, known=[target("s-1", 9_001)]) as service:  # version 3
-            assert list(service.turn._targets) == ["s-1"]
+            assert list(service.turn._target_by_uid) == ["s-1"]
 
     asyncio.run(story())
 
@@ -248,7 +248,9 @@
         registry = Registry()
         async with running(registry=registry, known=[], operator=on) as service:
             await registry.tell(41, target("s-9", 9_009), whole=True)
-            await until(lambda: service.turn._keeping._writing is None and service.turn._keeping._written)
+            await until(
+                lambda: service.turn._list_cache._writing is None and service.turn._list_cache._written
+            )
             assert service.turn.ready()
 
     asyncio.run(story())
@@ -328,6 +330,6 @@
             service.reload(lambda: (larger, lists))
             assert service.turn._pace.window == pytest.approx(10 * window)
             service.reload(lambda: (post, operator.OFF))
-            assert service.turn._pace is None and service.turn._keeping is not None
+            assert service.turn._pace is None and service.turn._list_cache is not None
 
     asyncio.run(story())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -56,7 +56,7 @@
     # room was made again and again in one pass, in which nothing is closed: over the limit by half of it
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.most_clients
+            most = service.turn.max_clients
             idle = [await caller(service) for _ in range(most // 2)]
             for client in idle:
                 if asked:
@@ -124,7 +124,7 @@
     # after a late pass the listener may be read before a request that lies in a connection's socket
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.most_clients
+            most = service.turn.max_clients
             held = [await caller(service) for _ in range(most // 2)]
             if asked:
                 for client in held:
@@ -152,7 +152,7 @@
         monkeypatch.setattr(clients, "FRESH", 60.0)
         monkeypatch.setattr(clients.Clients, "_make_room", lambda *_: False)  # they are all busy
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.most_clients
+            most = service.turn.max_clients
             held = [await caller(service) for _ in range(most)]
             await until(lambda: len(service.clients.open) == most)
             (sock,) = waiting(service, 1)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -173,7 +173,7 @@
             Delay(late, lambda: leave(sock, how))()
             room()
             service.turn.balancer._look(clock())
-            service.turn._turn()  # the very next thing; nothing is read before
+            service.turn._dispatch()  # the very next thing; nothing is read before
             await over(service)
             assert (len(peer.requests), len(peer.writers)) == begun
             await only_next(service, peer)
@@ -220,7 +220,7 @@
 
             def nth(self, errand, *args):
                 ran.append(errand)
-                turns.add(service.turn._turned)
+                turns.add(service.turn._last_batch_at)
                 if len(ran) == before:
                     delay()
                 run(self, errand, *args)
@@ -267,11 +267,11 @@
             if where == "held":
                 room()
                 service.turn.balancer._look(clock())
-                service.turn._turn()
+                service.turn._dispatch()
             await over(service)
             while service.clients.open:
                 await asyncio.sleep(0)
-            assert not gate.got and not service.turn.upstreams.open and not service.turn._ids
+            assert not gate.got and not service.turn.upstreams.open and not service.turn._open_ids
             assert not service.turn.balancer._held and not service.turn.counts["faults"]
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -321,7 +321,7 @@
             if how == "left":
                 leave(sock)
                 next(iter(service.clients.open)).eof_received()
-                service.turn._turn()
+                service.turn._dispatch()
             else:
                 errand.cut(upstreams.Why.TIMED_OUT)
             with suppress(ConnectionResetError):
@@ -343,7 +343,7 @@
     async def story():
         peer = Peer()
         async with running(peer) as service:
-            sock, turn, take, met = connected(service), service.turn, service.turn.take, []
+            sock, turn, take, met = connected(service), service.turn, service.turn.accept_request, []
 
             def taken(asked, client):
                 met.append(take(asked, client))
@@ -351,11 +351,11 @@
                 reload(service, ["change", "tag", "read"])  # plays the turn of what has come, at once
                 return met[0]
 
-            turn.take = taken
+            turn.accept_request = taken
             sock.sendall(request())
             while not met:
                 await asyncio.sleep(0)
-            turn.take = take
+            turn.accept_request = take
             await over(service)
             assert not peer.requests and not peer.writers
             await only_next(service, peer)
@@ -373,13 +373,13 @@
             sock.sendall(request())
             while not balancer._held:
                 await asyncio.sleep(0)
-            turn._alarm.cancel()
-            turn._wakes = [(clock(), -1, balancer._look)]  # due now, and the loop is late from now on
-            Delay(late, lambda: leave(sock))()  # over `LATE`
+            turn._loop_timer.cancel()
+            turn._timers = [(clock(), -1, balancer._look)]  # due now, and the loop is late from now on
+            Delay(late, lambda: leave(sock))()  # over `LATE_TIMER_MS`
             room()
             placed, place = [], balancer._place
             monkeypatch.setattr(balancer, "_place", lambda *args: placed.append(args) or place(*args))
-            turn._ring()
+            turn._on_loop_timer()
             await over(service)
             assert not placed and not peer.requests and not peer.writers
 
@@ -413,7 +413,7 @@
                 out, one.out = one.out, []
                 for to, message in out:
                     everybody[to].heard(clock(), name, message)
-        self.turn.note(self.turn.covering_news)
+        self.turn.note(self.turn.run_takeover_results)
 
 
 @CANCEL
@@ -434,11 +434,11 @@
             else:
                 Delay(late, lambda: leave(sock))()
             guarded.carry()
-            turn._turn()  # the permit is there, and nothing was read before
+            turn._dispatch()  # the permit is there, and nothing was read before
             await over(service)
             assert not peer.requests and not peer.writers
             # and it is forgotten: nobody will send a word of it
-            assert not turn._ids and not turn.covering._waiting and not guarded.own.hands
+            assert not turn._open_ids and not turn.covering._waiting and not guarded.own.hands
 
     play(story)
 
@@ -465,9 +465,9 @@
             assert asked_kind is not None
             leave(sock)
             guarded.carry()
-            turn._turn()
+            turn._dispatch()
             await over(service)
-            assert not peer.requests and not peer.writers and not turn._ids and not turn.covering._asking
+            assert not peer.requests and not peer.writers and not turn._open_ids and not turn.covering._asking
 
     play(story)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,7 +30,7 @@
 from ospreyline.host import Kind
 from ospreyline.net import upstreams
 from ospreyline.net.covering import Covering
-from ospreyline.net.turn import LATE, clock
+from ospreyline.net.turn import LATE_TIMER_MS, clock
 
 
 def reload(service, names, **settings):
@@ -195,8 +195,8 @@
                 await asyncio.sleep(0)
 
             def noted(at, call):
-                if call == service.turn._watch_again:
-                    waits.append(at - service.turn._turned)
+                if call == service.turn._reopen_watch:
+                    waits.append(at - service.turn._last_batch_at)
                 wake(at, call)
 
             service.turn.wake = noted
@@ -236,12 +236,12 @@
             line = json.dumps({"rev": 5, "targets": [leaving]}).encode() + b"\n"
             sock = registry.writers[0].transport.get_extra_info("socket")
             os.write(sock.fileno(), b"%x\r\n%b\r\n" % (len(line), line))  # it is in our socket now
-            turn._alarm.cancel()
+            turn._loop_timer.cancel()
             if late:
-                turn._wakes = [(at - 10 * LATE, *more) for at, *more in turn._wakes]
-            turn._wakes.append((clock() - (10 * LATE if late else 0.0), -1, balancer._look))
-            turn._wakes.sort(key=lambda wake: wake[:2])
-            turn._ring()
+                turn._timers = [(at - 10 * LATE_TIMER_MS, *more) for at, *more in turn._timers]
+            turn._timers.append((clock() - (10 * LATE_TIMER_MS if late else 0.0), -1, balancer._look))
+            turn._timers.sort(key=lambda wake: wake[:2])
+            turn._on_loop_timer()
             assert (await client.answer())[0] == 503
             assert len(peer.requests) == 1
 
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -141,7 +141,7 @@
 
             def ended(now, taken, number, outcome):
                 # both events are there when the turn begins: the reset first, then the leaving
-                turn.left(next(iter(service.clients.open)))
+                turn.client_left(next(iter(service.clients.open)))
                 real(now, taken, number, outcome)
 
             turn.ended = ended
@@ -201,7 +201,7 @@
             monkeypatch.setattr(balancer, "_place", place)
             sock.close()  # from here to the turn nothing is read
             balancer._look(clock())
-            service.turn._turn()
+            service.turn._dispatch()
             while service.turn.visits:
                 await asyncio.sleep(0)
             await passes()
@@ -235,15 +235,15 @@
     async def story():
         peer = Peer()
         async with running(peer) as service:
-            turn, real, met = service.turn, service.turn.take, []
+            turn, real, met = service.turn, service.turn.accept_request, []
 
             def take(asked, client):
                 taken = real(asked, client)
-                turn.left(client)  # both are noted when the turn begins
+                turn.client_left(client)  # both are noted when the turn begins
                 met.append(client)
                 return taken
 
-            turn.take = take
+            turn.accept_request = take
             client = await caller(service)
             client.writer.write(request())
             while not met:
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -121,8 +121,8 @@
     async def story() -> None:
         async with running(Peer(), registry=Registry(), Discovery=how) as service:
             lease = service.turn.balancer.lease
-            service.turn._renew_lease(0.0, UpdateRead(1, 3, False))
-            service.turn._renew_lease(1.0, EndedInForm(2, False))
+            service.turn._on_lease_message(0.0, UpdateRead(1, 3, False))
+            service.turn._on_lease_message(1.0, EndedInForm(2, False))
             assert lease.withholds(600.0) is not counts_later
             assert lease.withholds(TOLD_AT_LAST * 1e3 + 600.0)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -208,7 +208,7 @@
                 await new.until(lambda: bool(new.writers))
                 call = service.turn.discovery._watch
                 balancer._beat(clock())
-                service.turn._turn()
+                service.turn._dispatch()
                 assert service.turn.discovery._watch is call is not None
 
     play(story)
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -59,7 +59,7 @@
             elif what == "second answer":
                 conn.sendall(ok(b"first"))
             balancer._look(clock())
-            service.turn._turn()
+            service.turn._dispatch()
             if what == "nothing":
                 got = await loop.sock_recv(conn, 65_536)
             else:
@@ -145,11 +145,11 @@
     async def story():
         peer = Peer(SILENT)
         async with running(peer) as service:
-            turn, real, written = service.turn, service.turn._take, []
+            turn, real, written = service.turn, service.turn._begin_visit, []
 
             def take(now, taken):
                 real(now, taken)
-                turn._told(now, turn_news())
+                turn._on_list_update(now, turn_news())
 
             def turn_news():
                 from ospreyline.net.listing import News, Target
@@ -169,7 +169,7 @@
                 start(conn, errand, now)
 
             monkeypatch.setattr(upstreams.Conn, "start", noted)
-            monkeypatch.setattr(turn, "_take", take)
+            monkeypatch.setattr(turn, "_begin_visit", take)
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
             await client.answer()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -38,7 +38,7 @@
 from ospreyline.net import service as service_module
 from ospreyline.net import turn as turn_module
 from ospreyline.net.listing import Target
-from ospreyline.net.turn import FORGET, clock
+from ospreyline.net.turn import REMOVE_GONE_AFTER_MS, clock
 
 
 def whole_list(rev: int, *targets: dict[str, Any]) -> bytes:
@@ -158,10 +158,14 @@
             turn = service.turn
             young = Target("u0", "127.0.0.1:1", "a", 0, "active", time.time() * 1e3 - 5_000)
             old = Target("u1", "127.0.0.1:1", "a", 0, "active", 0)
-            assert turn._line(young, 0).came_up == pytest.approx(clock() - 5_000, abs=500)
-            assert turn._line(young, 0).came_up == turn._line(young, 0).came_up
-            assert turn._line(old, 1).came_up == 0.0
-            assert turn._line(old, 1).mark == turn._line(old, 5).mark != turn._line(young, 0).mark
+            assert turn._list_entry(young, 0).came_up == pytest.approx(clock() - 5_000, abs=500)
+            assert turn._list_entry(young, 0).came_up == turn._list_entry(young, 0).came_up
+            assert turn._list_entry(old, 1).came_up == 0.0
+            assert (
+                turn._list_entry(old, 1).mark
+                == turn._list_entry(old, 5).mark
+                != turn._list_entry(young, 0).mark
+            )
 
     play(story)
 
@@ -170,11 +174,11 @@
     async def story():
         async with running(Peer(), Peer()) as service:
             turn = service.turn
-            turn._line(Target("u0", az="b", pod_group=4), 0)
+            turn._list_entry(Target("u0", az="b", pod_group=4), 0)
             for odd in (Target("u0", state="left"), Target("u0", az="nowhere")):
-                line = turn._line(odd, 0)
+                line = turn._list_entry(odd, 0)
                 assert (line.zone, line.cell) == (1, 4)
-            assert turn._line(Target("u0", az="a", pod_group=2), 0).zone == 0
+            assert turn._list_entry(Target("u0", az="a", pod_group=2), 0).zone == 0
 
     play(story)
 
@@ -278,14 +282,19 @@
             for n in range(20):
                 old = [target(f"s{n - 1}", peer.port, state="left")] if n else []
                 await registry.tell(n + 4, target(f"s{n}", peer.port), *old)
-                while f"s{n}" not in turn._indices:
+                while f"s{n}" not in turn._index_by_uid:
                     await asyncio.sleep(0)
                 while (await client.ask(request()))[0] != 200:
                     pass
                 await peer.until(lambda: peer.open == 1)  # no connection carries over
-                turn.tidy(clock() + FORGET + 1)
-            assert len(turn._indices) == len(turn._states) == len(turn._targets) == len(turn.upstreams.peers)
-            assert len(turn._indices) == len(turn.balancer._upstreams) == len(turn.balancer._ring) <= 2
+                turn.run_maintenance(clock() + REMOVE_GONE_AFTER_MS + 1)
+            assert (
+                len(turn._index_by_uid)
+                == len(turn._readiness)
+                == len(turn._target_by_uid)
+                == len(turn.upstreams.peers)
+            )
+            assert len(turn._index_by_uid) == len(turn.balancer._upstreams) == len(turn.balancer._ring) <= 2
 
     play(story)
 
@@ -503,7 +512,7 @@
             monkeypatch.setattr(turn_module, "clock", lambda: at[0])
             for passed in (0.0, stood):
                 at[0] += passed
-                turn._turn()
+                turn._dispatch()
             at[0] += after
             client = await caller(service)
             status, _, _ = await client.ask(request("/change/x", "POST", b"{}", X_Expires_In="0.7"))
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -38,7 +38,7 @@
     async def story():
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
-            most = service.turn.most_clients
+            most = service.turn.max_clients
             callers: list[Caller] = []
             for _ in range(most):
                 callers.append(await caller(service))
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -175,7 +175,7 @@
             await heard(service, registry)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200
-            take, seen = service.turn.take, []
+            take, seen = service.turn.accept_request, []
 
             def taken(found, by):
                 done = take(found, by)
@@ -183,7 +183,7 @@
                 seen.append(next(iter(service.turn.visits.values())).handle.lane.kind)
                 return done
 
-            service.turn.take = taken  # type: ignore[method-assign]
+            service.turn.accept_request = taken  # type: ignore[method-assign]
             assert (await client.ask(request("/read/x")))[0] == 200
             assert seen == [Kind.READ_LIKE]
 
@@ -196,7 +196,7 @@
         async with running(*peers, registry=registry) as service:
             await registry.tell(4, target("u0", peers[0].port, state="leaving"))
             client = await caller(service)
-            while (await client.ask(request()))[0] != 200 or service.turn._states["u0"].name != "DRAINING":
+            while (await client.ask(request()))[0] != 200 or service.turn._readiness["u0"].name != "DRAINING":
                 pass
             before = len(peers[0].requests)
             for old in (False, True):
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -15,7 +15,7 @@
 
 from ospreyline.decide import BEAT, Visit
 from ospreyline.host import End
-from ospreyline.net.turn import STOOD
+from ospreyline.net.turn import STALL_MS
 from ospreyline.net.upstreams import Errand
 
 CONNECTING, SERVING = 250.0, 50.0  # ms that a fetch takes that is not reached, or served
@@ -170,10 +170,11 @@
             assert isinstance(errand, Errand)
             (u,) = turn.balancer._upstreams.values()
             was = u.level.latency
-            before = 10_000.0 if stood else STOOD / 2  # the clock cannot be turned on: all else is put back
+            # the clock cannot be advanced, so all other times are put back
+            before = 10_000.0 if stood else STALL_MS / 2
             errand.sent -= before
             errand.expires -= before
-            turn._turned = errand.sent if stood else turn._turned
+            turn._last_batch_at = errand.sent if stood else turn._last_batch_at
             span = errand.expires - errand.sent
             errand.peer._expire(errand)
             assert (await client.answer())[0] >= 500
