--- a/ospreyline/net/clients.py
+++ b/ospreyline/net/clients.py
@@ -1,7 +1,7 @@
-"""Clients as peers: connections accepted, requests read, final answers written.
+"""Client connections: accepts them, reads their requests and writes the final answers.
 
-A request that is whole becomes a `Request`; its fields are taken out where decisions need them, the rest
-stays the bytes that came. Every request read gets exactly one answer on its connection, in order.
+A whole request becomes a `Request`: the header fields that decisions need are parsed, the rest is forwarded
+as received. Every request read gets exactly one answer on its connection, in order.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
 
 from ospreyline.net.events import EventLog
 from ospreyline.net.sockets import drain, shut, unacknowledged
-from ospreyline.net.upstreams import HOP_BY_HOP, MOST_BODY, MOST_HEAD, MOST_RAW, unread
-
-IDLE = 75.0  # s that a connection may stand between requests
-SILENT = 2.0  # s that one may stand before its first byte
-SLOW = 2.3  # s that a request may take to come, or an answer to go
-FRESH = 0.02  # s after which one that has sent nothing may be closed, if there is no room
-SETTLED = 0.1  # s without a byte after which we may close an idle connection
-FIRST = 1.0  # s that a connection gets for its first request, though we are ending
-LINGER = 1.0  # s that a connection is read on after its last answer
-MOST_LINGER = 1 << 20  # bytes that are read on
-# what goes on to upstreams only as the balancer words it
-OWN_FIELDS = HOP_BY_HOP | {b"expect", b"x-expires-in"}
-OWN_PATHS = (b"/health/ready", b"/health/live")
-OWN = -1  # in place of a path prefix: answered by the balancer itself
-ONCE_FIELDS = frozenset(
+from ospreyline.net.upstreams import HOP_BY_HOP, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_RAW_BYTES, unread
+
+IDLE_TIMEOUT_S = 75.0  # a connection may be idle between requests for this long
+FIRST_BYTE_TIMEOUT_S = 2.0  # a new connection may send nothing for this long
+TRANSFER_TIMEOUT_S = 2.3  # time limit for receiving a request, or for sending an answer
+SILENT_EVICTION_AGE_S = 0.02  # age at which a connection that has sent nothing may be evicted at the limit
+QUIET_BEFORE_CLOSE_S = 0.1  # an idle connection may be closed after this long without a byte
+# during shutdown, a new connection may still send its first request within this time
+FIRST_REQUEST_GRACE_S = 1.0
+LINGER_S = 1.0  # after its last answer a connection is still read for this long
+# received bytes after the last answer beyond which the connection is closed at once
+MAX_LINGER_BYTES = 1 << 20
+# header fields that are not forwarded as received; the balancer sets its own values where needed
+REPLACED_FIELDS = HOP_BY_HOP | {b"expect", b"x-expires-in"}
+HEALTH_PATHS = (b"/health/ready", b"/health/live")
+NO_PREFIX = -1  # instead of a path prefix: a health check, answered by the balancer itself
+SINGLE_VALUE_FIELDS = frozenset(
     (
         b"x-trace-id",
         b"x-qos",
@@ -46,8 +48,8 @@
         b"host",
     )
 )
-LAST_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv of the system's `struct tcp_info`
-ID = re.compile(rb"[!-~]{1,128}")  # of a request
+TCP_INFO_LAST_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv (ms) in the kernel's `struct tcp_info`
+REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 
 
 @dataclass(slots=True)
@@ -55,26 +57,27 @@
     """One whole request."""
 
     method: bytes
-    path: bytes  # with its query
-    fields: bytes  # those that go on
+    path: bytes  # including the query
+    fields: bytes  # header fields to forward
     body: bytes
-    prefix: int  # or OWN
-    trace: bytes  # its id
+    prefix: int  # index of the path prefix, or NO_PREFIX
+    trace: bytes  # request id
     time_left: float | None
     repeat: bool
-    asks: bool = False  # its client asks again for what it sent under this very id, and had no answer to
+    # its client got no answer to an earlier request with this id and asks again for the outcome
+    asks: bool = False
 
     def head(self) -> bytes:
-        """The head that goes on to an upstream, without the blank line at its end."""
+        """Request line and header fields to send to an upstream, without the final blank line."""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.body or self.method != b"GET" else b""
         return b"%b %b HTTP/1.1\r\n%b%b" % (self.method, self.path, self.fields, length)
 
 
 class Door(Protocol):
-    """Where whole requests go."""
+    """Handles whole requests."""
 
     prefixes: dict[bytes, int]
-    tagged: frozenset[int]  # those prefixes whose visits need a key
+    tagged: frozenset[int]  # indices of the prefixes whose visits need an idempotency key
     closing: bool
     counts: Counter[str]
 
@@ -84,7 +87,7 @@
 
 
 class BadRequest(Exception):
-    """A request that cannot be taken; it stops at its connection."""
+    """A request that is rejected at its connection with an HTTP status."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -104,96 +107,99 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
         self.transport: asyncio.Transport | None = None
-        self.since = clients.loop.time()  # it has been idle, or reading, or writing, since then
-        self.out: Request | None = None  # the one that its client waits for
-        self.tag = -1  # what the door calls it
+        # loop time (s) at which it became idle, or began to read a request or to write an answer
+        self.state_since = clients.loop.time()
+        self.out: Request | None = None  # the request that is waiting for its answer
+        self.tag = -1  # the visit's tag at the door
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._waiting: deque[Request | BadRequest] = deque()
-        self.asked = False  # it has sent a whole request
-        self._left_over = 0  # bytes behind its last answer
-        self._keep = True
+        self._unhandled: deque[Request | BadRequest] = deque()
+        self.has_requested = False  # has sent at least one whole request
+        self._trailing_bytes = 0  # received after its last answer
+        self._keep_alive = True
         self._reading = False
-        self._over = False
-        self._clear()
+        self._finished = False
+        self._reset_request()
 
-    def _clear(self) -> None:
+    def _reset_request(self) -> None:
         self._path = b""
         self._fields: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
-        self._raw = self._size = 0
+        self._raw_bytes = self._body_bytes = 0
         self._head_done = False
-        self.spared = False  # it was overdue once, with bytes in its socket
+        self.spared_once = False  # was overdue once, with unread bytes in its socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.clients.open[self] = None
-        self.clients._coming -= 1
+        self.clients._accepting -= 1
 
-    def spare(self) -> int:
-        """How readily it makes room: 2 last answer written, 1 has asked nothing, 0 idle, -1 not at all."""
+    def eviction_rank(self) -> int:
+        """Eviction order: 2 last answer written, 1 no request yet, 0 idle; -1 must not be evicted."""
         if self.transport is not None and self.transport.get_write_buffer_size():
-            return -1  # guards: an answer that its client is still reading would be cut short
-        if self._over and self.out is None and not self._waiting:
+            return -1  # closing would cut short an answer that the client is still reading
+        if self._finished and self.out is None and not self._unhandled:
             return 2
-        return -1 if not self.idle() else 0 if self.asked else 1
+        return -1 if not self.is_idle() else 0 if self.has_requested else 1
 
-    def idle(self) -> bool:
-        return self.out is None and not self._reading and not self._waiting and not self._over
+    def is_idle(self) -> bool:
+        return self.out is None and not self._reading and not self._unhandled and not self._finished
 
-    def busy(self) -> bool:
-        """Whether a request is coming, or waits for its answer."""
-        return self.out is not None or bool(self._waiting) or (self._reading and not self._over)
+    def is_busy(self) -> bool:
+        """Whether a request is being received or is waiting for its answer."""
+        return self.out is not None or bool(self._unhandled) or (self._reading and not self._finished)
 
     def data_received(self, data: bytes) -> None:
-        if self._over or not self._keep:
-            # behind the last request that is answered here
-            self._left_over += len(data)
-            if self._left_over > MOST_LINGER:
-                # guards: a body of 60 MB costs the core that others wait for
+        if self._finished or not self._keep_alive:
+            # data after the last request that is answered on this connection
+            self._trailing_bytes += len(data)
+            if self._trailing_bytes > MAX_LINGER_BYTES:
+                # without this limit, reading on a body of 60 MB takes CPU time that other clients need
                 self.drop("too much behind its last answer")
             return
-        self._raw += len(data)
+        self._raw_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            if not self._head_done and self._raw > MOST_HEAD:
+            if not self._head_done and self._raw_bytes > MAX_HEAD_BYTES:
                 raise BadRequest(431)
-            if self._raw > MOST_RAW:
-                # guards: trailers and chunk headers are no body and have no end, nor have empty lines between
+            if self._raw_bytes > MAX_RAW_BYTES:
+                # trailers, chunk headers and empty lines between requests are not part of a body and have no
+                # other limit
                 raise BadRequest(413)
         except httptools.HttpParserUpgrade:
-            self._keep = False  # no other protocol is spoken here
+            self._keep_alive = False  # protocol upgrades are not supported
             if self._reading:
-                self._bad(BadRequest(400))
+                self._reject(BadRequest(400))
         except httptools.HttpParserError as error:
-            if not self._keep:
-                return self._next()
+            if not self._keep_alive:
+                return self._handle_next()
             cause = error.__context__
-            self._bad(cause if isinstance(cause, BadRequest) else BadRequest(400))
+            self._reject(cause if isinstance(cause, BadRequest) else BadRequest(400))
         except BadRequest as error:
-            self._bad(error)
-        self._next()
+            self._reject(error)
+        self._handle_next()
 
-    def _bad(self, error: BadRequest) -> None:
-        """Nothing behind this can be read: its answer is the connection's last."""
+    def _reject(self, error: BadRequest) -> None:
+        """Reject a request after which nothing more can be parsed: its answer is the connection's last."""
         self._reading = False
-        self._waiting.append(error)
-        self._over = True
+        self._unhandled.append(error)
+        self._finished = True
 
-    # the parser's calls
+    # callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
-        if self.out is not None or self._waiting:
-            # guards: hundreds of requests at once. One is asked at a time; none that came together goes on
-            self._waiting.clear()
+        if self.out is not None or self._unhandled:
+            # Requests are accepted one at a time: pipelining could bring hundreds at once. None of those that
+            # arrived together is forwarded.
+            self._unhandled.clear()
             raise BadRequest(400)
-        self._clear()
+        self._reset_request()
         self._reading = True
-        self.since = self.clients.loop.time()
+        self.state_since = self.clients.loop.time()
 
     def on_url(self, url: bytes) -> None:
         self._path += url
@@ -204,19 +210,19 @@
 
     def on_headers_complete(self) -> None:
         self._head_done = True
-        if len(self._path) + sum(len(name) + len(value) for name, value in self._fields) > MOST_HEAD:
+        if len(self._path) + sum(len(name) + len(value) for name, value in self._fields) > MAX_HEAD_BYTES:
             raise BadRequest(431)
         named: dict[bytes, bytes] = {}
         for name, value in self._fields:
-            known = name.lower()
-            if known in named and known in ONCE_FIELDS:
+            lower_name = name.lower()
+            if lower_name in named and lower_name in SINGLE_VALUE_FIELDS:
                 raise BadRequest(400)
-            named[known] = value
+            named[lower_name] = value
         if b"content-length" in named and b"transfer-encoding" in named:
             raise BadRequest(400)
         if named.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
             raise BadRequest(501)
-        if int(named.get(b"content-length", b"0")) > MOST_BODY:
+        if int(named.get(b"content-length", b"0")) > MAX_BODY_BYTES:
             raise BadRequest(413)
         if (
             named.get(b"expect", b"").lower() == b"100-continue"
@@ -226,54 +232,54 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > MOST_BODY:
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_BODY_BYTES:
             raise BadRequest(413)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
         self._reading = False
-        self.asked = True
+        self.has_requested = True
         keep = self._parser.should_keep_alive()
         try:
-            self._waiting.append(self._request())
+            self._unhandled.append(self._parse_request())
         except BadRequest as error:
-            self._waiting.append(error)
+            self._unhandled.append(error)
         if not keep:
-            self._keep = False
+            self._keep_alive = False
 
-    def _request(self) -> Request:
-        own = {}
-        dropped = set(OWN_FIELDS)
+    def _parse_request(self) -> Request:
+        values = {}
+        removed = set(REPLACED_FIELDS)
         for name, value in self._fields:
-            known = name.lower()
-            own[known] = value
-            if known == b"connection":
-                # guards: a client must not have the fields taken out that its effect depends on
+            lower_name = name.lower()
+            values[lower_name] = value
+            if lower_name == b"connection":
+                # a client must not name fields in Connection that the effect of its request depends on
                 named = {part.strip() for part in value.lower().split(b",")}
-                dropped |= named - {b"x-trace-id", b"idempotency-key", b"host"}
+                removed |= named - {b"x-trace-id", b"idempotency-key", b"host"}
         method = self._parser.get_method()
-        if method == b"GET" and self._path in OWN_PATHS:
-            return Request(method, self._path, b"", b"", OWN, b"", None, False)
+        if method == b"GET" and self._path in HEALTH_PATHS:
+            return Request(method, self._path, b"", b"", NO_PREFIX, b"", None, False)
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             raise BadRequest(505)
         if not self._path.startswith(b"/"):
             raise BadRequest(400)
         name = self._path.split(b"?", 1)[0].split(b"/", 2)[1]
-        prefix = self.clients.door.prefixes.get(name, OWN)
-        if prefix == OWN:
+        prefix = self.clients.door.prefixes.get(name, NO_PREFIX)
+        if prefix == NO_PREFIX:
             raise BadRequest(404)
-        if own.get(b"x-qos", name) != name:
-            raise BadRequest(400)  # its two names of the path prefix differ
-        # guards: upstreams turn away what has no id, which would count as their failure; and a repeat of a
-        # tagged visit is known by its key alone
-        trace = own.get(b"x-trace-id", b"")
-        if not ID.fullmatch(trace) or (
-            prefix in self.clients.door.tagged and not own.get(b"idempotency-key")
+        if values.get(b"x-qos", name) != name:
+            raise BadRequest(400)  # header and path name different prefixes
+        # Upstreams reject a request without an id, which would count as a failure of theirs, and a repeat of
+        # a tagged visit is recognized only by its key.
+        trace = values.get(b"x-trace-id", b"")
+        if not REQUEST_ID.fullmatch(trace) or (
+            prefix in self.clients.door.tagged and not values.get(b"idempotency-key")
         ):
             raise BadRequest(400)
         left: float | None = None
-        if (text := own.get(b"x-expires-in")) is not None:
+        if (text := values.get(b"x-expires-in")) is not None:
             try:
                 left = 1e3 * float(text)
             except ValueError:
@@ -283,83 +289,83 @@
         return Request(
             method=method,
             path=self._path,
-            fields=b"".join(b"%b: %b\r\n" % f for f in self._fields if f[0].lower() not in dropped),
+            fields=b"".join(b"%b: %b\r\n" % f for f in self._fields if f[0].lower() not in removed),
             body=b"".join(self._body),
             prefix=prefix,
             trace=trace,
             time_left=left,
-            repeat=(again := own.get(b"x-second-try", b"").strip()) in (b"1", b"same"),
+            repeat=(again := values.get(b"x-second-try", b"").strip()) in (b"1", b"same"),
             asks=again == b"same",
         )
 
     # visits and their answers
 
-    def _next(self) -> None:
-        """Take the next request, if none is out."""
-        while self.out is None and self._waiting:
-            found = self._waiting.popleft()
+    def _handle_next(self) -> None:
+        """Handle the queued requests as long as none is waiting for its answer."""
+        while self.out is None and self._unhandled:
+            found = self._unhandled.popleft()
             if isinstance(found, BadRequest):
                 self.clients.door.counts[f"door_{found.status}"] += 1
-                self.answer(response(found.status, b"", b"", self._last()))
-            elif found.prefix == OWN:
+                self.write_answer(response(found.status, b"", b"", self._is_last_answer()))
+            elif found.prefix == NO_PREFIX:
                 ok = found.path != b"/health/ready" or self.clients.door.ready()
                 status, body = (200, b"ok\n") if ok else (503, b"not ready\n")
-                self.answer(response(status, b"", body, self._last()))
+                self.write_answer(response(status, b"", body, self._is_last_answer()))
             else:
                 self.out = found
                 if not self.clients.door.accept_request(found, self):
-                    # guards: the id of another's open request would be a second copy at an upstream, and
-                    # whoever waits for that id may get the other's answer
+                    # Another open request has this id: forwarding it would send an upstream a second copy,
+                    # and a client asking again for the id could get the wrong answer.
                     self.out = None
                     self.clients.door.counts["door_409"] += 1
-                    self.answer(response(409, b"", b"", self._last()))
+                    self.write_answer(response(409, b"", b"", self._is_last_answer()))
 
-    def _last(self) -> bool:
-        """Whether the answer to come is the last on this connection."""
-        return not self._waiting and (self._over or not self._keep or self.clients.door.closing)
+    def _is_last_answer(self) -> bool:
+        """Whether the next answer is the last on this connection."""
+        return not self._unhandled and (self._finished or not self._keep_alive or self.clients.door.closing)
 
     def reply(self, status: int, fields: bytes, body: bytes) -> None:
-        """The final answer to the visit that is out."""
+        """Write the final answer to the current visit."""
         request, self.out, self.tag = self.out, None, -1
         head_only = request is not None and request.method == b"HEAD"
-        self.answer(response(status, fields, body, self._last(), head_only))
-        self._next()
+        self.write_answer(response(status, fields, body, self._is_last_answer(), head_only))
+        self._handle_next()
 
-    def answer(self, data: bytes) -> None:
+    def write_answer(self, data: bytes) -> None:
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        last = self._last()
-        self.since = self.clients.loop.time()
+        last = self._is_last_answer()
+        self.state_since = self.clients.loop.time()
         transport.write(data)
         if last:
-            self.finish()
+            self.start_lingering_close()
 
-    def finish(self) -> None:
-        """No further answer: half-close and read on for a moment.
+    def start_lingering_close(self) -> None:
+        """Send nothing more: half-close, and keep reading for a moment (lingering close).
 
-        Guards: closed with bytes unread, the connection is reset, and the reset can destroy the answer.
+        Closing with unread bytes would reset the connection, and a reset can destroy the answer.
         """
-        self._over = True
-        self.since = self.clients.loop.time()  # guards: one that had rested for long would be cut as slow
+        self._finished = True
+        self.state_since = self.clients.loop.time()  # a connection that was idle for long would count as slow
         transport = self.transport
         if transport is not None and not transport.is_closing():
             if transport.get_write_buffer_size():
                 transport.write_eof()
             else:
                 shut(transport)
-            self.clients.loop.call_later(LINGER, self._lingered)
+            self.clients.loop.call_later(LINGER_S, self._end_lingering)
 
-    def _lingered(self) -> None:
-        """Close, once its client's machine has all of the answer; who reads too slowly is cut as such."""
-        # guards: what comes after a close is answered by a reset, which takes along what the machine holds
-        if self.holding():
-            self.clients.loop.call_later(SETTLED, self._lingered)
+    def _end_lingering(self) -> None:
+        """Close once the client's machine has acknowledged the answer, unless it is overdue before."""
+        # data that arrives after a close is answered by a reset, which discards the kernel's send buffer
+        if self.has_unacknowledged():
+            self.clients.loop.call_later(QUIET_BEFORE_CLOSE_S, self._end_lingering)
         else:
             self.drop("its last answer has gone")
 
-    def holding(self) -> bool:
-        """Whether a part of what was written is not with its client's machine."""
+    def has_unacknowledged(self) -> bool:
+        """Whether part of the written data is not yet acknowledged by the client's machine."""
         transport = self.transport
         return (
             transport is not None
@@ -367,50 +373,56 @@
             and bool(transport.get_write_buffer_size() or unacknowledged(transport))
         )
 
-    def unread(self) -> bool:
-        """Whether a request, or a part of one, may lie in its socket."""
-        return not self._over and self.transport is not None and unread(self.transport, select.POLLIN)
+    def has_unread(self) -> bool:
+        """Whether its socket may contain unread request data."""
+        return not self._finished and self.transport is not None and unread(self.transport, select.POLLIN)
 
-    def gone(self) -> bool:
-        """Whether its client has gone, even if that still lies unread in the socket."""
-        # guards: timers and turns come before sockets are read; after a long one, or once this process was
-        # stopped, a request would go on whose client left long ago
+    def has_left(self) -> bool:
+        """Whether the client has disconnected, even if the event loop has not read that yet."""
+        # Timers and event batches run before sockets are read. After a long batch or a stall, a request would
+        # otherwise be forwarded although its client left long ago.
         return self.transport is None or unread(self.transport, select.POLLRDHUP)
 
-    def waited(self) -> float:
-        """How long ago, in ms, its last bytes came to this machine, as far as the system tells; else 0."""
+    def ms_since_received(self) -> float:
+        """Milliseconds since its last bytes reached this machine, as far as the OS reports it; else 0."""
         if self.transport is None or self.transport.is_closing():
             return 0.0
         try:
-            told = self.transport.get_extra_info("socket").getsockopt(
-                socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.size
+            info = self.transport.get_extra_info("socket").getsockopt(
+                socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVED.size
             )
-            return float(LAST_RECEIVED.unpack(told)[0])
+            return float(TCP_INFO_LAST_RECEIVED.unpack(info)[0])
         except (OSError, struct.error):
-            return 0.0  # guards: a system that does not tell it, or tells less
+            return 0.0  # the OS does not report it, or reports a shorter struct
 
     def eof_received(self) -> bool:
-        self._gone()
-        return False  # closes the connection
+        self._notify_left()
+        return False  # let the transport close
 
-    def _gone(self) -> None:
-        """Its client waits no more: told at once, not when the connection is closed some passes later."""
+    def _notify_left(self) -> None:
+        """Report the disconnect at once, not when the transport is closed some loop iterations later."""
         if self.out is not None:
             self.out = None
             self.clients.door.client_left(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.clients.lost(self)
-        self._parser = None  # guards: the two would wait for the collector together
-        self._over = True
-        self._waiting.clear()
-        self._gone()
-
-    def overdue(self, now: float) -> bool:
-        """Whether it has been too long without a byte that was due."""
+        self.clients.remove(self)
+        self._parser = None  # breaks a reference cycle, so that no garbage collection is needed
+        self._finished = True
+        self._unhandled.clear()
+        self._notify_left()
+
+    def is_overdue(self, now: float) -> bool:
+        """Whether it has exceeded the time limit of its current state; `now` is loop time in seconds."""
         if self.out is not None:
             return False
-        return now - self.since > (SLOW if self._reading or self._over else IDLE if self.asked else SILENT)
+        return now - self.state_since > (
+            TRANSFER_TIMEOUT_S
+            if self._reading or self._finished
+            else IDLE_TIMEOUT_S
+            if self.has_requested
+            else FIRST_BYTE_TIMEOUT_S
+        )
 
     def drop(self, why: str) -> None:
         """Close the connection at once."""
@@ -422,20 +434,21 @@
 
 
 class Clients:
-    """The listening socket and the connections accepted."""
+    """The listening socket and the accepted connections."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, door: Door, most_open: int, events: EventLog | None = None
+        self, loop: asyncio.AbstractEventLoop, door: Door, max_open: int, events: EventLog | None = None
     ) -> None:
         self.loop = loop
         self.events = events
         self.door = door
-        self.most_open = most_open
+        self.max_open = max_open
         self.open: dict[Client, None] = {}
-        self.closing: dict[Client, None] = {}  # to make room; their descriptors are free in the next pass
-        self._coming = 0  # accepted, and not yet among the open ones
-        self._tasks: set[asyncio.Task[None]] = set()  # that take them in
-        self._waits: asyncio.TimerHandle | None = None  # until we accept again, at the limit
+        # evicted; their descriptors are freed in the next loop iteration
+        self.evicted: dict[Client, None] = {}
+        self._accepting = 0  # number accepted, but not yet in `open`
+        self._tasks: set[asyncio.Task[None]] = set()  # running _accept_connection calls
+        self._accept_timer: asyncio.TimerHandle | None = None  # resumes accepting after a pause at the limit
         self._socket: socket.socket | None = None
 
     def listen(self, at: tuple[str, int]) -> tuple[str, int]:
@@ -449,146 +462,154 @@
         return name
 
     def accept(self) -> bool:
-        """Accept all that waits, as far as descriptors allow; the longest idle connection makes room.
+        """Accept all waiting connections as far as descriptors allow, evicting idle ones at the limit.
 
-        False where something may be waiting still.
+        False if some may still be waiting.
         """
         sock, accepted = self._socket, False
         while sock is not None:
-            here = len(self.open) + self._coming + len(self.closing)
-            if here >= self.most_open:
-                # guards: the descriptor of who makes room is free in the next pass only, and the loop calls
-                # again then; taken at once, a burst went over the limit by as many as could make room
-                if not accepted and not self._make_room(SETTLED) and not self._make_room(FRESH):
-                    self._put_off(sock)
+            here = len(self.open) + self._accepting + len(self.evicted)
+            if here >= self.max_open:
+                # An evicted connection's descriptor is free only in the next loop iteration, when this is
+                # called again. Evicting and accepting in the same one let a burst exceed the limit.
+                if (
+                    not accepted
+                    and not self._evict_idle(QUIET_BEFORE_CLOSE_S)
+                    and not self._evict_idle(SILENT_EVICTION_AGE_S)
+                ):
+                    self._pause_accepting(sock)
                 return False
             try:
                 conn, _ = sock.accept()
             except BlockingIOError:
                 return True
             except (InterruptedError, ConnectionAbortedError):
-                continue  # guards: one that is gone must not keep those behind it waiting
+                continue  # an aborted connection must not block those queued behind it
             except OSError:
-                self._put_off(sock)
+                self._pause_accepting(sock)
                 return False
             conn.setblocking(False)
             accepted = True
             self.door.counts["accepted"] += 1
-            task = self.loop.create_task(self._admit(conn))
-            self._coming += 1
+            task = self.loop.create_task(self._accept_connection(conn))
+            self._accepting += 1
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            # guards: those that ask once and stay, or say nothing, hold what clients may open at all, and the
-            # usual ones are kept out long before our own limit; so half of it is where room is made
-            if here >= self.most_open // 2:
-                self._make_room(SETTLED)
+            # Connections that are idle after one request, or silent, use up the connections that clients can
+            # open at all, which locks out regular clients well before our own limit. So eviction starts at
+            # half of it.
+            if here >= self.max_open // 2:
+                self._evict_idle(QUIET_BEFORE_CLOSE_S)
         return True
 
-    async def _admit(self, conn: socket.socket) -> None:
+    async def _accept_connection(self, conn: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: Client(self), conn)
         except OSError:
-            self._coming -= 1
+            self._accepting -= 1
             conn.close()
 
-    def _make_room(self, silent_for: float) -> bool:
-        """Close the connection that is missed least: answered for good, silent so far, idle longest."""
-        # guards: the request of one that was accepted just now may wait to be read
+    def _evict_idle(self, min_silence: float) -> bool:
+        """Evict the least needed connection: answered for good, then silent so far, then idle longest."""
+        # a connection that was accepted just now may have an unread request
         now = self.loop.time()
-        spare = [(rank, c) for c in self.open if (rank := c.spare()) >= 0]
+        evictable = [(rank, c) for c in self.open if (rank := c.eviction_rank()) >= 0]
         found = [
-            (-rank, c.since, c) for rank, c in spare if now - c.since > (silent_for if rank == 1 else SETTLED)
+            (-rank, c.state_since, c)
+            for rank, c in evictable
+            if now - c.state_since > (min_silence if rank == 1 else QUIET_BEFORE_CLOSE_S)
         ]
-        silent = self._coming + sum(rank == 1 for rank, _ in spare)
+        silent = self._accepting + sum(rank == 1 for rank, _ in evictable)
         found.sort(key=lambda entry: entry[:2])
-        # guards: after a late pass the listener may be read before a request that has come to one of them
-        client = next((c for _, _, c in found if not c.unread() and not c.holding()), None)
-        if client is None or (client.spare() == 0 and silent > self.most_open // 4):
-            return False  # guards: a flood of silent ones must not cost the usual clients theirs
+        # after a late loop iteration, accept may run before a request on one of them is read
+        client = next((c for _, _, c in found if not c.has_unread() and not c.has_unacknowledged()), None)
+        if client is None or (client.eviction_rank() == 0 and silent > self.max_open // 4):
+            return False  # a flood of silent connections must not evict regular clients
         self.door.counts["made_room"] += 1
         self.open.pop(client, None)
-        self.closing[client] = None
+        self.evicted[client] = None
         client.drop("made room for another")
         return True
 
-    def _put_off(self, sock: socket.socket) -> None:
-        """Accept again when connections have settled. Guards: a failing accept would spin the loop."""
+    def _pause_accepting(self, sock: socket.socket) -> None:
+        """Pause accepting for a moment; otherwise a failing accept would make the event loop spin."""
         self.loop.remove_reader(sock)
-        if self._waits is None:
-            self._waits = self.loop.call_later(FRESH, self._accept_again)
+        if self._accept_timer is None:
+            self._accept_timer = self.loop.call_later(SILENT_EVICTION_AGE_S, self._resume_accepting)
 
-    def _accept_again(self) -> None:
-        self._waits = None
+    def _resume_accepting(self) -> None:
+        self._accept_timer = None
         if self._socket is not None:
             self.loop.add_reader(self._socket, self.accept)
 
-    def lost(self, client: Client) -> None:
-        """A connection has ended: who waits for its descriptor is accepted in the next pass."""
+    def remove(self, client: Client) -> None:
+        """Remove a closed connection; if accepting is paused, resume it, as a descriptor is free."""
         self.open.pop(client, None)
-        self.closing.pop(client, None)
-        if self._waits is not None:
-            self._waits.cancel()
-            self._accept_again()
+        self.evicted.pop(client, None)
+        if self._accept_timer is not None:
+            self._accept_timer.cancel()
+            self._resume_accepting()
 
-    def tidy(self) -> None:
-        """Cut off clients that are silent for too long."""
+    def run_maintenance(self) -> None:
+        """Close slow and silent connections, and evict idle ones above half of the limit."""
         now = self.loop.time()
-        for client in [c for c in self.open if c.overdue(now)]:
-            if not client.spared and client.unread():
-                # guards: what came since sockets were last read lies there. After a long pass all that had
-                # waited would be cut, with whole requests in their sockets
-                client.spared = True
+        for client in [c for c in self.open if c.is_overdue(now)]:
+            if not client.spared_once and client.has_unread():
+                # It may have unread data. After a long loop iteration, all waiting connections would
+                # otherwise be closed with whole requests in their sockets.
+                client.spared_once = True
                 continue
             self.door.counts["cut_slow"] += 1
-            if client.asked and client.idle():
-                client.finish()  # guards: some rest until we end them, and ask something in that moment
+            if client.has_requested and client.is_idle():
+                # some clients stay idle until this limit and send a request at that moment
+                client.start_lingering_close()
             else:
                 client.drop("too slow, or silent")
-        while len(self.open) > self.most_open // 2 and self._make_room(SETTLED):
+        while len(self.open) > self.max_open // 2 and self._evict_idle(QUIET_BEFORE_CLOSE_S):
             pass
 
-    def busy(self) -> bool:
-        """Whether anything that was taken waits for its answer, or is on its way in or out."""
-        return bool(self._coming) or any(client.busy() for client in self.open)
+    def is_busy(self) -> bool:
+        """Whether any request is unanswered or being received, or any connection is being accepted."""
+        return bool(self._accepting) or any(client.is_busy() for client in self.open)
 
     def stop_listening(self) -> bool:
-        """Accept what waits, then listen no more; False while it cannot all be accepted.
+        """Accept what is queued, then stop listening; False while not all of it can be accepted.
 
-        Guards: at the limit of descriptors connections, with whole requests in them, wait in the queue.
+        At the descriptor limit, connections with whole requests in them are still in the listen queue.
         """
         drained = self.accept()
         if drained:
-            self._shut()
+            self._close_listener()
         return drained
 
-    def sending(self) -> bool:
-        """Whether an answer is not yet with its client's machine."""
-        return any(client.asked and client.holding() for client in self.open)
+    def has_unsent_answers(self) -> bool:
+        """Whether an answer is not yet acknowledged by its client's machine."""
+        return any(client.has_requested and client.has_unacknowledged() for client in self.open)
 
-    def _shut(self) -> None:
+    def _close_listener(self) -> None:
         sock, self._socket = self._socket, None
         if sock is not None:
             self.loop.remove_reader(sock)
             sock.close()
 
     def close(self) -> None:
-        self._shut()
+        self._close_listener()
         for client in list(self.open):
             client.drop("the process ends")
 
-    def finish_idle(self) -> None:
-        for client in self._idle():
-            client.finish()
+    def close_idle(self) -> None:
+        for client in self._closable_idle():
+            client.start_lingering_close()
 
-    def _idle(self) -> list[Client]:
-        # guards: the request of one that was accepted just now may wait to be read, or be under way: one that
-        # was answered may be closed between requests, but the first on a connection is owed an answer
+    def _closable_idle(self) -> list[Client]:
+        # A connection that was accepted just now may have a request unread or on its way: idle ones that were
+        # answered may be closed, but the first request on a connection must get an answer.
         now = self.loop.time()
         return [
             c
             for c in self.open
-            if c.idle()
-            and now - c.since > (SETTLED if c.asked else FIRST)
+            if c.is_idle()
+            and now - c.state_since > (QUIET_BEFORE_CLOSE_S if c.has_requested else FIRST_REQUEST_GRACE_S)
             and c.transport is not None
             and not unread(c.transport, select.POLLIN)
         ]
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -110,12 +110,12 @@
         await asyncio.sleep(KEEP_ACCEPTING)
         while self._loop.time() < ends:
             listening = not self.clients.stop_listening()
-            self.clients.finish_idle()
-            if not listening and not self.clients.busy() and not self.clients.open:
+            self.clients.close_idle()
+            if not listening and not self.clients.is_busy() and not self.clients.open:
                 break
             await asyncio.sleep(0.02)
         while (
-            self.turn.has_unanswered_visits() or self.clients.sending()
+            self.turn.has_unanswered_visits() or self.clients.has_unsent_answers()
         ) and self._loop.time() < ends + LAST_BYTES:
             self.turn.answer_all()  # guards: the rest of a request may have come since
             await asyncio.sleep(0.005)
@@ -134,8 +134,8 @@
 
     def _tidy(self) -> None:
         self._tidying = self._loop.call_later(TIDY, self._tidy)
-        self.clients.tidy()
-        self.turn.upstreams.tidy(clock())
+        self.clients.run_maintenance()
+        self.turn.upstreams.run_maintenance(clock())
         self.turn.run_maintenance(clock())
         self.turn.discovery.tidy()
         self._rounds += 1
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -29,7 +29,16 @@
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.events import EventLog
 from ospreyline.net.listing import News, Target, read
-from ospreyline.net.upstreams import Answer, Cut, Errand, Stage, Upstreams, Why, end_of, load_report
+from ospreyline.net.upstreams import (
+    Answer,
+    ConnectionPools,
+    Cut,
+    Errand,
+    Stage,
+    Why,
+    classify_end,
+    parse_load_report,
+)
 from ospreyline.state import Visit
 
 if TYPE_CHECKING:
@@ -41,7 +50,7 @@
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
 LATE_TIMER_MS = 20.0  # if a timer fires later than this, sockets are read before due timers run
-# time without a batch that means this process was stalled: three times the decisions' 200 ms tick
+# time without a batch that means this process was stalled: three generation the decisions' 200 ms tick
 STALL_MS = 600.0
 STALL_RECOVERY_MS = 100.0  # after a stall, time until all data that waited in sockets has been read
 # a possibly lost update must have lasted this long for the lease renewal to be logged
@@ -95,7 +104,7 @@
 
     def wanted(self) -> bool:
         """Whether a client still waits for it; checked before a byte of it is sent to an upstream."""
-        return not (self.answered or self.left or (self.client is not None and self.client.gone()))
+        return not (self.answered or self.left or (self.client is not None and self.client.has_left()))
 
 
 class Turn:
@@ -131,7 +140,7 @@
         self._batch_scheduled = False
         self._update_queued = False  # a list update is queued and not yet passed to the decisions
         self._actions_deferred = False  # pending actions wait until the sockets have been read once more
-        # computed once, so that converted start times do not drift with the wall clock
+        # computed once, so that converted start generation do not drift with the wall clock
         self._unix_offset = time.time() * 1e3 - clock()
         self._index_by_uid: dict[str, int] = {}
         self._readiness: dict[str, Readiness] = {}
@@ -147,7 +156,7 @@
         ) // 2
         self.max_clients = max_per_side
         self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(post.seed + 2).random
-        self.upstreams = Upstreams(
+        self.upstreams = ConnectionPools(
             loop, clock, max_per_side, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
         )
         if operator is not None:
@@ -246,7 +255,7 @@
         self._dispatch()
         now = clock()
         self._use_config(post)
-        self.upstreams.adopt(post.connect_time_out, post.keep_idle)
+        self.upstreams.apply_config(post.connect_time_out, post.keep_idle)
         if self._operator is not None:
             self._enable_features(self._operator)  # the number of balancers affects the pace of list calls
         self.balancer.set_terms(now, post.terms)
@@ -406,7 +415,7 @@
         self._last_tag += 1
         terms = self._post.terms.prefixes[request.prefix]
         taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
-        taken.arrived_at = clock() - client.waited()
+        taken.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
         self.note(self._begin_visit, taken)
         return True
@@ -530,7 +539,7 @@
         self._discard_if_settled(taken)
 
     def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
-        end = reported = end_of(outcome)
+        end = reported = classify_end(outcome)
         self.counts[end.name.lower()] += 1
         taken.fetch_ends.append(end.name.lower())
         errand = taken.errands[number]
@@ -544,7 +553,7 @@
         taken.last_timed_out = end is End.TIMED_OUT
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
-            report = load_report(outcome.report, self._report_fields) if outcome.report else ()
+            report = parse_load_report(outcome.report, self._report_fields) if outcome.report else ()
             if end is End.DELIVERED and not taken.answered:
                 taken.answered = True
                 self.latencies_ms.append(now - taken.arrived_at)
@@ -596,17 +605,19 @@
     # -- upstreams ----------------------------------------------------------------------------------------
 
     def _start_fetch(
-        self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
+        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
     ) -> None:
-        if self.covering is None or self.covering.may_write(now, taken, number, upstream, times, until):
-            self.write(now, taken, number, upstream, times, until)
+        if self.covering is None or self.covering.may_write(now, taken, number, upstream, generation, until):
+            self.write(now, taken, number, upstream, generation, until)
 
-    def write(self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float) -> None:
+    def write(
+        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
+    ) -> None:
         """Start a fetch that may last until `until` (ms); withdrawn if the upstream's list entry has changed
-        since it was chosen (`times`).
+        since it was chosen (`generation`).
         """
         request, time_out = taken.request, until - now
-        if time_out <= 0 or times != self.upstreams.peers[upstream].times:
+        if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
             return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
         errand = taken.errands[number] = Errand(
             request.head(),
@@ -619,7 +630,7 @@
         )
         if taken.handle is not None:
             errand.begin_by = taken.handle.begin_by
-        self.upstreams.peers[upstream].run(errand)
+        self.upstreams.pools[upstream].run(errand)
 
     def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
         errand = taken.errands[number]
@@ -629,9 +640,9 @@
             self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
 
     def _send_probe(self, now: float, upstream: int) -> None:
-        peer = self.upstreams.peers[upstream]
+        pool = self.upstreams.pools[upstream]
         path = b"/stats" if self._report_fields else b"/health/live"
-        head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, peer.at[0].encode(), peer.at[1])
+        head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, pool.address[0].encode(), pool.address[1])
         errand = Errand(
             head,
             b"",
@@ -640,13 +651,13 @@
             False,
             lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
         )
-        peer.run(errand)
+        pool.run(errand)
 
     def _on_probe_ended(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
-            report = load_report(outcome.report or outcome.body, self._report_fields)
-        end = end_of(outcome)
+            report = parse_load_report(outcome.report or outcome.body, self._report_fields)
+        end = classify_end(outcome)
         self.counts["probes"] += 1
         self.balancer.probed(now, upstream, end, now - sent, report)
 
@@ -786,9 +797,9 @@
                 self._uid_by_index[upstream] = target.uid
             lines.append(self._list_entry(target, upstream))
             self._record_readiness(target.uid, lines[-1].readiness, target)
-            self.upstreams.listed(
+            self.upstreams.update_from_list(
                 upstream,
-                at or self.upstreams.peers[upstream].at,
+                at or self.upstreams.pools[upstream].address,
                 target.boot_ms,
                 lines[-1].readiness is Readiness.READY,
             )
@@ -798,7 +809,7 @@
                 if uid not in named and self._readiness.get(uid) is not Readiness.GONE:
                     self._record_readiness(uid, Readiness.GONE, None)
                     self._target_by_uid[uid] = structs.replace(self._target_by_uid[uid], state="left")
-                    self.upstreams.peers[upstream].withdraw()
+                    self.upstreams.pools[upstream].withdraw()
         return lines
 
     def _list_entry(self, target: Target, upstream: int) -> Listed:
@@ -852,7 +863,7 @@
             # keep one: a balancer that knows no upstream treats the next list as its first
             if (
                 now - since < REMOVE_GONE_AFTER_MS
-                or self.upstreams.peers[upstream].errands
+                or self.upstreams.pools[upstream].errands
                 or len(self._index_by_uid) == 1
             ):
                 return
@@ -863,7 +874,7 @@
                 self._readiness[uid],
                 self._target_by_uid[uid],
             )
-            del self.upstreams.peers[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
+            del self.upstreams.pools[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
 
     # -- Host: actions for the decisions ------------------------------------------------------------------
 
@@ -879,11 +890,11 @@
                 upstream=self._uid_by_index[upstream],
             )
         taken.errands.append(None)
-        times = self.upstreams.peers[upstream].times
+        generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
         until = self._last_batch_at + time_out
         self._pending_actions.append(
-            (self._start_fetch, (taken, len(taken.errands) - 1, upstream, times, until))
+            (self._start_fetch, (taken, len(taken.errands) - 1, upstream, generation, until))
         )
 
     def cancel(self, tag: int, fetch: int) -> None:
@@ -931,7 +942,7 @@
 
     def drop(self, upstream: int) -> None:
         self._pending_actions.append(
-            (lambda now: self.upstreams.peers[upstream].drop_idle("it may be silent"), ())
+            (lambda now: self.upstreams.pools[upstream].close_idle("it may be silent"), ())
         )
 
     def tell(self, message: bytes) -> None:
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -1,7 +1,7 @@
-"""Upstreams as peers: connections kept, backend fetches and probes carried out, how they end.
+"""Upstream connections: pools them, carries out backend fetches and probes, and reports how these end.
 
-An `Errand` is one request to an upstream. It ends exactly once, with a whole `Answer` or with a `Cut`,
-a value that says how far it had come; `end_of` is the one place where either becomes an `End`.
+An `Errand` is one exchange: a request to an upstream and its answer. It ends exactly once, with a whole
+`Answer` or with a `Cut`, which says how far it had come; only `classify_end` turns either into an `End`.
 """
 
 from __future__ import annotations
@@ -22,14 +22,16 @@
 from ospreyline.net.events import EventLog
 from ospreyline.net.sockets import failed, shut
 
-MOST_BODY = 65_536
-MOST_HEAD = 32_768
-MOST_ANSWER = 1 << 20  # bytes of an answer's body
-MOST_RAW = MOST_HEAD + 8 * MOST_BODY  # one message as sent: small chunks cost several times their content
-SETTLE = 25.0  # ms after an answer in which what came behind it, or its connection's end, shows
-LEAST = 1.0  # ms of an errand's time with which it is still begun; what is left is told in whole ones
-KEEP_SHARE = 0.8  # of the time that an upstream keeps an idle connection: ours are closed earlier
-MOST_UTIL, MOST_FIGURE = 4.0, 1e5  # of a load report
+MAX_BODY_BYTES = 65_536
+MAX_HEAD_BYTES = 32_768
+MAX_ANSWER_BYTES = 1 << 20  # limit on an answer's body
+# one message as sent; small chunks add several times their content
+MAX_RAW_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
+SETTLE_MS = 25.0  # after an answer, extra data or the connection's end shows within this time
+# an exchange is started only with this much time left; the remaining time is sent in whole ms
+MIN_TIME_LEFT_MS = 1.0
+IDLE_TIME_SHARE = 0.8  # idle connections are closed after this share of the upstream's own idle timeout
+MAX_UTIL, MAX_REPORT_VALUE = 4.0, 1e5  # bounds of a load report's values
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -47,28 +49,28 @@
 
 
 class Stage(IntEnum):
-    """How far an errand had come."""
+    """How far an exchange had come."""
 
     CONNECTING = 0
-    WRITING = 1  # the last byte has not left our buffer
+    WRITING = 1  # the request is not completely written to the socket
     WRITTEN = 2
     ANSWERING = 3
 
 
 class Why(Enum):
-    """What cut an errand off."""
+    """Why an exchange failed."""
 
-    BROKEN = "broken"  # refused, reset or closed by the other side
+    BROKEN = "broken"  # refused, reset or closed by the upstream
     NO_CONNECTION = "no connection in time"
     TIMED_OUT = "timed out"
     CALLED_OFF = "called off"
-    WITHDRAWN = "withdrawn"  # the list took the upstream away, or we have no descriptor left
+    WITHDRAWN = "withdrawn"  # the upstream was removed from the list, or no descriptor is free
     MALFORMED = "malformed"
 
 
 @dataclass(slots=True, frozen=True)
 class Cut:
-    """An errand that came to no whole answer."""
+    """An exchange that ended without a whole answer."""
 
     stage: Stage
     why: Why
@@ -76,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A whole answer, its header fields as the bytes that came."""
+    """A whole answer; its header fields are the bytes received, without hop-by-hop fields."""
 
     status: int
     head: bytes
@@ -85,8 +87,8 @@
     never_ran: bool
 
 
-def end_of(outcome: Answer | Cut) -> End:
-    """What the end of an errand means to the decisions."""
+def classify_end(outcome: Answer | Cut) -> End:
+    """What the outcome of an exchange means to the decisions."""
     if isinstance(outcome, Answer):
         if outcome.status == 200:
             return End.DELIVERED
@@ -94,43 +96,43 @@
     if outcome.why is Why.CALLED_OFF:
         return End.CANCELLED
     if outcome.why is Why.MALFORMED:
-        return End.ERRORED  # its process is there, it may have run
-    if outcome.stage <= Stage.WRITING:  # the upstream cannot have had it whole
+        return End.ERRORED  # the upstream process runs, so the request may have executed
+    if outcome.stage <= Stage.WRITING:  # the upstream cannot have received the whole request
         return End.UNSENT if outcome.why is Why.WITHDRAWN else End.UNREACHED
     return End.TIMED_OUT if outcome.why is Why.TIMED_OUT else End.RESET
 
 
-def load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The figures of a load report in the order of the settings; () where one is missing or odd."""
-    words = text.decode("latin-1").strip()
-    words = words.removeprefix("TEXT").removeprefix("JSON").strip("{} \t")
+def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
+    """Values of a load report in the configured order; () if one is missing or invalid."""
+    fields_text = text.decode("latin-1").strip()
+    fields_text = fields_text.removeprefix("TEXT").removeprefix("JSON").strip("{} \t")
     found: dict[str, float] = {}
-    for part in words.replace(":", "=").split(","):
+    for part in fields_text.replace(":", "=").split(","):
         name, _, value = part.partition("=")
         name = name.strip(' "')
         try:
             found[REPORT_WORDS.get(name, name)] = float(value)
         except ValueError:
             continue
-    # guards: one figure that is no number, or out of all proportion, would stand in every mean
-    if all(0 <= found.get(f, -1) <= (MOST_UTIL if f == "util" else MOST_FIGURE) for f in fields):
+    # a value that is not a number, or absurdly large, would distort every mean that it enters
+    if all(0 <= found.get(f, -1) <= (MAX_UTIL if f == "util" else MAX_REPORT_VALUE) for f in fields):
         return tuple(found[f] for f in fields)
     return ()
 
 
-def unread(transport: asyncio.BaseTransport, what: int) -> bool:
-    """Whether bytes, or the other side's end, lie in a connection's socket that the loop has not read yet.
+def unread(transport: asyncio.BaseTransport, mask: int) -> bool:
+    """Whether a connection's socket has data, or the peer's end, that the event loop has not read yet.
 
-    `what` is a mask of `select.poll`; an error counts always, and so does a connection that we are closing.
+    `mask` is a `select.poll` event mask. True also on an error, and if we are closing the connection.
     """
     if transport.is_closing():
         return True
-    look = select.poll()
-    look.register(transport.get_extra_info("socket").fileno(), what)
-    return bool(look.poll(0))
+    poller = select.poll()
+    poller.register(transport.get_extra_info("socket").fileno(), mask)
+    return bool(poller.poll(0))
 
 
-def _anybody() -> bool:
+def _always() -> bool:
     return True
 
 
@@ -139,21 +141,21 @@
 
 
 class Errand:
-    """One request to an upstream, until it has ended."""
+    """One exchange with an upstream: a request and its answer."""
 
     __slots__ = (
         "begin_by",
         "body",
         "conn",
+        "connect_task",
         "done",
         "expires",
         "head",
         "head_only",
-        "opening",
-        "peer",
+        "pool",
         "sent",
         "stage",
-        "timer",
+        "timeout_timer",
         "wanted",
     )
 
@@ -165,88 +167,95 @@
         time_out: float,
         head_only: bool,
         done: Callable[[Answer | Cut], None],
-        wanted: Callable[[], bool] = _anybody,
+        wanted: Callable[[], bool] = _always,
     ) -> None:
-        self.head = head  # without the blank line at its end
+        self.head = head  # without the final blank line
         self.body = body
         self.sent = sent
         self.expires = sent + time_out
-        self.begin_by = inf  # nothing of it may begin at its upstream from then on
+        self.begin_by = inf  # must not start at its upstream at or after this time
         self.head_only = head_only
         self.done: Callable[[Answer | Cut], None] | None = done
-        self.wanted = wanted  # whether anybody waits for it still
+        self.wanted = wanted  # whether a client still waits for it
         self.stage = Stage.CONNECTING
-        self.peer: Peer | None = None
-        self.conn: Conn | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.pool: ConnectionPool | None = None
+        self.conn: UpstreamConnection | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
 
     def end(self, outcome: Answer | Cut) -> None:
-        """It has ended; whatever comes later changes nothing."""
+        """End the exchange; later events have no effect."""
         done, self.done = self.done, None
         if done is None:
             return
-        self.wanted = _anybody  # guards: visit and errand would wait for the collector together
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.peer is not None:
-            self.peer.errands.pop(self, None)
-        if self.opening is not None:
-            self.opening.cancel()
+        # breaks a reference cycle between visit and exchange, so that no garbage collection is needed
+        self.wanted = _always
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
+        if self.pool is not None:
+            self.pool.errands.pop(self, None)
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.conn is not None and isinstance(outcome, Cut):
-            self.conn.close(outcome.why.value)  # its late bytes must never reach another visit
+            self.conn.close(outcome.why.value)  # bytes that arrive late must never reach another visit
         done(outcome)
 
     def cut(self, why: Why) -> None:
-        if self.done is not None and self.stage is Stage.WRITING and self.conn and self.conn.written():
+        if (
+            self.done is not None
+            and self.stage is Stage.WRITING
+            and self.conn
+            and self.conn.write_buffer_empty()
+        ):
             self.stage = Stage.WRITTEN
         self.end(Cut(self.stage, why))
 
     def withdraw(self) -> None:
-        """Nobody waits for it: what has not left us whole never does. That is no cancel at the upstream."""
+        """No client waits for it: end it unless it is completely sent. The upstream does not see a cancel."""
         if self.stage is Stage.CONNECTING or (
-            self.stage is Stage.WRITING and self.conn is not None and not self.conn.written()
+            self.stage is Stage.WRITING and self.conn is not None and not self.conn.write_buffer_empty()
         ):
             self.end(Cut(self.stage, Why.WITHDRAWN))
 
 
-class Conn(asyncio.Protocol):
-    """One connection to an upstream; it carries one errand at a time."""
+class UpstreamConnection(asyncio.Protocol):
+    """One connection to an upstream; it carries one exchange at a time."""
 
-    def __init__(self, peer: Peer) -> None:
-        self.peer = peer
-        self.times = peer.times
+    def __init__(self, pool: ConnectionPool) -> None:
+        self.pool = pool
+        self.generation = pool.generation
         self.errand: Errand | None = None
         self.transport: asyncio.Transport | None = None
-        self.used = 0.0  # when its last whole answer came
+        self.last_used = 0.0  # time of its last whole answer
         self._parser: Any = httptools.HttpResponseParser(self)
-        self._raw = self._size = 0
-        self._begin()
+        self._raw_bytes = self._body_bytes = 0
+        self._reset_response()
 
-    def _begin(self) -> None:
-        self.peer.pool.held -= self._size
+    def _reset_response(self) -> None:
+        self.pool.pools.buffered_bytes -= self._body_bytes
         self._fields: list[bytes] = []
         self._body: list[bytes] = []
-        self._size = 0
-        self._head_done = self._framed = self._ends_with_it = self._never_ran = self._keep = False
-        self._report = self._connection = b""
+        self._body_bytes = 0
+        self._head_done = self._has_length = self._body_until_eof = self._never_ran = self._keep_alive = False
+        self._load_report = self._connection = b""
         self._answer: Answer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # resume_writing tells when all has left our buffer
+        # resume_writing is then called once our write buffer is empty
+        self.transport.set_write_buffer_limits(high=0)
 
-    def written(self) -> bool:
+    def write_buffer_empty(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() == 0
 
     def start(self, errand: Errand, now: float) -> None:
-        """Write the request; what is left of its time-out by now goes along, and no more than that."""
+        """Write the request; X-Expires-In is the time that it has left now, rounded down to whole ms."""
         assert self.transport is not None
         self.errand, errand.conn = errand, self
         errand.stage = Stage.WRITING
         left = int(errand.expires - now)
         self.transport.write(b"%bX-Expires-In: %.3f\r\n\r\n%b" % (errand.head, left / 1e3, errand.body))
-        if self.written():
+        if self.write_buffer_empty():
             errand.stage = Stage.WRITTEN
 
     def resume_writing(self) -> None:
@@ -255,27 +264,27 @@
 
     def close(self, why: str) -> None:
         self.errand = None
-        self.peer.forget(self)
+        self.pool.remove(self)
         if self.transport is None:
             return
         if not self.transport.is_closing():
-            self.peer.closed(why)
-        if not (self.transport.is_closing() or self.written()):
-            # guards: the loop closes it a pass later, and in that pass what lay in our buffer, told as never
-            # sent, could leave us whole
+            self.pool.log_closed(why)
+        if not (self.transport.is_closing() or self.write_buffer_empty()):
+            # The event loop closes the socket one iteration later. Until then, buffered data that is reported
+            # as never sent could still leave completely.
             shut(self.transport, socket.SHUT_RDWR)
         self.transport.abort()
 
-    # what comes back
+    # receiving
 
     def data_received(self, data: bytes) -> None:
         errand = self.errand
-        if errand is None:  # guards: bytes that nobody asked for would be taken for the next answer
+        if errand is None:  # unexpected bytes would be taken for the start of the next answer
             self.close("bytes that nobody asked for")
             return
         errand.stage = Stage.ANSWERING
-        self._raw += len(data)
-        if self._raw > (8 * MOST_ANSWER if self._head_done else MOST_RAW):
+        self._raw_bytes += len(data)
+        if self._raw_bytes > (8 * MAX_ANSWER_BYTES if self._head_done else MAX_RAW_BYTES):
             errand.cut(Why.MALFORMED)
             return
         try:
@@ -284,65 +293,69 @@
             if self._answer is None:
                 errand.cut(Why.MALFORMED)
                 return
-            self._finish(errand, keep=False)
+            self._complete(errand, keep=False)
             return
         if self._answer is not None:
-            # guards: a request that is not all written, or a second answer, would put it out of step
-            self._finish(errand, keep=self._keep and self.written() and not errand.head_only)
+            # after an incompletely written request, or a second answer, requests and answers would not match
+            self._complete(
+                errand, keep=self._keep_alive and self.write_buffer_empty() and not errand.head_only
+            )
 
-    def _finish(self, errand: Errand, keep: bool) -> None:
+    def _complete(self, errand: Errand, keep: bool) -> None:
         answer = self._answer
         assert answer is not None
         self.errand = errand.conn = None
-        if keep and self.times == self.peer.times:  # guards: it leads to an address or a process of before
-            self._raw = 0
-            self._begin()
-            self.peer.rest(self)
+        # the upstream's address or process has changed since the connection was opened
+        if keep and self.generation == self.pool.generation:
+            self._raw_bytes = 0
+            self._reset_response()
+            self.pool.release(self)
         else:
             self.close("not kept by its last answer")
         errand.end(answer)
 
     def eof_received(self) -> bool:
-        # guards: the loop library takes a reset that comes right behind bytes for an end, and it is none
+        # the event loop may report a reset right behind data as a regular end; it does not complete an answer
         if (
             self.errand is not None
-            and self._ends_with_it
+            and self._body_until_eof
             and self.transport is not None
             and not failed(self.transport)
         ):
-            self.on_message_complete()  # an answer without a length lasts until the end
-            self._finish(self.errand, keep=False)
+            self.on_message_complete()  # an answer without a length ends with the connection
+            self._complete(self.errand, keep=False)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.peer.pool.held -= self._size
-        self._size = 0
-        self._parser = None  # guards: the two would wait for the collector together
-        self.peer.forget(self)
+        self.pool.pools.buffered_bytes -= self._body_bytes
+        self._body_bytes = 0
+        self._parser = None  # breaks a reference cycle, so that no garbage collection is needed
+        self.pool.remove(self)
         if self.errand is not None:
             self.errand.cut(Why.BROKEN)
             self.errand = None
 
-    # the parser's calls
+    # callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
         if self._answer is not None:
-            self._keep = False  # a second answer, maybe a part of one, that nobody asked for
+            self._keep_alive = False  # an unexpected second answer, or part of one
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._head_done:
-            return  # a trailer
+            return  # trailers are ignored
         known = name.lower()
         if known in (b"content-length", b"transfer-encoding"):
-            self._framed = True
+            self._has_length = True
             if (
                 known == b"content-length"
-                and not (value.isdigit() and int(value) <= MOST_ANSWER)
+                and not (value.isdigit() and int(value) <= MAX_ANSWER_BYTES)
                 and not (self.errand and self.errand.head_only)
             ):
-                raise ValueError("no length that could be kept")  # guards: 3 GB would be read up to the limit
+                # without this, an answer of 3 GB would be read up to the limit
+                raise ValueError("no length that could be kept")
         elif known == b"endpoint-load-metrics":
-            self._report = value
+            self._load_report = value
         elif known == b"x-never-ran":
             self._never_ran = value.strip() == b"1"
         elif known == b"connection":
@@ -353,16 +366,17 @@
     def on_headers_complete(self) -> None:
         self._head_done = True
         status = self._parser.get_status_code()
-        # guards: a head that lost its length would make half an answer a whole one when its connection breaks
-        self._ends_with_it = status >= 200 and not self._framed and b"close" in self._connection
+        # Only with "Connection: close" may an answer end with its connection. If the length were merely
+        # missing, half an answer would count as whole when the connection breaks.
+        self._body_until_eof = status >= 200 and not self._has_length and b"close" in self._connection
         if self.errand is not None and self.errand.head_only and status >= 200:
             self.on_message_complete()
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        pool = self.peer.pool
-        pool.held += len(body)
-        if self._size > MOST_ANSWER or pool.held > pool.most_held:
+        self._body_bytes += len(body)
+        pools = self.pool.pools
+        pools.buffered_bytes += len(body)
+        if self._body_bytes > MAX_ANSWER_BYTES or pools.buffered_bytes > pools.max_buffered_bytes:
             raise ValueError("body too large")  # stops the parser
         self._body.append(body)
 
@@ -373,210 +387,215 @@
         if status < 200:
             if status == 101:
                 raise ValueError("no other protocol was asked for")
-            self._begin()  # an interim answer
+            self._reset_response()  # an interim (1xx) answer
             return
-        self._keep = self._parser.should_keep_alive()  # known only until this returns
+        self._keep_alive = self._parser.should_keep_alive()  # known only until this callback returns
         self._answer = Answer(
-            status, b"".join(self._fields), b"".join(self._body), self._report, self._never_ran
+            status, b"".join(self._fields), b"".join(self._body), self._load_report, self._never_ran
         )
 
 
-class Peer:
-    """One upstream: its address, its connections, the errands that are out to it."""
+class ConnectionPool:
+    """The connections to one upstream and its open exchanges."""
 
-    def __init__(self, pool: Upstreams, at: tuple[str, int]) -> None:
-        self.pool = pool
-        self.at = at
-        self.started = 0.0  # of its process, as the list says
-        self.withdrawn = False  # the list says that it takes nothing new
-        self.times = 0  # that the list named it anew: other address, other process, or takes nothing new
-        self.idle: list[Conn] = []  # last used last
+    def __init__(self, pools: ConnectionPools, address: tuple[str, int]) -> None:
+        self.pools = pools
+        self.address = address
+        self.process_started = 0.0  # start time of its process, from the list
+        self.withdrawn = False  # the list allows no new requests
+        self.generation = 0  # incremented when its address or process changes, or it takes no new requests
+        self.idle: list[UpstreamConnection] = []  # most recently used last
         self.errands: dict[Errand, None] = {}
 
     def run(self, errand: Errand) -> None:
-        errand.peer = self
+        errand.pool = self
         self.errands[errand] = None
-        now = self.pool.clock()  # guards: a turn may be long, and what it began with is no more what is left
-        errand.timer = self.pool.loop.call_later(max(0.0, errand.expires - now) / 1e3, self._expire, errand)
-        if self.withdrawn or errand.expires - now < LEAST:
+        now = self.pools.clock()  # read again, as an event batch may have taken long
+        errand.timeout_timer = self.pools.loop.call_later(
+            max(0.0, errand.expires - now) / 1e3, self._on_timeout, errand
+        )
+        if self.withdrawn or errand.expires - now < MIN_TIME_LEFT_MS:
             errand.cut(Why.WITHDRAWN)
             return
         for conn in reversed(self.idle):
-            if now - conn.used < SETTLE:
-                continue  # guards: a second answer behind the last one would be taken for this one's
-            # guards: an end, or a second answer, that has come and was not read yet would be this one's
+            if now - conn.last_used < SETTLE_MS:
+                continue  # a second answer behind the last one would be taken for this exchange's
+            # unread data, such as the connection's end or a second answer, would be taken for this exchange's
+            # answer
             if (
                 conn.transport is None
-                or now - conn.used >= self.pool.keep_idle
+                or now - conn.last_used >= self.pools.keep_idle
                 or unread(conn.transport, select.POLLIN)
             ):
                 conn.close("idle too long, or something unread")
                 continue
-            if self._may_begin(errand):
+            if self._may_start(errand):
                 self.idle.remove(conn)
-                conn.start(errand, self.pool.clock())
+                conn.start(errand, self.pools.clock())
             return
-        if not self.pool.has_room():
+        if not self.pools.evict_if_full():
             errand.cut(Why.WITHDRAWN)
             return
-        # guards: counted from now on, or all sends of one turn would see the same room
-        conn = Conn(self)
-        self.pool.open[conn] = None
-        errand.opening = self.pool.loop.create_task(self._open(errand, conn))
-        errand.opening.add_done_callback(
+        # Registered before it is open, or all sends of one event batch would see the same free descriptor.
+        conn = UpstreamConnection(self)
+        self.pools.open[conn] = None
+        errand.connect_task = self.pools.loop.create_task(self._open_connection(errand, conn))
+        errand.connect_task.add_done_callback(
             lambda task: conn.close("its request has ended") if task.cancelled() else None
         )
 
-    def _may_begin(self, errand: Errand) -> bool:
-        """The last look before an upstream sees something of an errand, its connection or its first byte."""
-        # guards: between choosing and this lie a turn, a permit, passes of the loop, maybe a stop of this
-        # process; the client can have left meanwhile, its time can be over, and so can the one in which its
-        # repeat is known for one. No upstream is to blame for that
-        now = self.pool.clock()
+    def _may_start(self, errand: Errand) -> bool:
+        """Last check before an upstream receives anything of an exchange (a connection or its first byte)."""
+        # Since the upstream was chosen, an event batch, a takeover grant, loop iterations or a stall may have
+        # passed: the client may have left, its time or the window in which a repeat is recognized may be
+        # over. The exchange is then withdrawn, which does not count against the upstream.
+        now = self.pools.clock()
         if (
             now < errand.begin_by
-            and errand.expires - now >= LEAST
+            and errand.expires - now >= MIN_TIME_LEFT_MS
             and errand.wanted()
-            and not self.pool.sends_blocked()
+            and not self.pools.sends_blocked()
         ):
             return True
         errand.cut(Why.WITHDRAWN)
         return False
 
-    async def _open(self, errand: Errand, conn: Conn) -> None:
-        """Connect for an errand; a connection that comes too late for it is closed."""
-        pool = self.pool
-        opening, errand.opening = errand.opening, None
-        if not self._may_begin(errand):
+    async def _open_connection(self, errand: Errand, conn: UpstreamConnection) -> None:
+        """Open a connection for an exchange; close it if it is ready too late."""
+        pools = self.pools
+        connect_task, errand.connect_task = errand.connect_task, None
+        if not self._may_start(errand):
             return conn.close("not needed any more")
-        errand.opening = opening
+        errand.connect_task = connect_task
         try:
-            async with asyncio.timeout(pool.connect_time_out / 1e3):
+            async with asyncio.timeout(pools.connect_time_out / 1e3):
                 await self._connect(conn)
         except TimeoutError:
-            errand.opening = None
+            errand.connect_task = None
             errand.cut(Why.NO_CONNECTION)
         except OSError:
-            errand.opening = None
+            errand.connect_task = None
             errand.cut(Why.BROKEN)
         else:
-            errand.opening = None
-            # guards: an upstream that died right after it accepted; written on, the request might have run
+            errand.connect_task = None
+            # the upstream may have died right after accepting; once written, the request might have executed
             if conn.transport is None or unread(conn.transport, select.POLLIN):
                 errand.cut(Why.BROKEN)
-            elif errand.expires - pool.clock() < LEAST:
-                # guards: after this process stood still its connection shows before its time-out does
+            elif errand.expires - pools.clock() < MIN_TIME_LEFT_MS:
+                # after a stall, the connection may be reported before its timeout
                 errand.cut(Why.NO_CONNECTION)
-            elif errand.done is not None and self._may_begin(errand):
-                conn.start(errand, pool.clock())
+            elif errand.done is not None and self._may_start(errand):
+                conn.start(errand, pools.clock())
         finally:
             if conn.errand is None:
                 conn.close("its request does not go out")
 
-    async def _connect(self, conn: Conn) -> None:
-        await self.pool.loop.create_connection(lambda: conn, *self.at)
+    async def _connect(self, conn: UpstreamConnection) -> None:
+        await self.pools.loop.create_connection(lambda: conn, *self.address)
 
-    def _expire(self, errand: Errand) -> None:
+    def _on_timeout(self, errand: Errand) -> None:
         if errand.stage is Stage.WRITTEN:
-            # guards: an upstream that was cut off says nothing. Connections that have not answered since
-            # this errand was sent may be as dead as its own
-            for conn in [c for c in self.idle if c.used < errand.sent]:
+            # An upstream that is cut off sends nothing. Connections without an answer since this exchange was
+            # sent may be dead, too.
+            for conn in [c for c in self.idle if c.last_used < errand.sent]:
                 conn.close("no answer on another since")
         errand.cut(Why.TIMED_OUT)
 
-    def rest(self, conn: Conn) -> None:
-        conn.used = self.pool.clock()
+    def release(self, conn: UpstreamConnection) -> None:
+        conn.last_used = self.pools.clock()
         self.idle.append(conn)
 
-    def forget(self, conn: Conn) -> None:
-        self.pool.open.pop(conn, None)
+    def remove(self, conn: UpstreamConnection) -> None:
+        self.pools.open.pop(conn, None)
         if conn in self.idle:
             self.idle.remove(conn)
 
-    def drop_idle(self, why: str, before: float = float("inf")) -> None:
-        """Close the connections that have been idle since before a time."""
-        for conn in [c for c in self.idle if c.used <= before]:
+    def close_idle(self, why: str, before: float = float("inf")) -> None:
+        """Close the connections that have been idle since `before` (ms)."""
+        for conn in [c for c in self.idle if c.last_used <= before]:
             conn.close(why)
 
-    def closed(self, why: str) -> None:
-        """A connection to it is closed by us."""
-        if self.pool.events is not None:
-            self.pool.events.closed("upstream", why, f"{self.at[0]}:{self.at[1]}")
+    def log_closed(self, why: str) -> None:
+        """Log that we closed a connection."""
+        if self.pools.events is not None:
+            self.pools.events.closed("upstream", why, f"{self.address[0]}:{self.address[1]}")
 
-    def renew(self) -> None:
-        """The list names it anew: what leads to what it was is not used again, nor written to.
+    def invalidate(self) -> None:
+        """The upstream's list entry changed: its connections are not reused, and exchanges still connecting
+        are withdrawn.
 
-        Guards: a fetch that was chosen for the former address or process would be written there, or to one
-        that is cold now; one that waits for its connection could leave later than the grace after a drain.
+        Otherwise a fetch chosen for the former address or process would be written to it, or to an upstream
+        that is cold now; and one that waits for its connection could be sent after the drain grace period.
         """
-        self.times += 1
-        self.drop_idle("the list names its upstream anew")
+        self.generation += 1
+        self.close_idle("the list names its upstream anew")
         for errand in [e for e in self.errands if e.stage is Stage.CONNECTING]:
             errand.cut(Why.WITHDRAWN)
 
     def withdraw(self) -> None:
-        """The list says that it takes nothing new."""
+        """The list allows no new requests to this upstream."""
         self.withdrawn = True
-        self.renew()
+        self.invalidate()
 
 
-class Upstreams:
-    """All upstreams, by the small index that the front gave them, and the descriptors they may use."""
+class ConnectionPools:
+    """The connection pools of all upstreams by index, within one descriptor limit."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        most_open: int,
+        max_open: int,
         connect_time_out: float,
         keep_idle: float,
-        most_held: int,
+        max_buffered_bytes: int,
         events: EventLog | None = None,
     ) -> None:
         self.loop = loop
         self.clock = clock
-        self.most_open = most_open
-        self.most_held = most_held
+        self.max_open = max_open
+        self.max_buffered_bytes = max_buffered_bytes
         self.events = events
-        self.held = 0  # bytes of answers that are not yet whole
-        self.adopt(connect_time_out, keep_idle)
-        self.sends_blocked: Callable[[], bool] = _never  # whether nothing may begin at any upstream now
-        self.peers: dict[int, Peer] = {}
-        self._added = -1
-        self.open: dict[Conn, None] = {}
-
-    def adopt(self, connect_time_out: float, keep_idle: float) -> None:
-        """Figures of the settings, at the start and on a reload; they hold for connections that rest, too."""
+        self.buffered_bytes = 0  # bytes of incomplete answers
+        self.apply_config(connect_time_out, keep_idle)
+        self.sends_blocked: Callable[[], bool] = _never  # whether no request may be sent to any upstream now
+        self.pools: dict[int, ConnectionPool] = {}
+        self._last_index = -1
+        self.open: dict[UpstreamConnection, None] = {}
+
+    def apply_config(self, connect_time_out: float, keep_idle: float) -> None:
+        """Set the configured timeouts (ms), at start and on reload; they apply to idle connections, too."""
         self.connect_time_out = connect_time_out
-        self.keep_idle = KEEP_SHARE * keep_idle
-
-    def add(self, at: tuple[str, int]) -> int:
-        self._added += 1  # never given out again: a late word of one that is forgotten must not meet another
-        self.peers[self._added] = Peer(self, at)
-        return self._added
-
-    def listed(self, upstream: int, at: tuple[str, int], started: float, ready: bool) -> None:
-        """What the list says of one now."""
-        peer = self.peers[upstream]
-        if at != peer.at or started != peer.started:
-            peer.renew()
-        peer.at, peer.started, peer.withdrawn = at, started, not ready
+        self.keep_idle = IDLE_TIME_SHARE * keep_idle
+
+    def add(self, address: tuple[str, int]) -> int:
+        # never reused: a late event of a forgotten upstream must not be assigned to another
+        self._last_index += 1
+        self.pools[self._last_index] = ConnectionPool(self, address)
+        return self._last_index
+
+    def update_from_list(self, upstream: int, address: tuple[str, int], started: float, ready: bool) -> None:
+        """Apply the current list entry of an upstream."""
+        pool = self.pools[upstream]
+        if address != pool.address or started != pool.process_started:
+            pool.invalidate()
+        pool.address, pool.process_started, pool.withdrawn = address, started, not ready
         if not ready:
-            peer.withdraw()
+            pool.withdraw()
 
-    def has_room(self) -> bool:
-        """Room for one more connection; at the limit the one that was idle longest makes it."""
-        if len(self.open) >= self.most_open:
-            idle = [peer.idle[0] for peer in self.peers.values() if peer.idle]
+    def evict_if_full(self) -> bool:
+        """Whether one more connection may be opened; at the limit, the longest idle one is closed for it."""
+        if len(self.open) >= self.max_open:
+            idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
             if not idle:
                 return False
-            min(idle, key=lambda conn: conn.used).close("made room for another")
+            min(idle, key=lambda conn: conn.last_used).close("made room for another")
         return True
 
-    def tidy(self, now: float) -> None:
-        """Close what has been idle for long, before the other side does."""
-        for peer in self.peers.values():
-            peer.drop_idle("idle too long", now - self.keep_idle)
+    def run_maintenance(self, now: float) -> None:
+        """Close connections that have been idle for long, before the upstream does."""
+        for pool in self.pools.values():
+            pool.close_idle("idle too long", now - self.keep_idle)
 
     def close(self) -> None:
         for conn in list(self.open):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -57,8 +57,8 @@
     ("data", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
-        (request(X_Long="x" * clients.MOST_HEAD), 431),
-        (request("/tag/a", "POST", b"x" * (clients.MOST_BODY + 1), **KEY), 413),
+        (request(X_Long="x" * clients.MAX_HEAD_BYTES), 431),
+        (request("/tag/a", "POST", b"x" * (clients.MAX_BODY_BYTES + 1), **KEY), 413),
         (
             request(
                 "/tag/a",
@@ -73,7 +73,7 @@
             request(
                 "/change",
                 "POST",
-                b"1\r\nx\r\n0\r\nX-Trailer: " + b"y" * 2 * clients.MOST_RAW,
+                b"1\r\nx\r\n0\r\nX-Trailer: " + b"y" * 2 * clients.MAX_RAW_BYTES,
                 Transfer_Encoding="chunked",
             ),
             413,
@@ -282,7 +282,7 @@
 def test_clients_that_ask_once_and_stay_make_room_well_before_the_limit(monkeypatch):
     async def story():
         # met in an incident: they held all that clients may open, and two thirds of the visits never came
-        monkeypatch.setattr(clients, "SETTLED", 0.0)
+        monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", 0.0)
         peer = Peer(SILENT, ok())
         async with running(peer, sockets=64) as service:
             busy = await caller(service)
@@ -290,7 +290,7 @@
             await peer.until(lambda: bool(peer.requests))
             for _ in range(2 * service.turn.max_clients):
                 assert (await (await caller(service)).ask(request()))[0] == 200
-            service.clients.tidy()
+            service.clients.run_maintenance()
             assert len(service.clients.open) <= service.turn.max_clients // 2
             peer.writers[0].write(ok(b"still there"))
             assert (await busy.answer())[2] == b"still there"
@@ -303,7 +303,7 @@
         async with running(Peer()) as service:
             assert (await (await caller(service)).ask(request()))[0] == 200
             (client,) = service.clients.open
-            assert client.spare() == 0
+            assert client.eviction_rank() == 0
 
             class Sending:
                 def get_write_buffer_size(self):
@@ -316,14 +316,15 @@
                     pass
 
             monkeypatch.setattr(client, "transport", Sending())
-            assert client.spare() == -1
+            assert client.eviction_rank() == -1
 
     play(story)
 
 
 def test_at_the_limit_busy_clients_keep_theirs_and_the_rest_waits(monkeypatch):
     async def story():
-        for name in ("FRESH", "SETTLED"):  # none is taken for silent, however slow the machine
+        # no connection counts as silent, however slow the machine is
+        for name in ("SILENT_EVICTION_AGE_S", "QUIET_BEFORE_CLOSE_S"):
             monkeypatch.setattr(clients, name, 0.5)
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
@@ -347,10 +348,14 @@
             assert (await idle.ask(request()))[0] == 200
             one, two, three = service.clients.open
             now = asyncio.get_running_loop().time()
-            assert not one.overdue(now) and one.overdue(now + clients.SLOW + 0.1)
-            assert not two.overdue(now + clients.SLOW + 1) and two.overdue(now + clients.IDLE + 1)
-            assert not three.overdue(now) and three.overdue(now + clients.SILENT + 0.1)
-            assert max(clients.SLOW, clients.SILENT) + service_module.TIDY < 3.0  # what such a client is owed
+            assert not one.is_overdue(now) and one.is_overdue(now + clients.TRANSFER_TIMEOUT_S + 0.1)
+            assert not two.is_overdue(now + clients.TRANSFER_TIMEOUT_S + 1) and two.is_overdue(
+                now + clients.IDLE_TIMEOUT_S + 1
+            )
+            assert not three.is_overdue(now) and three.is_overdue(now + clients.FIRST_BYTE_TIMEOUT_S + 0.1)
+            # a slow or silent client must be disconnected within 3 s
+            slowest = max(clients.TRANSFER_TIMEOUT_S, clients.FIRST_BYTE_TIMEOUT_S)
+            assert slowest + service_module.TIDY < 3.0
             del silent
 
     play(story)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -99,24 +99,24 @@
 def test_a_request_that_crosses_the_end_of_a_resting_connection_can_be_sent_anew(monkeypatch):
     # the shutdown came a pass later, so a request that came meanwhile was read before it and had no answer
     async def story():
-        monkeypatch.setattr(clients, "SETTLED", -1.0)
+        monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", -1.0)
         peer = Peer()
         async with running(peer) as service:
             sock, client = await connected(service)
             sock.sendall(request())
             assert (await asyncio.get_running_loop().sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200")
-            real = service.clients._idle
+            real = service.clients._closable_idle
 
             def idle():
                 found = real()
                 sock.sendall(request(trace="crosses"))  # behind the look at its socket
                 return found
 
-            monkeypatch.setattr(service.clients, "_idle", idle)
-            service.clients.finish_idle()
+            monkeypatch.setattr(service.clients, "_closable_idle", idle)
+            service.clients.close_idle()
             # its end is out before anything more is read: what comes has crossed it, and may be sent anew
             assert sock.recv(4096, socket.MSG_DONTWAIT) == b""
-            while not client._left_over:
+            while not client._trailing_bytes:
                 await asyncio.sleep(0)
             assert await read_all(sock) == b"" and len(peer.requests) == 1
             assert (await (await caller(service)).ask(request(trace="crosses")))[0] == 200
@@ -161,14 +161,14 @@
             loop = asyncio.get_running_loop()
             sock.sendall(request())
             assert (await loop.sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200")
-            client.since -= 100.0
+            client.state_since -= 100.0
             if ends == "stop":
-                service.clients.finish_idle()
+                service.clients.close_idle()
             else:
-                service.clients.tidy()
-            service.clients.tidy()  # the round after
+                service.clients.run_maintenance()
+            service.clients.run_maintenance()  # the round after
             sock.sendall(request(trace="crosses"))
-            while not client._left_over and client in service.clients.open:
+            while not client._trailing_bytes and client in service.clients.open:
                 await asyncio.sleep(0)
             assert client in service.clients.open and await read_all(sock) == b"" and len(peer.requests) == 1
 
@@ -180,7 +180,7 @@
     slow, client = await connected(service, receive=4096)
     send_buffer(client, 2 * len(body))
     slow.sendall(request(**fields))
-    while client.out is not None or not client.asked or client.transport.get_write_buffer_size():
+    while client.out is not None or not client.has_requested or client.transport.get_write_buffer_size():
         await asyncio.sleep(0)
     for _ in range(20):
         await asyncio.sleep(0)
@@ -208,7 +208,7 @@
 def test_a_close_over_unread_bytes_takes_no_answer_with_it(how, monkeypatch):
     # closed with bytes unread, the connection was reset, and what the machine still held was lost
     async def story():
-        monkeypatch.setattr(clients, "LINGER", 0.1)
+        monkeypatch.setattr(clients, "LINGER_S", 0.1)
         body = b"x" * 150_000
         async with running(Peer(ok(body))) as service:
             slow, client = await answered_slowly(service, body, Connection="close")
@@ -218,8 +218,8 @@
             else:
                 slow.sendall(b"more")
             if how == "cut as slow":
-                client.since -= 10.0
-                service.clients.tidy()
+                client.state_since -= 10.0
+                service.clients.run_maintenance()
             elif how == "end of the process":
                 service.end()
             for _ in range(5):
@@ -232,7 +232,7 @@
 def test_a_lingering_connection_is_read_on_while_the_machine_holds_its_answer(monkeypatch):
     # closed after 1 s, whatever came later was answered by a reset, and the rest of the answer was lost
     async def story():
-        monkeypatch.setattr(clients, "LINGER", 0.05)
+        monkeypatch.setattr(clients, "LINGER_S", 0.05)
         body = b"x" * 150_000
         async with running(Peer(ok(body))) as service:
             slow, client = await answered_slowly(service, body, Connection="close")
@@ -243,7 +243,7 @@
             assert (await read_all(slow)).endswith(body)
             while service.clients.open:
                 await asyncio.sleep(0)
-            assert client._left_over == 4
+            assert client._trailing_bytes == 4
 
     play(story)
 
@@ -289,11 +289,11 @@
                 while not client._reading:
                     await asyncio.sleep(0)
             sock.sendall(whole[20:] if how == "half a request" else whole)
-            client.since -= 100.0
+            client.state_since -= 100.0
             if "room" in how:
-                assert not service.clients._make_room(clients.FRESH)
+                assert not service.clients._evict_idle(clients.SILENT_EVICTION_AGE_S)
             else:
-                service.clients.tidy()
+                service.clients.run_maintenance()
             assert (await loop.sock_recv(sock, 4096)).startswith(b"HTTP/1.1 200")
             assert b"lies" in peer.requests[-1][0]
             sock.close()
@@ -310,7 +310,7 @@
             sock.setblocking(False)
             sock.sendall(request("/change", "POST", b"x"))
             service.clients.accept()
-            assert service.clients._coming and not service.clients.open  # accepted just now, and no more
+            assert service.clients._accepting and not service.clients.open  # accepted just now, and no more
             stop = asyncio.ensure_future(service.stop())
             assert (await read_all(sock)).startswith(b"HTTP/1.1 200")
             await asyncio.wait_for(stop, 4)
@@ -358,7 +358,7 @@
     # an upstream that is killed right after it accepted: written on, the request might have run
     async def story():
         raw = Raw()
-        real, first = upstreams.Peer._connect, []
+        real, first = upstreams.ConnectionPool._connect, []
 
         async def connect(peer, conn):
             await real(peer, conn)
@@ -370,7 +370,7 @@
                 # nothing is read between this and the write
                 reset(sock) if how == "reset" else sock.close()
 
-        monkeypatch.setattr(upstreams.Peer, "_connect", connect)
+        monkeypatch.setattr(upstreams.ConnectionPool, "_connect", connect)
         async with running(known=[target(u, raw.port) for u in ("u0", "u1")]) as service:
             client = await caller(service)
             client.writer.write(asked(path, trace="next"))
@@ -390,7 +390,7 @@
 @pytest.mark.parametrize("first", ["half a line", "choice"])
 def test_half_a_line_and_a_close_on_a_resting_connection_spoil_no_answer(first, path, monkeypatch):
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         raw = Raw()
         async with running(known=[target(u, raw.port) for u in ("u0", "u1")]) as service:
             client = await caller(service)
@@ -398,7 +398,7 @@
             conn, _ = await raw.take()
             conn.sendall(ok(b"first"))
             assert (await client.answer())[2] == b"first"
-            start = upstreams.Conn.start
+            start = upstreams.UpstreamConnection.start
 
             def ends():
                 conn.send(b"HTTP/1.1 2")
@@ -412,7 +412,7 @@
             if first == "half a line":
                 ends()
             else:
-                monkeypatch.setattr(upstreams.Conn, "start", crossed)
+                monkeypatch.setattr(upstreams.UpstreamConnection, "start", crossed)
             client.writer.write(asked(path, trace="next"))
             if first == "choice" and path == "/change":
                 assert (await client.answer())[0] == 502  # it may have run
@@ -500,7 +500,7 @@
 @pytest.mark.parametrize("path", ["/read", "/tag", "chunked"])
 def test_a_request_may_come_in_pieces_at_every_byte(path, monkeypatch):
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         peer, calls = Peer(), counted(clients.Client, monkeypatch)
         async with running(peer) as service:
             sock, _ = await connected(service)
@@ -527,8 +527,8 @@
 @pytest.mark.parametrize("answer", [ok(WHOLE), CHUNKED])
 def test_an_answer_may_come_in_pieces_at_every_byte(answer, monkeypatch):
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
-        raw, calls = Raw(), counted(upstreams.Conn, monkeypatch)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
+        raw, calls = Raw(), counted(upstreams.UpstreamConnection, monkeypatch)
         async with running(known=[target("u0", raw.port)]) as service:
             client, loop = await caller(service), asyncio.get_running_loop()
             client.writer.write(request())
@@ -572,7 +572,7 @@
             while (
                 service.turn.counts["accepted"] < 31
                 or len(service.clients.open) > 1
-                or service.clients._coming
+                or service.clients._accepting
             ):
                 await asyncio.sleep(0)
             assert (await usual.ask(request()))[0] == 200
@@ -596,8 +596,10 @@
             await peer.until(lambda: len(peer.requests) == 2)
             if not waits:
                 assert (await loop.sock_recv(sock, 4096)).endswith(b"hello")
-            await asyncio.wait_for(loop.sock_sendall(sock, b"\r\n" * (clients.MOST_RAW // 2 + 50_000)), 5)
-            while not client._over:
+            await asyncio.wait_for(
+                loop.sock_sendall(sock, b"\r\n" * (clients.MAX_RAW_BYTES // 2 + 50_000)), 5
+            )
+            while not client._finished:
                 await asyncio.sleep(0)
             if waits:
                 peer.writers[-1].write(ok(b"second"))
@@ -616,16 +618,16 @@
             loop, data = asyncio.get_running_loop(), request(X_Long="y" * 400)
             for at in range(0, len(data), 100):
                 slow.sendall(data[at : at + 100])
-                client.since -= 0.3  # as much later, and within its time
-                service.clients.tidy()
+                client.state_since -= 0.3  # as much later, and within its time
+                service.clients.run_maintenance()
                 for _ in range(5):
                     await asyncio.sleep(0)
-            while not (client.asked and client.transport.get_write_buffer_size()):
+            while not (client.has_requested and client.transport.get_write_buffer_size()):
                 await asyncio.sleep(0)
             got = bytearray()
-            client.since -= 10.0  # far longer than a request may take
+            client.state_since -= 10.0  # far longer than a request may take
             while len(got) < len(body):
-                service.clients.tidy()
+                service.clients.run_maintenance()
                 got += await loop.sock_recv(slow, 65_536)
             assert b"200 OK" in got and service.turn.counts["cut_slow"] == 0
             slow.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -62,7 +62,7 @@
                 if asked:
                     assert (await client.ask(request()))[0] == 200
             await until(lambda: len(service.clients.open) == most // 2)
-            for name in ("SETTLED", "FRESH"):
+            for name in ("QUIET_BEFORE_CLOSE_S", "SILENT_EVICTION_AGE_S"):
                 monkeypatch.setattr(clients, name, -1.0)
             here = descriptors() - most // 2
             new = waiting(service, 2 * most)
@@ -77,21 +77,21 @@
 def test_sends_of_one_turn_open_no_more_connections_than_there_is_room_for(monkeypatch):
     # a connection counted from the pass after; the sends of a turn each saw the same room
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 1e9)  # none that has answered is used again
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 1e9)  # none that has answered is used again
         async with running(Peer(), sockets=64) as service:
             pool = service.turn.upstreams
-            pool.most_open = 4
+            pool.max_open = 4
             callers = [await caller(service) for _ in range(8)]
             for client in callers[:4]:
                 assert (await client.ask(request()))[0] == 200
             await until(lambda: len(pool.open) == 4)
-            here, opened, connect = descriptors(), [], upstreams.Peer._connect
+            here, opened, connect = descriptors(), [], upstreams.ConnectionPool._connect
 
             async def connecting(peer, conn):
                 opened.append(conn)
                 await connect(peer, conn)
 
-            monkeypatch.setattr(upstreams.Peer, "_connect", connecting)
+            monkeypatch.setattr(upstreams.ConnectionPool, "_connect", connecting)
             for client in callers:
                 client.writer.write(request())
             assert {(await client.answer())[0] for client in callers} <= {200, 503}
@@ -108,7 +108,7 @@
             pool = service.turn.upstreams
             here, ended = descriptors(), []
             errand = upstreams.Errand(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
-            pool.peers[0].run(errand)
+            pool.pools[0].run(errand)
             assert len(pool.open) == 1
             if turn == "next":
                 await asyncio.sleep(0)
@@ -130,7 +130,7 @@
                 for client in held:
                     assert (await client.ask(request()))[0] == 200
             await until(lambda: len(service.clients.open) == most // 2)
-            for name in ("SETTLED", "FRESH"):
+            for name in ("QUIET_BEFORE_CLOSE_S", "SILENT_EVICTION_AGE_S"):
                 monkeypatch.setattr(clients, name, -1.0)
             for client in held[:-1]:
                 # at once in the socket, unread by us
@@ -149,19 +149,19 @@
 def test_who_waits_at_the_limit_is_accepted_as_soon_as_one_has_gone(monkeypatch):
     # 20 ms later: what has that much time left was lost
     async def story():
-        monkeypatch.setattr(clients, "FRESH", 60.0)
-        monkeypatch.setattr(clients.Clients, "_make_room", lambda *_: False)  # they are all busy
+        monkeypatch.setattr(clients, "SILENT_EVICTION_AGE_S", 60.0)
+        monkeypatch.setattr(clients.Clients, "_evict_idle", lambda *_: False)  # they are all busy
         async with running(Peer(), sockets=64) as service:
             most = service.turn.max_clients
             held = [await caller(service) for _ in range(most)]
             await until(lambda: len(service.clients.open) == most)
             (sock,) = waiting(service, 1)
             os.write(sock.fileno(), HEALTH)
-            await until(lambda: service.clients._waits is not None)
+            await until(lambda: service.clients._accept_timer is not None)
             held[0].writer.close()
             found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 100), 5)
             assert found.startswith(b"HTTP/1.1 200 ")
-            assert service.clients._waits is None and len(service.clients.open) <= most
+            assert service.clients._accept_timer is None and len(service.clients.open) <= most
             sock.close()
 
     play(story)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -96,7 +96,7 @@
 
 async def over(service: Service) -> None:
     """Nothing is in hand any more, and what was opened or written meanwhile has come."""
-    while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.peers.values()):
+    while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.pools.values()):
         await asyncio.sleep(0)
     await passes()
 
@@ -119,7 +119,7 @@
 
 async def warm(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection stands ready."""
-    monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+    monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
     assert (await (await caller(service)).ask(request()))[0] == 200
 
 
@@ -136,10 +136,12 @@
             sock = connected(service)
             delay = Delay(late, lambda: leave(sock, how))
             of, name, wrap = {
-                "turn": (upstreams.Peer, "run", delay.before),  # chosen, and the turn is long
+                "turn": (upstreams.ConnectionPool, "run", delay.before),  # chosen, and the turn is long
                 "write": (upstreams, "unread", delay.before),  # the last that is asked of a kept connection
-                "connect": (upstreams.Peer, "_open", delay.before),  # a pass between choosing and connecting
-                "connected": (upstreams.Peer, "_connect", delay.after),  # it came up, and the loop was late
+                # a pass between choosing and connecting
+                "connect": (upstreams.ConnectionPool, "_open_connection", delay.before),
+                # it came up, and the loop was late
+                "connected": (upstreams.ConnectionPool, "_connect", delay.after),
             }[place]
             with monkeypatch.context() as patch:
                 patch.setattr(of, name, wrap(getattr(of, name)))
@@ -215,7 +217,7 @@
             socks = [connected(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
-            delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.Peer.run
+            delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.ConnectionPool.run
             ran, turns = [], set()
 
             def nth(self, errand, *args):
@@ -225,7 +227,7 @@
                     delay()
                 run(self, errand, *args)
 
-            monkeypatch.setattr(upstreams.Peer, "run", nth)
+            monkeypatch.setattr(upstreams.ConnectionPool, "run", nth)
             for sock in socks:
                 sock.sendall(request())  # read in one pass, and sent in one turn
             while not delay.over:
@@ -256,7 +258,7 @@
                 sock.sendall(request())
 
             def waiting() -> int:
-                peer = service.turn.upstreams.peers[0]
+                peer = service.turn.upstreams.pools[0]
                 return service.turn.balancer._held if where == "held" else len(peer.errands)
 
             while waiting() < many:
@@ -291,28 +293,28 @@
         server.bind(("127.0.0.1", 0))
         server.listen()
         server.setblocking(False)
-        made = upstreams.Conn.connection_made
+        made = upstreams.UpstreamConnection.connection_made
 
-        def narrow(conn: upstreams.Conn, transport: asyncio.BaseTransport) -> None:
+        def narrow(conn: upstreams.UpstreamConnection, transport: asyncio.BaseTransport) -> None:
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             made(conn, transport)
 
-        monkeypatch.setattr(upstreams.Conn, "connection_made", narrow)
+        monkeypatch.setattr(upstreams.UpstreamConnection, "connection_made", narrow)
         body = b"x" * 60_000
         async with running(known=[target("u0", server.getsockname()[1])]) as service:
             sock, loop, got = connected(service), asyncio.get_running_loop(), bytearray()
             sock.sendall(request("/change", "POST", body))
             conn, _ = await loop.sock_accept(server)
-            while not service.turn.upstreams.peers[0].errands:
+            while not service.turn.upstreams.pools[0].errands:
                 await asyncio.sleep(0)
-            (errand,) = service.turn.upstreams.peers[0].errands
+            (errand,) = service.turn.upstreams.pools[0].errands
             while errand.stage is not upstreams.Stage.WRITING:
                 await asyncio.sleep(0)
             # all but a last piece, which goes as soon as the upstream takes more
             while errand.conn.transport.get_write_buffer_size() > 8_000:
                 got.extend(await loop.sock_recv(conn, 1_000))
                 await asyncio.sleep(0)
-            assert not errand.conn.written()
+            assert not errand.conn.write_buffer_empty()
             # in one pass its upstream takes more, and it ends
             conn.setblocking(False)
             with suppress(BlockingIOError):
@@ -548,7 +550,7 @@
         async with process(tmp_path, peer.port) as (pid, port):
             if kept:  # a connection to the upstream stands ready, and those who ask are accepted already
                 assert (await (await asked_at(port)).ask(request()))[0] == 200
-                await asyncio.sleep(upstreams.SETTLE / 1e3)
+                await asyncio.sleep(upstreams.SETTLE_MS / 1e3)
             begun = len(peer.requests), len(peer.writers)
             socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]
             if kept:
@@ -641,9 +643,9 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.asked_at = 0.0  # when its client had sent it
         self.writes: list[tuple[float, float]] = []
-        start = upstreams.Conn.start
+        start = upstreams.UpstreamConnection.start
 
-        def noted(conn: upstreams.Conn, errand: upstreams.Errand, *args: Any) -> None:
+        def noted(conn: upstreams.UpstreamConnection, errand: upstreams.Errand, *args: Any) -> None:
             head, left = errand.head, 1e3 * TIME - (clock() - self.asked_at)
 
             class Seen:
@@ -663,7 +665,7 @@
             assert head == errand.head
             self.writes.append((told[0], left))
 
-        monkeypatch.setattr(upstreams.Conn, "start", noted)
+        monkeypatch.setattr(upstreams.UpstreamConnection, "start", noted)
 
     def send(self, sock: socket.socket, path: str = "/read") -> None:
         sock.sendall(asked(path, X_Expires_In=str(TIME)))
@@ -699,20 +701,20 @@
             told, delay = Told(monkeypatch), Delay(late)
             if place in ("turn", "write", "connect", "connected"):
                 of, name, wrap = {
-                    "turn": (upstreams.Peer, "run", delay.before),
+                    "turn": (upstreams.ConnectionPool, "run", delay.before),
                     "write": (upstreams, "unread", delay.before),
-                    "connect": (upstreams.Peer, "_open", delay.before),
-                    "connected": (upstreams.Peer, "_connect", delay.after),
+                    "connect": (upstreams.ConnectionPool, "_open_connection", delay.before),
+                    "connected": (upstreams.ConnectionPool, "_connect", delay.after),
                 }[place]
                 monkeypatch.setattr(of, name, wrap(getattr(of, name)))
             elif place == "slow":  # the loop is not late, the connection is
-                connect = upstreams.Peer._connect
+                connect = upstreams.ConnectionPool._connect
 
                 async def slow(*args: Any) -> None:
                     await asyncio.sleep(late / 1e3)
                     await connect(*args)
 
-                monkeypatch.setattr(upstreams.Peer, "_connect", slow)
+                monkeypatch.setattr(upstreams.ConnectionPool, "_connect", slow)
             sock = connected(service)
             if place != "accept":
                 while not service.clients.open:
@@ -768,16 +770,18 @@
                 if place == "ended":
                     delay()
                 elif place in ("turn", "kept", "connect"):
-                    name = {"turn": "run", "kept": "run", "connect": "_open"}[place]
-                    monkeypatch.setattr(upstreams.Peer, name, delay.before(getattr(upstreams.Peer, name)))
+                    name = {"turn": "run", "kept": "run", "connect": "_open_connection"}[place]
+                    monkeypatch.setattr(
+                        upstreams.ConnectionPool, name, delay.before(getattr(upstreams.ConnectionPool, name))
+                    )
                 elif place == "slow":
-                    connect = upstreams.Peer._connect
+                    connect = upstreams.ConnectionPool._connect
 
                     async def slow(*args: Any) -> None:
                         await asyncio.sleep(late / 1e3)
                         await connect(*args)
 
-                    monkeypatch.setattr(upstreams.Peer, "_connect", slow)
+                    monkeypatch.setattr(upstreams.ConnectionPool, "_connect", slow)
                 elif place == "held":
                     room = hold(service, monkeypatch)
                 turn.ended = ended
@@ -829,7 +833,7 @@
                 await warm(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
             delay = Delay(150)
-            monkeypatch.setattr(upstreams.Peer, "run", delay.before(upstreams.Peer.run))
+            monkeypatch.setattr(upstreams.ConnectionPool, "run", delay.before(upstreams.ConnectionPool.run))
             client = await caller(service)
             status, _, _ = await client.ask(request("/change", "POST", b"x", X_Expires_In="0.1"))
             # it never ran, and its upstream is not to blame
@@ -866,14 +870,18 @@
                 for peer in peers:
                     peer.answers = [ok()]
                 if what == "connection":
-                    monkeypatch.setattr(upstreams.Peer, "_connect", late)
+                    monkeypatch.setattr(upstreams.ConnectionPool, "_connect", late)
                 elif what == "loop":
                     delay = Delay(window + 10, again.set)
-                    monkeypatch.setattr(upstreams.Peer, "_open", delay.before(upstreams.Peer._open))
+                    monkeypatch.setattr(
+                        upstreams.ConnectionPool,
+                        "_open_connection",
+                        delay.before(upstreams.ConnectionPool._open_connection),
+                    )
                 ended(now, taken, number, outcome)
                 assert len(taken.handle.fetches) == 2
 
-            connect, turn.ended = upstreams.Peer._connect, then
+            connect, turn.ended = upstreams.ConnectionPool._connect, then
             sock = connected(service)
             sock.sendall(asked("/tag"))
             if guarded is not None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -129,7 +129,7 @@
                 await asyncio.sleep(0)
             new = next(client for client in service.clients.open if client is not old)
             again = replace(old.out, asks=True)
-            old._gone()  # its end is read, and no turn has been since
+            old._notify_left()  # its end is read, and no turn has been since
             new.out = again
             assert Covering.joins(SimpleNamespace(_turn=turn), again, new)
             peer.writers[0].write(ok(b"once"))
@@ -225,7 +225,7 @@
                 await asyncio.sleep(0)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200  # a connection stands ready now
-            monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+            monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
             monkeypatch.setattr(balancer, "_place", lambda *_: False)
             balancer._flow = 100.0
             client.writer.write(request())
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -35,15 +35,15 @@
     async def held(self, loop: asyncio.AbstractEventLoop, monkeypatch: pytest.MonkeyPatch) -> Gate:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
-        real = upstreams.Peer._connect
+        real = upstreams.ConnectionPool._connect
 
-        async def late(peer: upstreams.Peer, conn: upstreams.Conn) -> None:
-            if peer.at[1] == self.port:
+        async def late(peer: upstreams.ConnectionPool, conn: upstreams.UpstreamConnection) -> None:
+            if peer.address[1] == self.port:
                 self.connecting.set()
                 await self.open.wait()
             await real(peer, conn)
 
-        monkeypatch.setattr(upstreams.Peer, "_connect", late)
+        monkeypatch.setattr(upstreams.ConnectionPool, "_connect", late)
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -95,7 +95,7 @@
                 await asyncio.sleep(0)
             gate.open.set()
             await passes()
-            assert not service.turn.visits and not service.turn.upstreams.peers[0].errands
+            assert not service.turn.visits and not service.turn.upstreams.pools[0].errands
             # the next one meets the upstream, and nothing came there before it
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -126,7 +126,7 @@
             # it was written whole, so it may have run: nothing is inferred of it
             await passes()
             assert service.turn.counts["unsent"] == 0
-            assert bool(service.turn.upstreams.peers[0].errands) is not cancel
+            assert bool(service.turn.upstreams.pools[0].errands) is not cancel
 
     play(story)
 
@@ -189,7 +189,7 @@
         async with running(peer, Cancel=cancel) as service:
             balancer, place = service.turn.balancer, service.turn.balancer._place
             if idle:  # a connection stands ready, so nothing else lies between the turn and the write
-                monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+                monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
                 assert (await (await caller(service)).ask(request()))[0] == 200
             before = len(peer.requests)
             monkeypatch.setattr(balancer, "_place", lambda *_: False)
@@ -216,10 +216,10 @@
         peer = Peer(SILENT)
         async with running(peer, Cancel=cancel) as service:
             # the upstream's machine takes no bytes: what was written stays in the transport
-            monkeypatch.setattr(upstreams.Conn, "written", lambda conn: False)
+            monkeypatch.setattr(upstreams.UpstreamConnection, "write_buffer_empty", lambda conn: False)
             client = await caller(service)
             client.writer.write(asked("/change"))
-            while not any(e.conn for e in service.turn.upstreams.peers[0].errands):
+            while not any(e.conn for e in service.turn.upstreams.pools[0].errands):
                 await asyncio.sleep(0)
             leave(client, "end")
             while service.turn.visits:
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -138,7 +138,8 @@
 
 HELD_UP = 0.15
 turns = []
-begin, received, look = turn.Turn.__init__, list_call.ListCall.data_received, upstreams.Peer._may_begin
+begin, received = turn.Turn.__init__, list_call.ListCall.data_received
+look = upstreams.ConnectionPool._may_start
 
 def noted(self, *args, **more):
     turns.append(self)
@@ -156,7 +157,7 @@
     return found
 
 turn.Turn.__init__, list_call.ListCall.data_received = noted, read_late
-upstreams.Peer._may_begin = written_late
+upstreams.ConnectionPool._may_start = written_late
 main(["serve", sys.argv[1]])
 """
 
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -89,7 +89,7 @@
         return run(*args, **more)
     setattr(owner, name, held)
 
-connect = upstreams.Peer._connect
+connect = upstreams.ConnectionPool._connect
 async def connected(peer, conn):
     await connect(peer, conn)
     hold_up()
@@ -99,7 +99,7 @@
 elif place == "the write":
     before(turn.Turn, "write")
 else:
-    upstreams.Peer._connect = connected
+    upstreams.ConnectionPool._connect = connected
 main(["serve", sys.argv[1]])
 """
 HELD_UP_FOR = 0.7  # s
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -117,13 +117,13 @@
     async def story():
         agent = Registry()
         async with await pushed_by(agent, monkeypatch) as service:
-            (peer,) = service.turn.upstreams.peers.values()
-            named = [target("u0", peer.at[1], state=state)] if state else []
+            (peer,) = service.turn.upstreams.pools.values()
+            named = [target("u0", peer.address[1], state=state)] if state else []
             await agent.tell(4, *named, whole=True)
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
             assert not await ready(service)
-            await agent.tell(5, target("u0", peer.at[1]))
+            await agent.tell(5, target("u0", peer.address[1]))
             while not await ready(service):
                 pass
 
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -36,7 +36,7 @@
 def test_a_connection_with_something_unread_is_not_used_again(what, path, monkeypatch):
     # its end in the socket when a visit took it: a reset that may have run, for one that may not run twice
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         raw, loop = Raw(), asyncio.get_running_loop()
         async with running(known=[target("u0", raw.port)]) as service:
             balancer, place = service.turn.balancer, service.turn.balancer._place
@@ -79,7 +79,7 @@
 def test_a_connection_to_what_the_upstream_was_is_not_used_again(how, first, monkeypatch):
     # an answer that came after the list had named it anew put its connection back among the idle ones
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         registry, old, new = Registry(), Peer(SILENT), await Peer(ok(b"new")).start()
         async with running(old, registry=registry) as service:
             await registry.tell(4)
@@ -162,13 +162,13 @@
 
                 return time.time()
 
-            start = upstreams.Conn.start
+            start = upstreams.UpstreamConnection.start
 
             def noted(conn, errand, now):
                 written.append(len(turn.balancer._upstreams[0].cold_sends))
                 start(conn, errand, now)
 
-            monkeypatch.setattr(upstreams.Conn, "start", noted)
+            monkeypatch.setattr(upstreams.UpstreamConnection, "start", noted)
             monkeypatch.setattr(turn, "_begin_visit", take)
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -292,7 +292,7 @@
                 len(turn._index_by_uid)
                 == len(turn._readiness)
                 == len(turn._target_by_uid)
-                == len(turn.upstreams.peers)
+                == len(turn.upstreams.pools)
             )
             assert len(turn._index_by_uid) == len(turn.balancer._upstreams) == len(turn.balancer._ring) <= 2
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -67,7 +67,7 @@
 def test_the_first_request_of_a_new_connection_is_answered_though_it_comes_late(first, monkeypatch):
     # idle for 0.1 s, it was closed without an answer: such a request is lost, as nobody sends it again
     async def story():
-        monkeypatch.setattr(clients, "SETTLED", -1.0)
+        monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", -1.0)
         async with running(Peer()) as service:
             late = await caller(service)
             while not service.clients.open:
@@ -89,7 +89,7 @@
 
 def test_one_that_never_asks_does_not_hold_a_stop_for_long(monkeypatch):
     async def story():
-        monkeypatch.setattr(clients, "FIRST", 0.1)
+        monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.1)
         async with running(Peer()) as service:
             silent = await caller(service)
             while not service.clients.open:
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("unread", [True, False])
 def test_a_kept_connection_is_not_closed_over_a_request_that_lies_in_its_socket(unread, monkeypatch):
     async def story():
-        monkeypatch.setattr(clients, "SETTLED", -1.0)
+        monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", -1.0)
         async with running(Peer()) as service:
             kept, loop = socket.create_connection(service.at), asyncio.get_running_loop()
             kept.setblocking(False)
@@ -115,8 +115,8 @@
             if unread:
                 kept.sendall(request())
             service.turn.closing = True
-            service.clients.finish_idle()  # nothing was read since
-            assert client._over is not unread
+            service.clients.close_idle()  # nothing was read since
+            assert client._finished is not unread
             if unread:
                 assert (await loop.sock_recv(kept, 4096)).startswith(b"HTTP/1.1 200")
             assert await loop.sock_recv(kept, 4096) == b""
@@ -178,7 +178,7 @@
             (client,) = service.clients.open
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await loop.sock_sendall(slow, request())
-            while not service.clients.sending():
+            while not service.clients.has_unsent_answers():
                 await asyncio.sleep(0)
             began = loop.time()
             stop, _ = stopping(service, monkeypatch)
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -176,7 +176,7 @@
             errand.expires -= before
             turn._last_batch_at = errand.sent if stood else turn._last_batch_at
             span = errand.expires - errand.sent
-            errand.peer._expire(errand)
+            errand.pool._on_timeout(errand)
             assert (await client.answer())[0] >= 500
             assert turn.counts["timed_out"] == 1 and not u.out
             assert (u.level.latency == was and not u.run) if stood else was < u.level.latency <= span
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,7 +11,7 @@
 from ospreyline.host import End
 from ospreyline.net import upstreams
 from ospreyline.net.turn import clock
-from ospreyline.net.upstreams import Answer, Cut, Errand, Stage, Why, end_of, load_report
+from ospreyline.net.upstreams import Answer, Cut, Errand, Stage, Why, classify_end, parse_load_report
 
 NEVER = b"X-Never-Ran: 1\r\n"
 TURNED_AWAY = ok(b"", NEVER, b"503 Service Unavailable")
@@ -41,7 +41,7 @@
     ],
 )
 def test_how_far_it_had_come_says_whether_it_can_have_run(outcome, end):
-    assert end_of(outcome) is end
+    assert classify_end(outcome) is end
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
     ],
 )
 def test_load_reports_are_read_in_either_set_of_words(text, report):
-    assert load_report(text, ("util", "queue")) == report
+    assert parse_load_report(text, ("util", "queue")) == report
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
 
 def test_a_connection_is_kept_and_the_one_last_used_is_taken(monkeypatch):
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         peer = Peer()
         async with running(peer) as service:
             client = await caller(service)
@@ -175,7 +175,7 @@
                 assert (await client.ask(request()))[0] == 200
             assert len(peer.writers) == 1
             # well before the upstream would close it, it is closed by us
-            service.turn.upstreams.tidy(clock() + 0.9 * 15_000)
+            service.turn.upstreams.run_maintenance(clock() + 0.9 * 15_000)
             await peer.until(lambda: peer.open == 0)
 
     play(story)
@@ -209,7 +209,7 @@
         # an upstream that is cut off leaves its connections open and silent
         peer = Peer(SILENT, SILENT, ok())
         async with running(peer) as service:
-            upstream = service.turn.upstreams.peers[0]
+            upstream = service.turn.upstreams.pools[0]
             results: list[Answer | Cut] = []
             now = clock()
             for _ in range(2):
@@ -219,8 +219,8 @@
             while not upstream.idle:
                 await asyncio.sleep(0)
             late = Errand(b"GET / HTTP/1.1\r\n", b"", clock() + 1, 1, False, results.append)
-            late.peer, late.stage = upstream, Stage.WRITTEN
-            upstream._expire(late)
+            late.pool, late.stage = upstream, Stage.WRITTEN
+            upstream._on_timeout(late)
             assert not upstream.idle and results[-1] == Cut(Stage.WRITTEN, Why.TIMED_OUT)
 
     play(story)
@@ -230,13 +230,13 @@
     async def story():
         peer = Peer()
         async with running(peer) as service:
-            upstream = service.turn.upstreams.peers[0]
+            upstream = service.turn.upstreams.pools[0]
             results: list[Answer | Cut] = []
             now = clock()
             upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
-            service.turn.upstreams.listed(0, upstream.at, 0.0, ready=False)
+            service.turn.upstreams.update_from_list(0, upstream.address, 0.0, ready=False)
             upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
-            assert [end_of(result) for result in results] == [End.UNSENT, End.UNSENT]
+            assert [classify_end(result) for result in results] == [End.UNSENT, End.UNSENT]
 
     play(story)
 
@@ -245,7 +245,7 @@
     async def story():
         peers = [Peer(), Peer()]
         async with running(*peers) as service:
-            service.turn.upstreams.most_open = 1
+            service.turn.upstreams.max_open = 1
             client = await caller(service)
             for _ in range(8):
                 assert (await client.ask(request()))[0] == 200
@@ -257,7 +257,7 @@
 @pytest.mark.parametrize("behind", [ok(b"copy"), None])
 def test_a_connection_that_has_just_answered_settles_before_it_is_used_again(behind, monkeypatch):
     async def story():
-        monkeypatch.setattr(upstreams, "SETTLE", 10_000.0)
+        monkeypatch.setattr(upstreams, "SETTLE_MS", 10_000.0)
         # a second copy, or the connection's end, may come right behind the answer, but not with it
         peer = Peer(ok(b"first"), ok(b"second"))
         async with running(peer) as service:
@@ -280,16 +280,16 @@
         peer = Peer(head + b"x" * 800_000)
         async with running(peer) as service:
             pool = service.turn.upstreams
-            pool.most_held = 2_000_000
+            pool.max_buffered_bytes = 2_000_000
             callers = [await caller(service) for _ in range(4)]
             for client in callers:
                 client.writer.write(request("/change", "POST", b"x"))
             while service.turn.counts["errored"] < 2:  # two have no room
                 await asyncio.sleep(0)
-            assert pool.held <= pool.most_held
+            assert pool.buffered_bytes <= pool.max_buffered_bytes
             for writer in list(peer.writers):
                 writer.write(b"x" * 100_000)
             statuses = sorted([(await client.answer())[0] for client in callers])
-            assert statuses == [200, 200, 502, 502] and pool.held == 0
+            assert statuses == [200, 200, 502, 502] and pool.buffered_bytes == 0
 
     play(story)
