--- a/ospreyline/__main__.py
+++ b/ospreyline/__main__.py
@@ -25,12 +25,12 @@
     "operator_file",
     envvar="OSPREYLINE_OPERATOR",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="The operator's file (TOML), which switches on what is off by default; see deploy/operator.toml.",
+    help="The operator file (TOML), which enables optional features; see deploy/operator.toml.",
 )
 
 
-def _post(path: Path) -> facts.Post:
-    """Read the configuration, or end with one line that says what is wrong with it, and status 2."""
+def _load_config(path: Path) -> facts.Post:
+    """Read the configuration; on an error print one line that says what is wrong, and exit with status 2."""
     try:
         return facts.load(path, os.environ)
     except facts.FactError as error:
@@ -38,8 +38,8 @@
         sys.exit(2)
 
 
-def _operator(path: Path | None) -> Operator | None:
-    """Read the operator's file, likewise; without one nothing of it is imported."""
+def _load_operator(path: Path | None) -> Operator | None:
+    """Read the operator file, with the same error handling; without one its module is not imported."""
     if path is None:
         return None
     from ospreyline import operator
@@ -51,8 +51,8 @@
         sys.exit(2)
 
 
-# name: module and command
-FURTHER = {
+# command: module and attribute, imported only when called
+LAZY_COMMANDS = {
     "capacity": ("ospreyline.capacity.command", "command"),
     "explore": ("ospreyline.check.command", "explore"),
     "lab": ("ospreyline.lab.command", "lab"),
@@ -62,16 +62,16 @@
 }
 
 
-class Groups(click.Group):
-    """Further commands are imported when they are called, so that `serve` pays for none of them."""
+class LazyGroup(click.Group):
+    """Imports the further commands only when they are called, so that `serve` does not pay for them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *FURTHER])
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in FURTHER:
+        if name not in LAZY_COMMANDS:
             return super().get_command(ctx, name)
-        module, call = FURTHER[name]
+        module, call = LAZY_COMMANDS[name]
         try:
             command: click.Command = getattr(import_module(module), call)
         except ModuleNotFoundError as error:
@@ -81,7 +81,7 @@
         return command
 
 
-@click.group(cls=Groups)
+@click.group(cls=LazyGroup)
 def main() -> None:
     """An HTTP load balancer, run as a bank of proxies that share nothing."""
 
@@ -91,8 +91,8 @@
 @OPERATOR
 def serve(config: Path, operator_file: Path | None) -> None:
     """Serve as CONFIG says (default: the file that PROXY_CONFIG names) until SIGTERM; SIGHUP rereads it."""
-    # guards: until they are heard a signal would end the process, and a file that is replaced while this one
-    # is read would go unread; so they wait until `service.serve` hears them
+    # Block signals until `service.serve` has handlers for them: before that, a signal would end the process,
+    # and a file replaced while it is being read would not be reloaded.
     mask = signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     try:
         _serve(config, operator_file)
@@ -101,9 +101,9 @@
 
 
 def _serve(config: Path, operator_file: Path | None) -> None:
-    post, operator = _post(config), _operator(operator_file)
+    post, operator = _load_config(config), _load_operator(operator_file)
 
-    def reread() -> tuple[facts.Post, Operator | None]:
+    def load_again() -> tuple[facts.Post, Operator | None]:
         post = facts.load(config, os.environ, again=True)
         if operator_file is None:
             return post, None
@@ -111,8 +111,8 @@
 
         return post, load(operator_file)
 
-    # guards: the loop's library starts an io_uring thread that polls on our core for a while after each
-    # signal; where a limit on CPU time works by stopping the process, that alone kept it at the limit
+    # libuv starts an io_uring thread that polls on our core for a while after each signal; where CPU time is
+    # limited by stopping the process, that alone kept it at the limit.
     os.environ.setdefault("UV_USE_IO_URING", "0")
     import uvloop
 
@@ -120,7 +120,7 @@
 
     service.start_log()
     try:
-        uvloop.run(service.serve(post, reread, operator))
+        uvloop.run(service.serve(post, load_again, operator))
     except OSError as error:
         at = f"{post.listen[0]}:{post.listen[1]}"
         click.echo(f"ospreyline: cannot listen on {at}: {error.strerror}", err=True)
@@ -131,18 +131,18 @@
 @CONFIG
 @OPERATOR
 def check(config: Path, operator_file: Path | None) -> None:
-    """Read CONFIG and the operator's file as `serve` would and say what they hold."""
-    post, operator = _post(config), _operator(operator_file)
+    """Read CONFIG and the operator file as `serve` would and print what they contain."""
+    post, operator = _load_config(config), _load_operator(operator_file)
     click.echo(
         f"{post.name}: listens on {post.listen[0]}:{post.listen[1]}, "
         f"zone {post.zone_names[post.terms.zone]!r}, {post.sockets} descriptors"
     )
     terms = post.terms
-    listed = "asked for" if terms.ask_for_list else "pushed"
+    list_mode = "polled" if terms.ask_for_list else "pushed"
     messages = "allowed, but not carried on sockets" if terms.may_tell else "off"
     click.echo(
         f"{terms.balancers} balancers, number {terms.number}, {terms.zones} zones, "
-        f"the list is {listed}, messages {messages}"
+        f"the list is {list_mode}, messages {messages}"
     )
     click.echo(
         f"of the goal: worst prefix {terms.worst_prefix:.3g}, nines {post.nines:.3g} "
@@ -157,18 +157,18 @@
     if operator is not None and operator.list.calls_per_s:
         on.append(f"calls spread for a list service of {operator.list.calls_per_s:g} a second")
     if operator is not None and operator.list.keep:
-        on.append(f"the list is kept in {operator.list.keep} for {operator.list.keep_for_s:g} s")
+        on.append(f"the list is cached in {operator.list.keep} for {operator.list.keep_for_s:g} s")
     if operator is not None and operator.fleet.bank:
         on.append(
             f"links in the bank {operator.fleet.bank!r} on {operator.fleet.listen}, "
-            f"{len(operator.fleet.peers)} peers named"
+            f"{len(operator.fleet.peers)} peers configured"
         )
-    click.echo("switched on by the operator's file: " + ("; ".join(on) or "nothing"))
+    click.echo("enabled by the operator file: " + ("; ".join(on) or "nothing"))
 
 
 @main.group(name="config")
 def config_group() -> None:
-    """What the configuration comes to."""
+    """The effective configuration."""
 
 
 @config_group.command()
@@ -178,7 +178,7 @@
     """Print the effective values, where each comes from, and what SIGHUP applies of them."""
     from ospreyline import operator as parts
 
-    post, operator = _post(config), _operator(operator_file)
+    post, operator = _load_config(config), _load_operator(operator_file)
     from_file = facts.given(config)
     for key, value, variable, sighup in (
         ("name", post.name, "PROXY_NAME", False),
@@ -195,43 +195,43 @@
             else (str(config) if key.split(".")[0] in from_file else "default")
         )
         click.echo(f"{key} = {value}  # {origin}; SIGHUP {'applies it' if sighup else 'does not apply it'}")
-    for one in parts.keys(operator or parts.OFF, operator_file):
+    for entry in parts.keys(operator or parts.OFF, operator_file):
         click.echo(
-            f"{one.name} = {one.value!r}  # {one.origin}; "
-            f"SIGHUP {'applies it' if one.sighup else 'does not apply it'}; {one.about}"
+            f"{entry.name} = {entry.value!r}  # {entry.origin}; "
+            f"SIGHUP {'applies it' if entry.sighup else 'does not apply it'}; {entry.about}"
         )
 
 
 @main.group()
 def fleet() -> None:
-    """The other balancers of the bank, as one of them knows them."""
+    """The other balancers of the bank, as one of them sees them."""
 
 
 @fleet.command()
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 def status(file: Path) -> None:
-    """Print the status FILE of a running balancer (`fleet.status`); status 1 if it does not hear all."""
+    """Print the status FILE of a running balancer (`fleet.status`); exits with 1 if it does not hear all."""
     import msgspec
 
     try:
-        told = msgspec.json.decode(file.read_bytes(), type=dict[str, Any])
-        age = time() - told["at"]
+        report = msgspec.json.decode(file.read_bytes(), type=dict[str, Any])
+        age = time() - report["at"]
         click.echo(
-            f"{told['name']} in {told['bank']!r}: {told['words']}, {age:.0f} s ago"
+            f"{report['name']} in {report['bank']!r}: {report['words']}, {age:.0f} s ago"
             + (" - this is old" if age > 10 else "")
         )
-        if told["superseded"]:
-            click.echo("a newer process has its name: it speaks no more")
+        if report["superseded"]:
+            click.echo("a newer process has its name: it has stopped sending")
         click.echo(
-            f"linked to {', '.join(told['linked']) or 'nobody'}; "
-            f"list version {told['list_rev']}, "
+            f"linked to {', '.join(report['linked']) or 'nobody'}; "
+            f"list version {report['list_rev']}, "
             + (
                 "passes it on"
-                if told["passes_the_list_on"]
-                else f"listens to {', '.join(told['listens_to']) or 'nobody'}"
+                if report["passes_the_list_on"]
+                else f"listens to {', '.join(report['listens_to']) or 'nobody'}"
             )
         )
-        for member in told["members"]:
+        for member in report["members"]:
             click.echo(
                 f"  {member['name']:16} {member['state']:10} {member['zone']:12} "
                 f"{member['address']:22} for {member['for_s']:g} s"
@@ -240,9 +240,9 @@
         click.echo(f"ospreyline: {file}: {error.strerror}", err=True)
         sys.exit(2)
     except (msgspec.MsgspecError, KeyError, TypeError) as error:
-        click.echo(f"ospreyline: {file}: no status of a balancer ({error})", err=True)
+        click.echo(f"ospreyline: {file}: not a balancer status file ({error})", err=True)
         sys.exit(2)
-    sys.exit(0 if told["hears"] >= told["of"] and age <= 10 else 1)
+    sys.exit(0 if report["hears"] >= report["of"] and age <= 10 else 1)
 
 
 @main.command(name="version")
--- a/ospreyline/net/clients.py
+++ b/ospreyline/net/clients.py
@@ -20,7 +20,7 @@
 import httptools
 
 from ospreyline.net.events import EventLog
-from ospreyline.net.sockets import drain, shut, unacknowledged
+from ospreyline.net.sockets import discard_unread, shutdown_now, unacknowledged
 from ospreyline.net.upstreams import HOP_BY_HOP, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_RAW_BYTES, unread
 
 IDLE_TIMEOUT_S = 75.0  # a connection may be idle between requests for this long
@@ -353,7 +353,7 @@
             if transport.get_write_buffer_size():
                 transport.write_eof()
             else:
-                shut(transport)
+                shutdown_now(transport)
             self.clients.loop.call_later(LINGER_S, self._end_lingering)
 
     def _end_lingering(self) -> None:
@@ -429,7 +429,7 @@
         if self.transport is not None and not self.transport.is_closing():
             if self.clients.events is not None:
                 self.clients.events.closed("client", why, str(self.transport.get_extra_info("peername")))
-            drain(self.transport)
+            discard_unread(self.transport)
             self.transport.abort()
 
 
--- a/ospreyline/net/events.py
+++ b/ospreyline/net/events.py
@@ -1,7 +1,7 @@
 """Log lines about single requests and connections: why one was retried, rejected, failed or closed.
 
-Each is counted by its reason. Few are written: a full pipe blocks the event loop, and where only a part of a
-log is kept, lines about requests would push out those about the list and the state of the process.
+Every event is counted by its reason, but few lines are written: a full pipe blocks the event loop, and where
+only part of a log is kept, lines about requests would crowd out those about the list and the process.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 LINES_PER_SECOND = 2.0
-BURST = 20.0  # lines that a quiet time saves up
+BURST_LINES = 20.0  # lines that can be written at once after a quiet time
 
 
 class Logger(Protocol):
@@ -21,25 +21,25 @@
 
 
 class EventLog:
-    """Rate-limited log lines; `counts` has every event by its reason, as "event: reason".
+    """Rate-limited log lines; `counts` counts every event by its reason, as "event: reason".
 
-    `counts["log_lines_dropped"]` says for how many no line was written. `clock` returns milliseconds on a
-    clock that only goes forward.
+    `counts["log_lines_dropped"]` counts those for which no line was written. `clock` returns monotonic
+    milliseconds.
     """
 
     def __init__(self, logger: Logger, clock: Callable[[], float], counts: Counter[str]) -> None:
         self._logger = logger
         self._clock = clock
         self._counts = counts
-        self._tokens = BURST
+        self._tokens = BURST_LINES
         self._refilled_at = clock()
 
     def line(self, event: str, why: str, **values: Any) -> None:
-        """Count an event by its reason, and write a line unless too many were written of late."""
+        """Count an event by its reason, and write a log line unless the rate limit is reached."""
         self._counts[f"{event}: {why}"] += 1
         now = self._clock()
         refill = (now - self._refilled_at) / 1e3 * LINES_PER_SECOND
-        self._tokens = min(BURST, self._tokens + refill)
+        self._tokens = min(BURST_LINES, self._tokens + refill)
         self._refilled_at = now
         if self._tokens < 1.0:
             self._counts["log_lines_dropped"] += 1
@@ -48,5 +48,5 @@
         self._logger.info(event, why=why, **values)
 
     def closed(self, side: str, why: str, peer: str) -> None:
-        """A connection was closed by this process; `side` is "client" or "upstream"."""
+        """Record that this process closed a connection; `side` is "client" or "upstream"."""
         self.line(f"{side} connection closed", why, peer=peer)
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -1,4 +1,4 @@
-"""Start, reload and stop of a balancer on sockets, and the work that comes round."""
+"""Start, configuration reload, shutdown and periodic maintenance of a balancer."""
 
 from __future__ import annotations
 
@@ -22,51 +22,52 @@
     from ospreyline.operator import Operator
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-TIDY = 0.25  # s between two rounds over idle connections and silent calls
-COUNTS = 20  # rounds between two lines of counts
-KEEP_ACCEPTING = 0.5  # s after the signal to stop: new connections still come
-SETTINGS = ("terms", "prefix_names", "zone_names", "connect_time_out", "keep_idle")
-LAST_ANSWERS = 0.6  # s on top of the longest client timeout, then what is left is answered anyhow
-MOST_NOTICE = 3.0  # s, the longest client timeout that a stop waits for, whatever the settings have
-LAST_BYTES = 0.06  # s for those answers to leave our buffers; we are killed 0.04 s later at the earliest
-
-
-def _longest(post: Post) -> float:
-    """The longest client timeout, s."""
+MAINTENANCE_INTERVAL_S = 0.25  # interval of cleaning up idle connections and unresponsive list calls
+COUNTS_EVERY_ROUNDS = 20  # maintenance rounds between two "counts" log lines
+KEEP_ACCEPTING_S = 0.5  # after the signal to stop, new connections are still accepted for this long
+RELOADED_FIELDS = ("terms", "prefix_names", "zone_names", "connect_time_out", "keep_idle")
+FINAL_ANSWER_GRACE_S = 0.6  # on top of the longest client timeout; then open visits are answered anyway
+MAX_DRAIN_S = 3.0  # the longest client timeout that a shutdown waits for, whatever the settings say
+# time for the last answers to leave our buffers; the process is killed 0.04 s later at the earliest
+FLUSH_GRACE_S = 0.06
+
+
+def _longest_client_timeout_s(post: Post) -> float:
+    """The longest client timeout, in seconds."""
     return max((p.client_timeout for p in post.terms.prefixes), default=0.0) / 1e3
 
 
 class Service:
-    """One balancer from its start to its end."""
+    """One balancer process, from start to shutdown."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, post: Post, operator: Operator | None = None) -> None:
         self._loop = loop
         self._post = post
-        self._operator = operator  # None: nothing that is off by default is on
+        self._operator = operator  # None: no optional feature is enabled
         self._log = structlog.get_logger()
         self.turn = Turn(loop, post, operator)
         self.clients = Clients(loop, self.turn, self.turn.max_clients, self.turn.events)
         self.at = post.listen
-        self._rounds = 0
-        self._tidying: asyncio.TimerHandle | None = None
-        self._fleet: asyncio.Task[None] | None = None
+        self._maintenance_rounds = 0
+        self._maintenance_timer: asyncio.TimerHandle | None = None
+        self._bank_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Listen and serve from now on."""
+        """Start listening and serving."""
         self.at = self.clients.listen(self._post.listen)
-        self._tidy()
+        self._run_maintenance()
         if self.turn.bank is not None:
-            self._fleet = self._loop.create_task(self.turn.bank.start())
+            self._bank_task = self._loop.create_task(self.turn.bank.start())
         self._log.info(
             "serving", name=self._post.name, listen=f"{self.at[0]}:{self.at[1]}", sockets=self._post.sockets
         )
 
-    def reload(self, reread: Callable[[], tuple[Post, Operator | None]]) -> None:
-        """The files may be new: settings, discovery and what SIGHUP applies hold from now on."""
+    def reload(self, load_again: Callable[[], tuple[Post, Operator | None]]) -> None:
+        """Reload the files and apply all changes that need no restart."""
         if self.turn.closing:
             return
         try:
-            new, operator = reread()
+            new, operator = load_again()
         except FactError as error:
             self._log.error("configuration not reloaded, the old one stays", problem=str(error))
             return
@@ -78,7 +79,7 @@
         if restart:
             self._log.warning("changes that need a restart", keys=restart)
         moved = new.discovery != self.turn.discovery.at
-        # what needs a restart stays as it is
+        # values that need a restart stay as they are
         new = replace(
             new,
             name=self._post.name,
@@ -86,7 +87,7 @@
             sockets=self._post.sockets,
             memory=self._post.memory,
         )
-        settings = any(getattr(self._post, key) != getattr(new, key) for key in SETTINGS)
+        settings = any(getattr(self._post, key) != getattr(new, key) for key in RELOADED_FIELDS)
         if settings:
             self.turn.apply_config(new)
         self._post = new
@@ -98,17 +99,17 @@
             self.turn.move_discovery(new.discovery)
 
     async def stop(self) -> None:
-        """Finish what was taken; new connections are accepted for a while yet, and kept ones used."""
+        """Finish open visits; for a moment, new connections and requests on open ones are still accepted."""
         began = self._loop.time()
         self._log.info("stopping", visits=len(self.turn.visits))
         if self.turn.bank is not None:
             self.turn.bank.leave()
         self.turn.closing = True
-        # guards: counted from the settings of now. One that was taken under longer ones is answered early:
-        # the time until the process is killed is counted from what it was given last
-        ends = began + min(_longest(self._post), MOST_NOTICE) + LAST_ANSWERS
-        await asyncio.sleep(KEEP_ACCEPTING)
-        while self._loop.time() < ends:
+        # Uses the current settings. A visit that began under longer timeouts is answered early, as the time
+        # until the process is killed depends on its latest settings.
+        deadline = began + min(_longest_client_timeout_s(self._post), MAX_DRAIN_S) + FINAL_ANSWER_GRACE_S
+        await asyncio.sleep(KEEP_ACCEPTING_S)
+        while self._loop.time() < deadline:
             listening = not self.clients.stop_listening()
             self.clients.close_idle()
             if not listening and not self.clients.is_busy() and not self.clients.open:
@@ -116,34 +117,34 @@
             await asyncio.sleep(0.02)
         while (
             self.turn.has_unanswered_visits() or self.clients.has_unsent_answers()
-        ) and self._loop.time() < ends + LAST_BYTES:
-            self.turn.answer_all()  # guards: the rest of a request may have come since
+        ) and self._loop.time() < deadline + FLUSH_GRACE_S:
+            self.turn.answer_all()  # the rest of a request may have arrived since
             await asyncio.sleep(0.005)
         self.end()
-        self._counts()
+        self._log_counts()
         self._log.info("stopped")
 
     def end(self) -> None:
-        """Drop all connections."""
-        if self._tidying is not None:
-            self._tidying.cancel()
+        """Close all connections at once."""
+        if self._maintenance_timer is not None:
+            self._maintenance_timer.cancel()
         self.clients.close()
         if self.turn.bank is not None:
             self.turn.bank.close()
         self.turn.close()
 
-    def _tidy(self) -> None:
-        self._tidying = self._loop.call_later(TIDY, self._tidy)
+    def _run_maintenance(self) -> None:
+        self._maintenance_timer = self._loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
         self.clients.run_maintenance()
         self.turn.upstreams.run_maintenance(clock())
         self.turn.run_maintenance(clock())
         self.turn.discovery.tidy()
-        self._rounds += 1
-        if self._rounds % COUNTS == 0:
-            self._counts()
+        self._maintenance_rounds += 1
+        if self._maintenance_rounds % COUNTS_EVERY_ROUNDS == 0:
+            self._log_counts()
 
-    def _counts(self) -> None:
-        """A line of what was counted since the last one."""
+    def _log_counts(self) -> None:
+        """Log what was counted since the last "counts" line."""
         turn = self.turn
         times = sorted(turn.latencies_ms)
         figures: dict[str, float] = {}
@@ -167,7 +168,7 @@
 
 
 class LogFile:
-    """Standard output as long as somebody reads it. Guards: a log that is lost must not cost a visit."""
+    """Standard output; write errors are ignored, so that a broken log does not cost a visit."""
 
     def __init__(self, file: TextIO) -> None:
         self._file = file
@@ -183,7 +184,7 @@
 
 
 def start_log() -> None:
-    """JSON lines on standard output."""
+    """Log as JSON lines to standard output."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -197,18 +198,18 @@
 
 
 async def serve(
-    post: Post, reread: Callable[[], tuple[Post, Operator | None]], operator: Operator | None = None
+    post: Post, load_again: Callable[[], tuple[Post, Operator | None]], operator: Operator | None = None
 ) -> None:
-    """Run a balancer until SIGTERM or SIGINT; SIGHUP reads its files again."""
+    """Run a balancer until SIGTERM or SIGINT; SIGHUP reloads its files."""
     loop = asyncio.get_running_loop()
-    told_to_stop = asyncio.Event()
-    for number in SIGNALS[:2]:
-        loop.add_signal_handler(number, told_to_stop.set)
+    stop_requested = asyncio.Event()
+    for signal_number in SIGNALS[:2]:
+        loop.add_signal_handler(signal_number, stop_requested.set)
     service = Service(loop, post, operator)
-    loop.add_signal_handler(signal.SIGHUP, service.reload, reread)
+    loop.add_signal_handler(signal.SIGHUP, service.reload, load_again)
     service.start()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     gc.collect()
-    gc.freeze()  # what lives as long as we do is not looked at again
-    await told_to_stop.wait()
+    gc.freeze()  # objects that live as long as the process are excluded from garbage collection
+    await stop_requested.wait()
     await service.stop()
--- a/ospreyline/net/sockets.py
+++ b/ospreyline/net/sockets.py
@@ -1,4 +1,4 @@
-"""What lies below a transport: the end of our sending, what the machine holds, what lies unread, a reset."""
+"""Operations on the socket below an asyncio transport: shutdown, unacknowledged and unread bytes, resets."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 
-MOST_DRAINED = 1 << 20  # bytes that are read before a close
+MAX_DISCARDED_BYTES = 1 << 20  # read at most before a close
 
 
 @contextmanager
-def _below(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
-    """The socket itself: transports lend only one that cannot be read or shut."""
-    lent = transport.get_extra_info("socket")
-    sock = socket.socket(lent.family, lent.type, lent.proto, lent.fileno())
+def _raw_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
+    """The plain socket; the one that a transport returns cannot be read or shut down."""
+    wrapped = transport.get_extra_info("socket")
+    sock = socket.socket(wrapped.family, wrapped.type, wrapped.proto, wrapped.fileno())
     try:
         yield sock
     finally:
@@ -26,39 +26,40 @@
 
 
 def failed(transport: asyncio.BaseTransport) -> bool:
-    """Whether a connection was reset, though its end may be all that was told of it."""
-    lent = transport.get_extra_info("socket")
-    look = select.poll()
-    look.register(lent.fileno(), 0)
-    return any(events & select.POLLERR for _, events in look.poll(0)) or bool(
-        lent.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    """Whether a connection was reset, even if only a regular end was reported."""
+    wrapped = transport.get_extra_info("socket")
+    poller = select.poll()
+    poller.register(wrapped.fileno(), 0)
+    return any(events & select.POLLERR for _, events in poller.poll(0)) or bool(
+        wrapped.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     )
 
 
-def shut(transport: asyncio.BaseTransport, how: int = socket.SHUT_WR) -> None:
-    """End our sending, or both ways, at once; what is in the transport's buffer never leaves it.
+def shutdown_now(transport: asyncio.BaseTransport, how: int = socket.SHUT_WR) -> None:
+    """Shut down sending (or both directions) at once; data in the transport's buffer is never sent.
 
-    Guards: the loop library does it a pass later, after it has read what came meanwhile.
+    The event loop would do it one iteration later, after reading what arrived meanwhile.
     """
-    with suppress(OSError), _below(transport) as sock:  # it may be gone already, which the loop will read
+    # the socket may already be closed, which the event loop will notice
+    with suppress(OSError), _raw_socket(transport) as sock:
         sock.shutdown(how)
 
 
 def unacknowledged(transport: asyncio.BaseTransport) -> int:
-    """Bytes, our end among them, that the machine holds since the other side has not acknowledged them."""
+    """Bytes in the kernel's send queue, including our FIN, that the other side has not acknowledged yet."""
     try:
-        held = fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, bytes(4))
+        unsent = fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, bytes(4))
     except OSError:
-        return 0  # it cannot be told of every kind of socket
-    return int.from_bytes(held, sys.byteorder)
+        return 0  # not every kind of socket reports it
+    return int.from_bytes(unsent, sys.byteorder)
 
 
-def drain(transport: asyncio.BaseTransport) -> None:
-    """Throw away what lies unread.
+def discard_unread(transport: asyncio.BaseTransport) -> None:
+    """Read and discard unread data.
 
-    Guards: a close over it resets the connection, and what the machine holds goes with it.
+    Closing with unread data would reset the connection and discard the kernel's send buffer.
     """
-    with suppress(OSError), _below(transport) as sock:
-        left = MOST_DRAINED
+    with suppress(OSError), _raw_socket(transport) as sock:
+        left = MAX_DISCARDED_BYTES
         while left > 0 and (data := sock.recv(65_536, socket.MSG_DONTWAIT)):
             left -= len(data)
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -613,9 +613,7 @@
     def write(
         self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
     ) -> None:
-        """Start a fetch that may last until `until` (ms); withdrawn if the upstream's list entry has changed
-        since it was chosen (`generation`).
-        """
+        """Start a fetch with deadline `until` (ms), unless the upstream has changed since `generation`."""
         request, time_out = taken.request, until - now
         if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
             return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -20,7 +20,7 @@
 from ospreyline.facts import REPORT_WORDS
 from ospreyline.host import End
 from ospreyline.net.events import EventLog
-from ospreyline.net.sockets import failed, shut
+from ospreyline.net.sockets import failed, shutdown_now
 
 MAX_BODY_BYTES = 65_536
 MAX_HEAD_BYTES = 32_768
@@ -272,7 +272,7 @@
         if not (self.transport.is_closing() or self.write_buffer_empty()):
             # The event loop closes the socket one iteration later. Until then, buffered data that is reported
             # as never sent could still leave completely.
-            shut(self.transport, socket.SHUT_RDWR)
+            shutdown_now(self.transport, socket.SHUT_RDWR)
         self.transport.abort()
 
     # receiving
@@ -521,8 +521,7 @@
             self.pools.events.closed("upstream", why, f"{self.address[0]}:{self.address[1]}")
 
     def invalidate(self) -> None:
-        """The upstream's list entry changed: its connections are not reused, and exchanges still connecting
-        are withdrawn.
+        """The list entry changed: close idle connections and withdraw exchanges that are still connecting.
 
         Otherwise a fetch chosen for the former address or process would be written to it, or to an upstream
         that is cold now; and one that waits for its connection could be sent after the drain grace period.
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -355,7 +355,7 @@
             assert not three.is_overdue(now) and three.is_overdue(now + clients.FIRST_BYTE_TIMEOUT_S + 0.1)
             # a slow or silent client must be disconnected within 3 s
             slowest = max(clients.TRANSFER_TIMEOUT_S, clients.FIRST_BYTE_TIMEOUT_S)
-            assert slowest + service_module.TIDY < 3.0
+            assert slowest + service_module.MAINTENANCE_INTERVAL_S < 3.0
             del silent
 
     play(story)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -252,10 +252,10 @@
     # out of our buffer is not with the client: a byte from it after the end, and the rest was gone
     async def story():
         for name, value in (
-            ("MOST_NOTICE", 0.0),
-            ("LAST_ANSWERS", 0.05),
-            ("LAST_BYTES", 3.0),
-            ("KEEP_ACCEPTING", 0.0),
+            ("MAX_DRAIN_S", 0.0),
+            ("FINAL_ANSWER_GRACE_S", 0.05),
+            ("FLUSH_GRACE_S", 3.0),
+            ("KEEP_ACCEPTING_S", 0.0),
         ):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 150_000
@@ -303,7 +303,7 @@
 
 def test_a_request_that_is_accepted_as_the_stop_begins_is_answered(monkeypatch):
     async def story():
-        monkeypatch.setattr(service_module, "KEEP_ACCEPTING", 0.0)
+        monkeypatch.setattr(service_module, "KEEP_ACCEPTING_S", 0.0)
         peer = Peer()
         async with running(peer) as service:
             sock = socket.create_connection(service.at)
@@ -323,10 +323,10 @@
     # all that was out had been answered, once; the rest of a slow one that came then was taken, and cut off
     async def story():
         for name, value in (
-            ("MOST_NOTICE", 0.0),
-            ("LAST_ANSWERS", 0.05),
-            ("LAST_BYTES", 3.0),
-            ("KEEP_ACCEPTING", 0.0),
+            ("MAX_DRAIN_S", 0.0),
+            ("FINAL_ANSWER_GRACE_S", 0.05),
+            ("FLUSH_GRACE_S", 3.0),
+            ("KEEP_ACCEPTING_S", 0.0),
         ):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 150_000
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import Any
 
-from ospreyline.net.events import BURST, LINES_PER_SECOND, EventLog
+from ospreyline.net.events import BURST_LINES, LINES_PER_SECOND, EventLog
 
 
 class Written:
@@ -26,7 +26,7 @@
     for number in range(1_000):
         events.line("rejected", "no room" if number % 2 else "in doubt", id=str(number))
         written.now += 10.0
-    assert len(written.lines) <= BURST + 10.0 * LINES_PER_SECOND
+    assert len(written.lines) <= BURST_LINES + 10.0 * LINES_PER_SECOND
     assert counts["rejected: no room"] == counts["rejected: in doubt"] == 500
     assert counts["log_lines_dropped"] == 1_000 - len(written.lines)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -220,7 +220,7 @@
         host = FakeHost([listed(0)], ask_for_list=True, seed=seed)
         host.balancer.told_changes(host.now, [])
         silent = host.now
-        host.pass_time(1e3 * (list_call.QUIET + service_module.TIDY))
+        host.pass_time(1e3 * (list_call.QUIET + service_module.MAINTENANCE_INTERVAL_S))
         for _ in range(2):
             host.watches.clear()
             host.balancer.told_nothing(host.now)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -200,7 +200,7 @@
 
 def test_at_a_stop_what_was_taken_is_answered_and_new_connections_still_come(monkeypatch):
     async def story():
-        monkeypatch.setattr(service_module, "KEEP_ACCEPTING", 0.05)
+        monkeypatch.setattr(service_module, "KEEP_ACCEPTING_S", 0.05)
         peer = Peer(SILENT)
         async with running(peer) as service:
             waiting, idle = await caller(service), await caller(service)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -28,7 +28,7 @@
         tried.set()
         return real()
 
-    monkeypatch.setattr(service_module, "KEEP_ACCEPTING", keep)
+    monkeypatch.setattr(service_module, "KEEP_ACCEPTING_S", keep)
     monkeypatch.setattr(service.clients, "stop_listening", stop_listening)
     return asyncio.ensure_future(service.stop()), tried
 
@@ -141,7 +141,7 @@
 def test_what_is_out_is_answered_before_the_earliest_kill(how, monkeypatch):
     # a stop waited for the longest client timeout there ever was, and for more than the notice there is
     async def story():
-        monkeypatch.setattr(service_module, "MOST_NOTICE", 0.3)
+        monkeypatch.setattr(service_module, "MAX_DRAIN_S", 0.3)
         peer = Peer(SILENT)
         async with running(peer) as service:
             client = await caller(service)
@@ -164,7 +164,7 @@
 
 def test_the_last_answers_leave_our_buffers_before_the_end(monkeypatch):
     async def story():
-        for name, value in (("MOST_NOTICE", 0.0), ("LAST_ANSWERS", 0.1), ("LAST_BYTES", 3.0)):
+        for name, value in (("MAX_DRAIN_S", 0.0), ("FINAL_ANSWER_GRACE_S", 0.1), ("FLUSH_GRACE_S", 3.0)):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 1_000_000
         async with running(Peer(ok(body))) as service:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -102,10 +102,10 @@
             self.pace.place = place
         self.discovery = Calls(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
-        self.wake(self.now + 1e3 * service_module.TIDY * place, self._tidy)
+        self.wake(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
 
     def _tidy(self, now: float) -> None:
-        self.wake(now + 1e3 * service_module.TIDY, self._tidy)
+        self.wake(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
         self.discovery.tidy()
 
     # as the turn does
