--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,20 +1,21 @@
-"""Known failures, and days on the rig whose stand-ins came late themselves.
+"""Known failures, and rig tests that fail because the test rig itself was late.
 
-Known failures are tests that fail for a real fault which is not mended yet, named in KNOWN-RED.txt. It lies
-at the root; without it, or with comments alone, nothing changes here. A line each, three at the most; `#`
-begins a comment line:
+Known failures are tests that fail because of a real, unfixed fault. They are listed in KNOWN-RED.txt at the
+root; without the file, or with only comments in it, nothing changes. One line each, three at most; `#` begins
+a comment line:
 
     tests/test_x.py::test_name | the cause in plain words | issue number
 
-A name is the whole id of a test (with its parameters), or that of a test without its parameters, which then
-stands for every one of them. Each is expected to fail, and printed with its cause and how it failed. Red are:
-a fourth line, a malformed one, a name twice, a listed test that passes or is skipped, and, in a run of all
-tests, a name that matches none. In a run of some tests (files, `-k`, `-m`) names that none has are let be.
+A name is the full id of a test (with its parameters), or that of a test without its parameters, which then
+stands for all of them. Each is expected to fail, and is printed with its cause and how it failed. A run fails
+on a fourth line, a malformed one, a duplicate name, a listed test that passes or is skipped, and, if all
+tests are run, on a name that matches none. If only some tests are run (files, `-k`, `-m`), such names are
+ignored.
 
-A day on the rig is void where a process of the rig itself came later than `rig.lag_ms` (docs/rig.md): what
-is judged then may be its own lateness. A story that fails with a void day is played again, in a folder of its
-own, twice at the most, and each time that is said in the summary; a third void failure is a failure. One that
-fails though no day was void is red at once. One that passes with a void day has passed, and that is said.
+A run of the rig is void if a process of the rig itself was later than `rig.lag_ms` (docs/rig.md): what the
+run shows may then be caused by that delay. A test that fails with a void run is repeated in a folder of its
+own, twice at most, which the summary reports each time; a third void failure is a failure. A test that fails
+without a void run fails at once. One that passes with a void run has passed, which is reported, too.
 """
 
 from __future__ import annotations
@@ -29,9 +30,9 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3  # lines
+MOST = 3  # entries at the most
 KNOWN = "failed as known"
-TRIES = 3  # of a story whose day was void
+TRIES = 3  # runs of a rig test whose runs are void
 LINE = re.compile(r"(?P<name>[^|\s]+\.py::[^|]*[^|\s]) \| (?P<cause>[^|\s][^|]*) \| (?P<issue>\d+)")
 # options that leave tests out, or end a run early
 SELECTING = (
@@ -54,14 +55,14 @@
     name: str
     cause: str
     issue: str
-    met: dict[str, str] = field(default_factory=dict)  # by whole id: how it ended
+    met: dict[str, str] = field(default_factory=dict)  # by node id: how it ended
 
     def names(self, nodeid: str) -> bool:
         return self.name in (nodeid, nodeid.partition("[")[0])
 
 
 def read(path: Path) -> list[Line]:
-    """The lines of the file; raises `pytest.UsageError` where it is not as it has to be."""
+    """The entries of the file; raises `pytest.UsageError` if it is malformed."""
     if not path.exists():
         return []
     lines: list[Line] = []
@@ -80,12 +81,13 @@
 
 
 class KnownRed:
-    """Expects the listed tests to fail, and judges what became of them."""
+    """Marks the listed tests as expected failures, and reports how each of them ended."""
 
     def __init__(self, config: pytest.Config, lines: list[Line]) -> None:
         self.config, self.lines = config, lines
         self.problems: list[str] = []
-        self.judges = not hasattr(config, "workerinput")  # the process that hears of every test
+        # the controller process, which receives the reports of all tests
+        self.judges = not hasattr(config, "workerinput")
 
     def _whole(self) -> bool:
         """Whether this is a run of all tests."""
@@ -143,14 +145,14 @@
 
 
 def void(folder: Path) -> float:
-    """ms that the rig came late at the most, in the days of a folder that are void; 0: none is."""
+    """The rig's largest delay in ms among the void runs in a folder; 0 if none is void."""
     days = [json.loads(path.read_bytes()) for path in folder.rglob("summary.json")]
     return max((float(day["lag_ms"]) for day in days if day.get("void")), default=0.0)
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> Iterator[None]:
-    """Play a story of the rig again where the rig came late."""
+    """Repeat a failed rig test if a run of it was void because the rig was late."""
     folder = pyfuncitem.funcargs.get("tmp_path")
     for number in range(1, TRIES + 1):
         late = 0.0
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins: a host that notes what the decisions ask for and turns its own clock; peers on loopback."""
+"""Test doubles: a host with its own clock that records requested actions; servers and clients on loopback."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 class FakeHost:
     def __init__(self, lines: list[Listed], start: float = 100_000.0, seed: int = 7, **terms: object) -> None:
         self.now = start
-        self.sends: list[tuple[int, int, float, float]] = []  # tag, upstream, time-out, when
+        self.sends: list[tuple[int, int, float, float]] = []  # tag, upstream, timeout, time of sending
         self.bounced: dict[int, float] = {}
         self.failed: list[int] = []
         self.cancelled: list[tuple[int, int]] = []
@@ -85,7 +85,7 @@
         pass
 
     def pass_time(self, span: float) -> None:
-        """Let time go by; what was to be woken is woken."""
+        """Advance the clock and run the timers that become due."""
         until = self.now + span
         while self.wakes and min(at for at, _ in self.wakes) <= until:
             due = min(self.wakes, key=lambda w: w[0])
@@ -99,14 +99,14 @@
         return self.balancer.take(self.now, self.tags, lane, ttl, False)
 
     def end(self, visit: Visit, end: End, spent: float = 50.0) -> None:
-        """The latest fetch of the visit ends like this, after so long."""
+        """End the visit's latest fetch, `spent` ms from now."""
         self.pass_time(spent)
         visit.ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
 
     def serve(
         self, visits: int, end: Callable[[int], End] = lambda upstream: End.DELIVERED, lane: int = 0
     ) -> list[int]:
-        """Visits one after another, each ended by its upstream's index; the upstreams they went to first."""
+        """Run visits one by one; `end` maps upstream index to fetch end. Returns their first upstreams."""
         first = []
         for _ in range(visits):
             visit = self.take(lane)
@@ -118,11 +118,11 @@
         return first
 
     def answers(self, visit: Visit) -> int:
-        """Final answers given to the client by us; a delivered one is the front's."""
+        """Number of final answers that the balancer itself gave; delivered ones are not counted."""
         return (visit.tag in self.bounced) + self.failed.count(visit.tag)
 
 
-# peers on loopback, for the front on sockets
+# servers and clients on loopback, for tests on sockets
 
 SILENT, RESET = "silent", "reset"
 Answer = bytes | str | tuple[str, bytes]
@@ -133,14 +133,14 @@
 
 
 def reset(transport: asyncio.WriteTransport) -> None:
-    """End a connection by a reset; `abort` alone ends it in order, unless something lies unread."""
+    """Close a connection by a reset; `abort` alone closes it regularly unless data is unread."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of one message that states its length, or has no body."""
+    """Head and body of one message with a Content-Length, or without a body."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -151,7 +151,7 @@
 
 
 class Peer:
-    """A server that plays a part: each request takes the next answer, the last one stays."""
+    """A scripted server: each request gets the next answer; the last answer is repeated."""
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers) or [ok()]
@@ -176,7 +176,7 @@
                 answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
                 if answer == RESET:
                     writer.transport.abort()
-                elif isinstance(answer, tuple):  # the last of its bytes, then the end
+                elif isinstance(answer, tuple):  # last bytes, then close
                     writer.write(answer[1])
                     writer.close()
                 elif isinstance(answer, bytes):
@@ -189,7 +189,7 @@
             writer.close()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something holds that changes with what comes here."""
+        """Wait until a condition holds; it is checked whenever something happens at this server."""
         async with asyncio.timeout(5):
             while not holds():
                 self.changed.clear()
@@ -197,9 +197,9 @@
 
 
 class Registry(Peer):
-    """Discovery: every watch stays open and is told what the story tells.
+    """The list service: every watch stays open and receives the updates that the test sends.
 
-    `plain`: what a call for the whole list is answered with; without it such a call stands like a watch.
+    `plain`: answer to a call for the whole list; without it such a call stays open like a watch.
     """
 
     plain: bytes | None = None
@@ -225,7 +225,7 @@
             writer.close()
 
     async def say(self, data: bytes, piece: int = 1 << 20) -> None:
-        """Write to the open watch, in chunks of so many bytes."""
+        """Write to the open watch, in chunks of `piece` bytes."""
         await self.until(lambda: bool(self.writers))
         for at in range(0, len(data), piece):
             part = data[at : at + piece]
@@ -301,17 +301,17 @@
     operator: Operator | None = None,
     **more: Any,
 ) -> AsyncIterator[Service]:
-    """A balancer on sockets in front of peers that have started, or start now."""
+    """A running balancer in front of the given servers, which are started if necessary."""
     for peer in (*peers, *([registry] if registry else [])):
         if not peer.port:
             await peer.start()
     if known is None:
         known = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
-    told = configuration(known, registry.port if registry else 1, **more)
-    service = Service(asyncio.get_running_loop(), facts.post(json.dumps(told).encode(), {}), operator)
+    config = configuration(known, registry.port if registry else 1, **more)
+    service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}), operator)
     service.start()
     if registry is None:
-        await until_ready(service)  # nobody listens there, which its first call has to find out
+        await until_ready(service)  # no list service listens, which the first call has to find out
     try:
         yield service
     finally:
@@ -319,14 +319,14 @@
 
 
 async def until_ready(service: Service) -> None:
-    """Wait until a balancer may send requests: it has heard from the list service, or nobody listens."""
+    """Wait until a balancer may send requests: the list service has answered, or nothing listens there."""
     async with asyncio.timeout(5):
         while service.turn.balancer.lease.withholds(clock()):
             await asyncio.sleep(0)
 
 
 async def heard(service: Service, registry: Registry) -> None:
-    """The list service says that nothing has changed since the list of the settings."""
+    """The list service reports no change since the configured list."""
     await registry.tell(3)
     await until_ready(service)
 
@@ -346,7 +346,7 @@
 
 
 class Caller:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""What clients may send, and what each of them gets."""
+"""Which requests are accepted from clients, and how each is answered."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 KEY = {"Idempotency_Key": "5c0f"}
 
 
-def play(story: Callable[[], Awaitable[None]]) -> None:
-    uvloop.run(asyncio.wait_for(story(), 8))  # type: ignore[arg-type]  # a story that hangs is red
+def play(scenario: Callable[[], Awaitable[None]]) -> None:
+    uvloop.run(asyncio.wait_for(scenario(), 8))  # type: ignore[arg-type]  # a hanging test case fails
 
 
 def test_a_visit_goes_on_as_the_bytes_that_came():
-    async def story():
+    async def scenario():
         peer = Peer(ok(b"\x00\xffbody", b"Content-Type: x/y\r\nKeep-Alive: 5\r\n"))
         async with running(peer) as service:
             client = await caller(service)
@@ -50,7 +50,7 @@
             left = [line for line in lines if line.startswith(b"X-Expires-In: ")]
             assert len(left) == 1 and 0 < float(left[0].split()[1]) <= 0.480
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -84,8 +84,8 @@
         (request("/change", "POST", b"x", Transfer_Encoding="chunked", Content_Length="1"), 400),
         (request("/change", "POST", b"1\r\nx\r\n0\r\n\r\n", Transfer_Encoding="gzip, chunked"), 501),
         (request("/tag", "POST", b"x", **KEY).replace(b"Host", b"Idempotency-Key: 7\r\nHost"), 400),
-        (request("/tag", "POST", b"x"), 400),  # a repeat of it could not be told
-        (request(trace=""), 400),  # an upstream's refusal would count as its failure
+        (request("/tag", "POST", b"x"), 400),  # without a key a repeat of it could not be recognized
+        (request(trace=""), 400),  # forwarded, the upstream's rejection would count as its failure
         (request(trace="a b"), 400),
         (request(trace="x" * 200), 400),
         (request(X_Qos="tag"), 400),
@@ -122,29 +122,29 @@
     ],
 )
 def test_bad_input_is_answered_and_reaches_no_upstream(data, status):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             assert (await (await caller(service)).ask(data))[0] == status
             assert not peer.requests
             assert (await (await caller(service)).ask(request()))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_a_client_cannot_have_the_fields_dropped_that_its_effect_depends_on():
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             client = await caller(service)
             await client.ask(request("/tag", "POST", b"x", Connection="Idempotency-Key, X-Trace-Id", **KEY))
             assert b"Idempotency-Key: 5c0f" in peer.requests[0][0] and b"X-Trace-Id" in peer.requests[0][0]
 
-    play(story)
+    play(scenario)
 
 
 def test_a_chunked_body_goes_on_whole_after_a_continue():
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             client = await caller(service)
@@ -156,12 +156,12 @@
             assert (await client.ask(b"de\r\n0\r\nX-Trailer: 1\r\n\r\n"))[0] == 200
             assert peer.requests[0][1] == b"abcde" and b"Expect" not in peer.requests[0][0]
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("together", [True, False])
 def test_one_request_at_a_time_is_asked_on_a_connection(together):
-    async def story():
+    async def scenario():
         peer = Peer(SILENT, ok())
         async with running(peer) as service:
             client = await caller(service)
@@ -177,11 +177,11 @@
             assert (await client.answer())[0] == 400 and await client.reader.read() == b""
             assert len(peer.requests) == (0 if together else 1)
 
-    play(story)
+    play(scenario)
 
 
 def test_the_id_of_an_open_request_is_not_passed_on_again():
-    async def story():
+    async def scenario():
         peer = Peer(SILENT, ok())
         async with running(peer) as service:
             first, second = await caller(service), await caller(service)
@@ -190,13 +190,14 @@
             assert (await second.ask(request(trace="1")))[0] == 409 and len(peer.requests) == 1
             peer.writers[0].write(ok(b"first"))
             assert (await first.answer())[2] == b"first"
-            assert (await second.ask(request(trace="1")))[0] == 200  # it is over: the id is free
+            # the first request is answered, so its id is free again
+            assert (await second.ask(request(trace="1")))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_a_body_without_end_is_read_on_only_so_far():
-    async def story():
+    async def scenario():
         async with running(Peer()) as service:
             client = await caller(service)
             client.writer.write(request("/change", "POST", Content_Length="60000000"))
@@ -206,25 +207,25 @@
                     client.writer.write(b"x" * 65_536)
                     await client.writer.drain()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_flood_of_silent_connections_keeps_nobody_out():
-    async def story():
+    async def scenario():
         async with running(Peer(), sockets=64) as service:
             usual = await caller(service)
             assert (await usual.ask(request()))[0] == 200
             flood = [await caller(service) for _ in range(6 * service.turn.max_clients)]
             assert (await (await caller(service)).ask(request()))[0] == 200
-            # the one that has asked something keeps its connection, those that are silent make room
+            # the connection that has sent a request stays open, silent ones are evicted
             assert (await usual.ask(request()))[0] == 200
             del flood
 
-    play(story)
+    play(scenario)
 
 
 def test_the_answer_comes_whole_though_bytes_are_left_unread():
-    async def story():
+    async def scenario():
         body = b"x" * 65_536
         async with running(Peer(ok(body))) as service:
             client = await caller(service)
@@ -232,12 +233,12 @@
             assert (await client.answer())[2] == body
             assert await client.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("abort", [True, False])
 def test_a_client_that_leaves_ends_its_fetch(abort):
-    async def story():
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
             client = await caller(service)
@@ -250,11 +251,11 @@
             await peer.until(lambda: peer.open == 0)
             assert len(peer.requests) == 1 and not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
 def test_head_is_answered_without_a_body():
-    async def story():
+    async def scenario():
         peer = Peer(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", ok(b"whole"))
         async with running(peer) as service:
             client = await caller(service)
@@ -263,11 +264,11 @@
             assert head.startswith(b"HTTP/1.1 200")
             assert (await client.ask(request()))[2] == b"whole"
 
-    play(story)
+    play(scenario)
 
 
 def test_at_the_limit_of_descriptors_idle_clients_make_room():
-    async def story():
+    async def scenario():
         async with running(Peer(), sockets=64) as service:
             held = []
             for _ in range(3 * service.turn.max_clients):
@@ -276,12 +277,13 @@
             assert len(service.clients.open) <= service.turn.max_clients
             assert await held[0].reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 def test_clients_that_ask_once_and_stay_make_room_well_before_the_limit(monkeypatch):
-    async def story():
-        # met in an incident: they held all that clients may open, and two thirds of the visits never came
+    async def scenario():
+        # seen in an incident: such connections used up all that clients may open, and two thirds of the
+        # visits never arrived
         monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", 0.0)
         peer = Peer(SILENT, ok())
         async with running(peer, sockets=64) as service:
@@ -295,11 +297,11 @@
             peer.writers[0].write(ok(b"still there"))
             assert (await busy.answer())[2] == b"still there"
 
-    play(story)
+    play(scenario)
 
 
 def test_an_answer_that_is_still_going_out_is_not_cut_to_make_room(monkeypatch):
-    async def story():
+    async def scenario():
         async with running(Peer()) as service:
             assert (await (await caller(service)).ask(request()))[0] == 200
             (client,) = service.clients.open
@@ -318,11 +320,11 @@
             monkeypatch.setattr(client, "transport", Sending())
             assert client.eviction_rank() == -1
 
-    play(story)
+    play(scenario)
 
 
 def test_at_the_limit_busy_clients_keep_theirs_and_the_rest_waits(monkeypatch):
-    async def story():
+    async def scenario():
         # no connection counts as silent, however slow the machine is
         for name in ("SILENT_EVICTION_AGE_S", "QUIET_BEFORE_CLOSE_S"):
             monkeypatch.setattr(clients, name, 0.5)
@@ -335,11 +337,11 @@
             answers = await asyncio.gather(*(client.answer() for client in held))
             assert {status for status, _, _ in answers} <= {503, 504}
 
-    play(story)
+    play(scenario)
 
 
 def test_slow_and_idle_clients_are_cut_off():
-    async def story():
+    async def scenario():
         async with running(Peer()) as service:
             slow, idle = await caller(service), await caller(service)
             slow.writer.write(request()[:-4])
@@ -358,4 +360,4 @@
             assert slowest + service_module.MAINTENANCE_INTERVAL_S < 3.0
             del silent
 
-    play(story)
+    play(scenario)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A reload over what was read under the settings before it, and a list that is pushed."""
+"""Reloads while visits or reports from under the old settings are in progress, and pushed lists."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 
 def reload(service, names, **settings):
-    """Settings with just these path prefixes, in this order."""
-    told = configuration([])
-    settings_now = told["settings"]
+    """Reload with just these path prefixes, in this order."""
+    config = configuration([])
+    settings_now = config["settings"]
     by_name = {p["Name"]: p for p in settings_now["PathPrefixes"]}
     settings_now["PathPrefixes"] = [by_name[name] | settings.get(name, {}) for name in names]
-    service.reload(lambda: (facts.post(json.dumps(told).encode(), {}), None))
+    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
 
 
-class Waits:
-    """In place of takeover: every visit waits for a word before the decisions have it."""
+class WaitingTakeover:
+    """Replaces takeover: every visit waits for a reply before the decisions receive it."""
 
     def __init__(self) -> None:
         self.kinds: list[Kind] = []
@@ -68,56 +68,56 @@
 @pytest.mark.parametrize(
     ("names", "changes", "status"),
     [
-        (["change", "tag", "read"], {}, 200),  # another place, the same terms
-        (["change", "tag"], {}, 503),  # its place is nobody's, or another's
+        (["change", "tag", "read"], {}, 200),  # another index, the same settings
+        (["change", "tag"], {}, 503),  # its index is another prefix's, or unused
         (["change"], {}, 503),
-        (["read", "tag", "change"], {"read": {"Semantics": "once"}}, 503),  # another promise under its name
+        (["read", "tag", "change"], {"read": {"Semantics": "once"}}, 503),  # another kind under its name
     ],
 )
 def test_a_visit_that_waited_over_a_reload_is_never_decided_as_another_class(names, changes, status, ran):
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            service.turn.covering = waits = Waits()
+            service.turn.covering = takeover = WaitingTakeover()
             client = await caller(service)
             client.writer.write(request())
-            while not waits.waiting:
+            while not takeover.waiting:
                 await asyncio.sleep(0)
             reload(service, names, **changes)
-            (taken, left), turn = waits.waiting[0], service.turn
+            (taken, left), turn = takeover.waiting[0], service.turn
             turn.note(turn.decide, taken, left, [("a", 0, 5.0)] if ran else [])
             got = (await client.answer())[0]
-            # one that may have run is never said to be harmless to repeat
+            # a visit that may have executed is never answered as harmless to repeat
             assert got == (502 if ran and status == 503 else status) and len(peer.requests) == (got == 200)
             if got == 200:
                 assert taken.handle.lane.kind is Kind.READ_LIKE
             assert not turn.counts["faults"] and not turn.visits
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("names", [["change", "tag", "read"], ["tag"]])
 def test_a_client_that_leaves_after_a_reload_leaves_what_it_asked_for(names):
-    # its index named another class by then, or none: a fault in the turn, and the visit stayed for good
-    async def story():
+    # its index named another prefix by then, or none: an exception was raised and the visit was never removed
+    async def scenario():
         async with running(Peer()) as service:
-            service.turn.covering = waits = Waits()
+            service.turn.covering = takeover = WaitingTakeover()
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x"))
-            while not waits.waiting:
+            while not takeover.waiting:
                 await asyncio.sleep(0)
             reload(service, names)
             client.writer.close()
             while service.turn.visits:
                 await asyncio.sleep(0)
-            assert waits.kinds == [Kind.MUTATING] and not service.turn.counts["faults"]
+            assert takeover.kinds == [Kind.MUTATING] and not service.turn.counts["faults"]
 
-    play(story)
+    play(scenario)
 
 
 def test_a_client_that_is_joined_to_its_visit_in_the_pass_in_which_its_first_connection_ends_is_answered():
-    # the ending was noted, the joining was done at once, and then the visit was closed for the ending
-    async def story():
+    # the disconnect was queued, the join was done at once, and then the visit was closed for the disconnect
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
             turn, first = service.turn, await caller(service)
@@ -129,13 +129,13 @@
                 await asyncio.sleep(0)
             new = next(client for client in service.clients.open if client is not old)
             again = replace(old.out, asks=True)
-            old._notify_left()  # its end is read, and no turn has been since
+            old._notify_left()  # its end is read, and no event batch has run since
             new.out = again
             assert Covering.joins(SimpleNamespace(_turn=turn), again, new)
             peer.writers[0].write(ok(b"once"))
             assert (await second.answer())[2] == b"once" and len(peer.requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_load_read_under_other_fields_counts_no_more():
@@ -149,15 +149,15 @@
     host.balancer._rank(host.now)
     assert host.balancer._mean_report == 0.0
     host.balancer._take_report(u, host.now, (0.5,))
-    host.balancer.set_terms(host.now, terms)  # and the same again leaves it
+    host.balancer.set_terms(host.now, terms)  # applying the same settings again changes nothing
     host.balancer._rank(host.now)
     assert host.balancer._mean_report == 0.5
 
 
-def pushed(service, registry):
-    told = configuration([], registry.port)
-    told["settings"]["Discovery"] = "push"
-    service.reload(lambda: (facts.post(json.dumps(told).encode(), {}), None))
+def reload_as_pushed(service, registry):
+    config = configuration([], registry.port)
+    config["settings"]["Discovery"] = "push"
+    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
 
 
 async def ready(service):
@@ -167,8 +167,9 @@
 
 @pytest.mark.parametrize("first", ["list", "failure"])
 def test_a_pushed_list_is_awaited_before_a_balancer_is_ready(first):
-    # what the agent has counts as told from the first moment of a process; it served from what it had kept
-    async def story():
+    # for a pushed list, the agent's list counts as received from the start; the balancer served with its
+    # cached one
+    async def scenario():
         registry = Registry()
         registry.answers = [RESET] if first == "failure" else registry.answers
         await registry.start()
@@ -179,14 +180,14 @@
                 await registry.tell(4, target("u0", peer.port))
             while not await ready(service):
                 pass
-            # an agent that resets its calls may have told a drain on them
+            # an agent that resets calls may have sent a drain on them
             assert service.turn.balancer.lease.withholds(clock()) is (first == "failure")
 
-    play(story)
+    play(scenario)
 
 
 def test_a_pushed_lists_watch_is_opened_anew_at_once_and_more_slowly_while_that_fails():
-    async def story():
+    async def scenario():
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry, Discovery="push") as service:
             await registry.tell(4)
@@ -194,29 +195,29 @@
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
 
-            def noted(at, call):
+            def recording_wake(at, call):
                 if call == service.turn._reopen_watch:
                     waits.append(at - service.turn._last_batch_at)
                 wake(at, call)
 
-            service.turn.wake = noted
+            service.turn.wake = recording_wake
             registry.answers = [RESET]
             registry.writers[0].close()
             began = loop.time()
             await registry.until(lambda: len(registry.requests) > 6)
-            assert loop.time() - began < 4  # the decisions' waits alone come to 12 s
+            assert loop.time() - began < 4  # the decisions' own retry delays add up to 12 s
             assert waits[0] < 40 and all(wait <= 375 for wait in waits) and max(waits) > 80
             registry.answers = [ok()]
             await registry.tell(5, target("u0", peers[0].port, state="leaving"))
             await served_by(service, {b"1"})
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("late", [True, False])
 def test_what_lies_unread_after_a_delay_is_read_before_what_is_due_is_decided(late, monkeypatch):
-    # a process that was held up ran its timers first, and sent to an upstream whose drain lay in its socket
-    async def story():
+    # a delayed process ran its timers first, and sent to an upstream whose drain was unread in its socket
+    async def scenario():
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             await registry.tell(4)
@@ -224,7 +225,7 @@
             while turn.discovery.rev != 4:
                 await asyncio.sleep(0)
             client = await caller(service)
-            assert (await client.ask(request()))[0] == 200  # a connection stands ready now
+            assert (await client.ask(request()))[0] == 200  # an idle connection is ready now
             monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
             monkeypatch.setattr(balancer, "_place", lambda *_: False)
             balancer._flow = 100.0
@@ -235,7 +236,7 @@
             leaving = target("u0", peer.port, state="leaving")
             line = json.dumps({"rev": 5, "targets": [leaving]}).encode() + b"\n"
             sock = registry.writers[0].transport.get_extra_info("socket")
-            os.write(sock.fileno(), b"%x\r\n%b\r\n" % (len(line), line))  # it is in our socket now
+            os.write(sock.fileno(), b"%x\r\n%b\r\n" % (len(line), line))  # it is unread in our socket now
             turn._loop_timer.cancel()
             if late:
                 turn._timers = [(at - 10 * LATE_TIMER_MS, *more) for at, *more in turn._timers]
@@ -245,25 +246,25 @@
             assert (await client.answer())[0] == 503
             assert len(peer.requests) == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_a_key_that_a_new_file_leaves_out_has_its_default_and_not_the_last_files():
-    async def story():
+    async def scenario():
         async with running(Peer(), Cancel=True, MostBackendFetches=5, KeepaliveUs=7_000_000) as service:
             assert service.turn._post.terms.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
-            told = configuration([])
-            del told["settings"]["Caps"], told["settings"]["Dcs"]
-            service.reload(lambda: (facts.post(json.dumps(told).encode(), {}), None))
+            config = configuration([])
+            del config["settings"]["Caps"], config["settings"]["Dcs"]
+            service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
             terms = service.turn._post.terms
             assert not terms.may_cancel and terms.max_fetches == 1 and terms.zones == 1
             assert service.turn.upstreams.keep_idle == 0.8 * 15_000
 
-    play(story)
+    play(scenario)
 
 
 def test_visits_of_two_tenants_with_one_key_do_not_meet():
-    async def story():
+    async def scenario():
         peers = Peer(SILENT), Peer(SILENT)
         async with running(*peers) as service:
             callers = [await caller(service) for _ in range(2)]
@@ -276,4 +277,4 @@
                     writer.write(ok(head[head.index(b"X-Customer: ") + 12 :][:1]))
             assert [(await client.answer())[2] for client in callers] == [b"a", b"b"]
 
-    play(story)
+    play(scenario)
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams where two events cross: what lies unread, an upstream that is named anew."""
+"""Reuse of upstream connections with unread data, or whose upstream's list entry has changed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Raw:
-    """An upstream whose connections are in the story's own hand: nothing is read or written by itself."""
+    """An upstream under the test's control: nothing is read or written automatically."""
 
     def __init__(self) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -25,7 +25,7 @@
         self.port = self.server.getsockname()[1]
 
     async def take(self) -> tuple[socket.socket, bytes]:
-        """The next connection, with the request that came on it."""
+        """The next connection, and the request received on it."""
         loop = asyncio.get_running_loop()
         conn, _ = await asyncio.wait_for(loop.sock_accept(self.server), 5)
         return conn, await asyncio.wait_for(loop.sock_recv(conn, 65_536), 5)
@@ -34,8 +34,9 @@
 @pytest.mark.parametrize("path", ["/read", "/change"])
 @pytest.mark.parametrize("what", ["end", "reset", "second answer", "nothing"])
 def test_a_connection_with_something_unread_is_not_used_again(what, path, monkeypatch):
-    # its end in the socket when a visit took it: a reset that may have run, for one that may not run twice
-    async def story():
+    # the connection's end was unread when a visit used it: a reset that may have executed, for a visit that
+    # must not be repeated
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         raw, loop = Raw(), asyncio.get_running_loop()
         async with running(known=[target("u0", raw.port)]) as service:
@@ -45,7 +46,7 @@
             conn, _ = await raw.take()
             conn.sendall(ok(b"first"))
             assert (await client.answer())[2] == b"first"
-            # the next one waits, so that it is sent in a turn before which nothing is read
+            # the next request is queued, so that it is sent in a batch before which no socket is read
             monkeypatch.setattr(balancer, "_place", lambda *_: False)
             balancer._flow = 100.0
             client.writer.write(request(path, "GET" if path == "/read" else "POST", trace="next"))
@@ -71,14 +72,14 @@
             assert service.turn.counts["reset"] == service.turn.counts["errored"] == 0
             conn.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("first", ["answer", "list"])
 @pytest.mark.parametrize("how", ["address", "process", "drained and back"])
 def test_a_connection_to_what_the_upstream_was_is_not_used_again(how, first, monkeypatch):
-    # an answer that came after the list had named it anew put its connection back among the idle ones
-    async def story():
+    # an answer that arrived after the list entry had changed put its connection back among the idle ones
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         registry, old, new = Registry(), Peer(SILENT), await Peer(ok(b"new")).start()
         async with running(old, registry=registry) as service:
@@ -89,7 +90,7 @@
             port = new.port if how == "address" else old.port
             rev = 5
 
-            async def told():
+            async def update_list():
                 nonlocal rev
                 if how == "drained and back":
                     await registry.tell(rev, target("u0", port, state="leaving"))
@@ -99,23 +100,23 @@
                 while service.turn.discovery.rev != rev:
                     await asyncio.sleep(0)
 
-            async def answered():
+            async def answer():
                 old.writers[0].write(ok(b"old"))
                 assert (await client.answer())[2] == b"old"
 
-            for event in (answered, told) if first == "answer" else (told, answered):
+            for event in (answer, update_list) if first == "answer" else (update_list, answer):
                 await event()
             old.answers = [ok(b"again")]
             await old.until(lambda: old.open == 0)  # that connection is closed
             await served_by(service, {b"new" if how == "address" else b"again"})
             assert len(old.requests) == 1 or how != "address"
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("how", ["address", "process"])
 def test_what_waits_for_a_connection_to_what_the_upstream_was_is_chosen_anew(how, monkeypatch):
-    async def story():
+    async def scenario():
         registry = Registry()
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
         new = await Peer(ok(b"new")).start()
@@ -131,31 +132,31 @@
             while not service.turn.counts["unsent"]:
                 await asyncio.sleep(0)
             gate.open.set()
-            # it never ran: sent elsewhere, or bounced where this is the only one
+            # it never ran: sent elsewhere, or bounced if this is the only upstream
             assert (await client.answer())[0] == 503
             for _ in range(20):
                 await asyncio.sleep(0)
             assert not gate.got
 
-    play(story)
+    play(scenario)
 
 
 def test_what_was_chosen_in_the_turn_in_which_its_upstream_was_started_anew_is_chosen_again(monkeypatch):
-    # chosen warm, told cold, then written: one that is over the cold budget and not counted in it
-    async def story():
+    # chosen as warm, then reported cold, then written: it exceeded the cold budget and was not counted
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
             turn, real, written = service.turn, service.turn._begin_visit, []
 
-            def take(now, taken):
+            def begin_then_update(now, taken):
                 real(now, taken)
-                turn._on_list_update(now, turn_news())
+                turn._on_list_update(now, restart_update())
 
-            def turn_news():
+            def restart_update():
                 from ospreyline.net.listing import News, Target
 
-                born = Target("u0", f"127.0.0.1:{peer.port}", "a", 0, "active", 1e3 * wall())
-                return News(9, False, [(born, ("127.0.0.1", peer.port))])
+                restarted = Target("u0", f"127.0.0.1:{peer.port}", "a", 0, "active", 1e3 * wall())
+                return News(9, False, [(restarted, ("127.0.0.1", peer.port))])
 
             def wall():
                 import time
@@ -164,23 +165,23 @@
 
             start = upstreams.UpstreamConnection.start
 
-            def noted(conn, errand, now):
+            def recording_start(conn, errand, now):
                 written.append(len(turn.balancer._upstreams[0].cold_sends))
                 start(conn, errand, now)
 
-            monkeypatch.setattr(upstreams.UpstreamConnection, "start", noted)
-            monkeypatch.setattr(turn, "_begin_visit", take)
+            monkeypatch.setattr(upstreams.UpstreamConnection, "start", recording_start)
+            monkeypatch.setattr(turn, "_begin_visit", begin_then_update)
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
             await client.answer()
             assert all(written)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("first", ["connection", "time-out"])
 def test_a_connection_that_comes_up_after_its_fetchs_time_is_not_written_on(first, monkeypatch):
-    async def story():
+    async def scenario():
         gate = await Gate().held(asyncio.get_running_loop(), monkeypatch)
         async with running(known=[target("u0", gate.port)], ConnectTimeoutUs=4_000_000) as service:
             client = await caller(service)
@@ -194,8 +195,8 @@
             gate.open.set()
             for _ in range(20):
                 await asyncio.sleep(0)
-            # written, it may have run; never written, it is bounced
+            # once written it may have executed; never written, it is bounced
             assert status == (504 if first == "connection" else 503)
             assert bool(gate.got) is (first == "connection")
 
-    play(story)
+    play(scenario)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The list as it comes from discovery, start and stop, configuration, and faults inside."""
+"""Updates of the upstream list, start and stop, configuration, and exceptions in the decisions."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
 def test_changes_of_the_list_are_told_however_they_are_split(piece):
-    async def story():
+    async def scenario():
         registry, old, new = Registry(), Peer(ok(b"old")), await Peer(ok(b"new")).start()
         async with running(old, registry=registry) as service:
             client = await caller(service)
@@ -66,7 +66,7 @@
             await new.until(lambda: new.open == 0)
             assert [(await client.ask(request()))[2] for _ in range(5)] == [b"old"] * 5
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -76,35 +76,36 @@
         b'{"rev":9}\n',
         b"\xff\xfe\n",
         b"[]\n",
-        b'{"rev":1,"all":false,"targets":[{"uid":"u0","endpoint":"","state":"left"}]}\n',  # older than known
+        # older than the known version
+        b'{"rev":1,"all":false,"targets":[{"uid":"u0","endpoint":"","state":"left"}]}\n',
         b'{"rev":9,"all":false,"targets":[{"uid":7},{"endpoint":"x"},{"uid":"z","endpoint":"nowhere"}]}\n',
         b'{"rev":9,"all":false,"targets":[{"uid":"z","endpoint":"127.0.0.1:99999"}]}\n',
         b'{"rev":9,"all":false,"targets":[{"uid":"z","endpoint":"127.0.0.1:1","state":"odd","az":"q"}]}\n',
     ],
 )
 def test_odd_lines_of_the_list_are_never_fatal(line):
-    async def story():
+    async def scenario():
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             client = await caller(service)
             other = await Peer(ok(b"other")).start()
             registry.plain = whole_list(9, target("u0", peer.port))
             await registry.say(line)
-            # whoever asks for the whole list because of the line is answered, as before the change or after
+            # a call for the whole list, made because of the line, is answered as before or after the change
             registry.plain = whole_list(10, target("u9", other.port))
             await registry.tell(10, target("u9", other.port), target("u0", peer.port, state="left"))
             while b"other" not in (await client.ask(request()))[2]:
                 await registry.until(lambda: bool(registry.writers))
-                # a watch that was ended for its line is asked again, from where it was
+                # a watch that was closed because of the line is opened again from its last version
                 if len(registry.requests) > 1:
                     await registry.tell(10, target("u9", other.port), target("u0", peer.port, state="left"))
             assert (await client.ask(request()))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_entries_that_name_nobody_keep_requests_back_until_the_whole_list_has_come():
-    async def story():
+    async def scenario():
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             client = await caller(service)
@@ -115,11 +116,11 @@
             await registry.until(lambda: len(registry.writers) == 2)
             assert b"?watch=1" not in registry.requests[1][0]
             watch, plain = registry.writers
-            # it may be about u0, which drains then
+            # the unreadable entry may be about u0, which may be draining
             while (answer := await client.ask(request()))[0] == 200:
                 await asyncio.sleep(0.01)
             assert answer[0] == 503
-            # a later part has not what that one had, whatever its version
+            # a later partial update does not contain what that one had, whatever its version
             registry.writers[:] = [watch]
             await registry.tell(10, target("u9", peer.port))
             while service.turn.discovery.rev != 10:
@@ -131,12 +132,12 @@
             while (await client.ask(request()))[0] != 200:
                 await asyncio.sleep(0.01)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("how", ["reset", "ends", "silent"])
 def test_a_watch_that_fails_is_asked_again(how, monkeypatch):
-    async def story():
+    async def scenario():
         registry, peer = Registry(), Peer()
         if how == "reset":
             registry.answers = [RESET]
@@ -149,11 +150,11 @@
                 registry.writers[-1].close()
             await registry.until(lambda: len(registry.requests) > 1)
 
-    play(story)
+    play(scenario)
 
 
 def test_start_times_are_taken_to_our_clock_once():
-    async def story():
+    async def scenario():
         async with running(Peer()) as service:
             turn = service.turn
             young = Target("u0", "127.0.0.1:1", "a", 0, "active", time.time() * 1e3 - 5_000)
@@ -167,11 +168,11 @@
                 != turn._list_entry(young, 0).mark
             )
 
-    play(story)
+    play(scenario)
 
 
 def test_an_entry_without_its_place_does_not_move_an_upstream():
-    async def story():
+    async def scenario():
         async with running(Peer(), Peer()) as service:
             turn = service.turn
             turn._list_entry(Target("u0", az="b", pod_group=4), 0)
@@ -180,11 +181,11 @@
                 assert (line.zone, line.cell) == (1, 4)
             assert turn._list_entry(Target("u0", az="a", pod_group=2), 0).zone == 0
 
-    play(story)
+    play(scenario)
 
 
 def test_ready_means_that_a_visit_could_be_decided():
-    async def story():
+    async def scenario():
         registry = Registry()
         async with running(registry=registry, known=[]) as service:
             assert await status_of(service) == 503
@@ -195,11 +196,11 @@
                 pass
             assert (await (await caller(service)).ask(request()))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_at_a_stop_what_was_taken_is_answered_and_new_connections_still_come(monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(service_module, "KEEP_ACCEPTING_S", 0.05)
         peer = Peer(SILENT)
         async with running(peer) as service:
@@ -213,7 +214,7 @@
             late = await caller(service)
             status, head, _ = await late.ask(request())
             assert status == 200 and b"Connection: close" in head
-            assert await idle.reader.read() == b""  # closed, nobody waits there
+            assert await idle.reader.read() == b""  # idle, so it is closed
             peer.writers[0].write(ok(b"slow"))
             status, head, body = await waiting.answer()
             assert (status, body) == (200, b"slow") and b"Connection: close" in head
@@ -223,12 +224,12 @@
             with pytest.raises(ConnectionError):
                 await caller(service)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("call", ["take", "_ended"])
 def test_a_fault_in_the_decisions_costs_one_visit_and_that_is_answered(call, monkeypatch):
-    async def story():
+    async def scenario():
         peers = Peer(ok(b"", b"", b"500 Internal Server Error"), ok()), Peer()
         peers[1].answers = peers[0].answers
         async with running(*peers) as service:
@@ -244,12 +245,12 @@
             assert (await client.ask(request()))[0] == 200
             assert not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
 def test_a_visit_that_was_held_and_then_given_up_is_forgotten(monkeypatch):
-    async def story():
-        # met on busy days: hundreds of open visits in the counts, with some dozens of clients
+    async def scenario():
+        # seen on busy days: hundreds of open visits in the counts, with a few dozen clients
         async with running(Peer()) as service:
             monkeypatch.setattr(service.turn.balancer, "_place", lambda *_: False)
             service.turn.balancer._flow = 100.0
@@ -260,22 +261,22 @@
             assert service.turn.visits and (await client.answer())[0] == 503
             assert not service.turn.visits
 
-    play(story)
+    play(scenario)
 
 
 def test_a_visit_that_the_decisions_forget_is_answered_by_the_backstop(monkeypatch):
-    async def story():
+    async def scenario():
         async with running(Peer(SILENT)) as service:
             monkeypatch.setattr(service.turn, "ended", lambda *_: None)
             status, _, _ = await (await caller(service)).ask(request(X_Expires_In="0.05"))
             assert status in (502, 504)
 
-    play(story)
+    play(scenario)
 
 
 def test_upstreams_that_are_long_gone_are_forgotten():
-    async def story():
-        # a fleet that is replaced all day under new ids; one of them at the address of one that has gone
+    async def scenario():
+        # a fleet that is replaced all day under new ids; each new instance has the address of a former one
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry, known=[]) as service:
             client, turn = await caller(service), service.turn
@@ -286,7 +287,7 @@
                     await asyncio.sleep(0)
                 while (await client.ask(request()))[0] != 200:
                     pass
-                await peer.until(lambda: peer.open == 1)  # no connection carries over
+                await peer.until(lambda: peer.open == 1)  # no connection is kept for the next one
                 turn.run_maintenance(clock() + REMOVE_GONE_AFTER_MS + 1)
             assert (
                 len(turn._index_by_uid)
@@ -296,35 +297,35 @@
             )
             assert len(turn._index_by_uid) == len(turn.balancer._upstreams) == len(turn.balancer._ring) <= 2
 
-    play(story)
+    play(scenario)
 
 
 def moved(service, registry, **changes):
-    """Reload a file that names another discovery."""
-    told = configuration([], registry.port) | changes
-    service.reload(lambda: (facts.post(json.dumps(told).encode(), {}), None))
+    """Reload a configuration with another discovery address."""
+    config = configuration([], registry.port) | changes
+    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
 
 
 @pytest.mark.parametrize("first", ["whole", "changes"])
 def test_a_reload_moves_discovery_and_loses_no_news_on_the_way(first):
-    async def story():
+    async def scenario():
         old, new = Registry(), await Registry().start()
         peers = Peer(ok(b"0")), Peer(ok(b"1")), Peer(ok(b"2"))
         async with running(*peers, registry=old) as service:
             client = await caller(service)
             await old.tell(7, target("u9", 1, state="left"))
-            while service.turn.balancer._asking.due < inf:  # else it may ask once more by itself
+            while service.turn.balancer._asking.due < inf:  # otherwise another call may be due
                 await asyncio.sleep(0)
             moved(service, new)
             await new.until(lambda: bool(new.writers))
-            # what the old one tells until the new one has spoken is still news
+            # updates of the old service still count until the new one has answered
             await old.tell(8, target("u0", peers[0].port, state="leaving"))
             while b"0" in [(await client.ask(request()))[2] for _ in range(20)]:
                 pass
             for writer in list(old.writers):
-                writer.close()  # its end is no failure of the new one
+                writer.close()  # this must not count as a failure of the new service
             await old.until(lambda: not old.writers)
-            # the new one counts otherwise, and the old one's later numbers mean nothing there
+            # the new service has its own version numbers; later numbers of the old one mean nothing there
             assert b"after=0 " in new.requests[0][0]
             await new.tell(
                 2,
@@ -334,16 +335,17 @@
             )
             while {(await client.ask(request()))[2] for _ in range(20)} != {b"2"}:
                 pass
-            if first == "changes":  # who is gone need not be among them: the whole list is asked for
+            # removed upstreams may be missing in a partial list, so the whole list is requested
+            if first == "changes":
                 await new.until(lambda: len(new.requests) > 1)
                 assert new.requests[1][0].startswith(b"GET /registry/instances HTTP")
             assert service.turn.counts["faults"] == 0 and len(new.requests) == 1 + (first == "changes")
 
-    play(story)
+    play(scenario)
 
 
 def test_a_second_reload_before_the_first_has_been_answered_keeps_hearing_the_oldest():
-    async def story():
+    async def scenario():
         registries = [await Registry().start() for _ in range(3)]
         peers = Peer(ok(b"0")), Peer(ok(b"1"))
         async with running(*peers, registry=registries[0]) as service:
@@ -354,19 +356,19 @@
             client = await caller(service)
             while {(await client.ask(request()))[2] for _ in range(20)} != {b"1"}:
                 pass
-            # it had been asked before that was told: what it says of u0 then has the last word
+            # this call began before that update, so what it says of u0 is requested again and then counts
             registries[2].plain = whole_list(1, target("u0", peers[0].port))
             await registries[2].tell(1, target("u0", peers[0].port), whole=True)
             while {(await client.ask(request()))[2] for _ in range(20)} != {b"0"}:
                 pass
             await registries[0].until(lambda: not registries[0].writers)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("text", [b"", b'{"name"', b'{"settings":{"PathPrefixes":[]}}', None])
 def test_a_reload_of_an_unusable_file_changes_nothing(text, tmp_path):
-    async def story():
+    async def scenario():
         registry, file = Registry(), tmp_path / "config.json"
         if text is not None:
             file.write_bytes(text)
@@ -376,20 +378,20 @@
             assert service.turn.discovery.at[1] == registry.port and registry.writers
             assert (await (await caller(service)).ask(request()))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_a_reload_names_what_needs_a_restart_and_takes_discovery_from_the_file(tmp_path):
     file = tmp_path / "config.json"
-    told = configuration([], 7)
-    file.write_text(json.dumps(told))
+    config = configuration([], 7)
+    file.write_text(json.dumps(config))
     env = {"PROXY_DISCOVERY": "127.0.0.1:5", "PROXY_NAME": "n7"}
     first, again = facts.load(file, env), facts.load(file, env, again=True)
     assert first.discovery[1] == 5 and again.discovery[1] == 7 and not first.needs_restart(again)
-    told["limits"]["sockets"] = 99
-    told["settings"]["PathPrefixes"][0]["Gain"] = 3
-    told["listen"] = "127.0.0.1:1"
-    file.write_text(json.dumps(told))
+    config["limits"]["sockets"] = 99
+    config["settings"]["PathPrefixes"][0]["Gain"] = 3
+    config["listen"] = "127.0.0.1:1"
+    file.write_text(json.dumps(config))
     assert first.needs_restart(facts.load(file, env, again=True)) == ["listen", "limits"]
 
 
@@ -414,16 +416,16 @@
     ],
 )
 def test_a_faulty_configuration_is_one_line_that_names_the_key(path, value, says, tmp_path):
-    told = configuration([])
-    place = told
+    config = configuration([])
+    section = config
     for key in path[:-1]:
-        place = place[key]
+        section = section[key]
     if value is None:
-        del place[path[-1]]
+        del section[path[-1]]
     else:
-        place[path[-1]] = value
+        section[path[-1]] = value
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(config))
     result = CliRunner().invoke(main, ["check", str(file)])
     assert result.exit_code == 2 and says in result.stderr and len(result.stderr.splitlines()) == 1
 
@@ -438,7 +440,7 @@
 
 
 def test_a_process_starts_stops_and_leaves_no_thread_polling(tmp_path):
-    # met under a limit on CPU time: an io_uring thread of the loop's library took all of it
+    # seen under a CPU time limit: an io_uring thread of libuv used all of it
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration([target("u0", 1)])))
     command = [sys.executable, "-m", "ospreyline", "serve", str(file)]
@@ -449,14 +451,15 @@
         host, port = serving["listen"].split(":")
         with socket.create_connection((host, int(port)), timeout=5) as client:
             ready, ends = b"", time.monotonic() + 5.0
-            while not ready.startswith(b"HTTP/1.1 200 OK"):  # nobody listens, as its call finds out
+            # no list service listens, which the first call finds out
+            while not ready.startswith(b"HTTP/1.1 200 OK"):
                 assert time.monotonic() < ends
                 client.sendall(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 ready = client.recv(100)
         fds = Path(f"/proc/{process.pid}/fd")
         if fds.exists():
             assert not [fd for fd in fds.iterdir() if fd.is_symlink() and "io_uring" in os.readlink(fd)]
-        for port in (9, 9, 10):  # twice the same, then another: it goes on
+        for port in (9, 9, 10):  # an unchanged file, then a changed one: the process goes on
             file.write_text(json.dumps(configuration([], port)))
             process.send_signal(signal.SIGHUP)
             reloaded = next(line for line in map(json.loads, lines) if line["event"] == "reloaded")
@@ -483,34 +486,36 @@
 
 
 def test_an_address_in_use_is_one_line(tmp_path, monkeypatch):
-    monkeypatch.setattr(service_module, "start_log", lambda: None)  # it is for the whole process
+    # it would configure logging for the whole process
+    monkeypatch.setattr(service_module, "start_log", lambda: None)
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        told = configuration([]) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
+        config = configuration([]) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(told))
+        file.write_text(json.dumps(config))
         result = CliRunner().invoke(main, ["serve", str(file)])
     assert result.exit_code == 1 and "cannot listen on 127.0.0.1" in result.stderr
 
 
 def test_variables_win_over_the_file():
-    told = configuration([])
-    post = facts.post(json.dumps(told).encode(), {"PROXY_LISTEN": "127.0.0.2:80", "PROXY_NAME": "n7"})
+    config = configuration([])
+    post = facts.post(json.dumps(config).encode(), {"PROXY_LISTEN": "127.0.0.2:80", "PROXY_NAME": "n7"})
     assert post.listen == ("127.0.0.2", 80) and post.name == "n7" and post.seed == 0x8C1F
 
 
 @pytest.mark.parametrize(
-    ("stood", "after", "sent"), [(900.0, 0.0, False), (900.0, 300.0, True), (300.0, 0.0, True)]
+    ("stalled_ms", "after", "sent"), [(900.0, 0.0, False), (900.0, 300.0, True), (300.0, 0.0, True)]
 )
 def test_what_waited_while_the_process_stood_still_is_not_sent_for_a_client_that_has_gone(
-    stood, after, sent, monkeypatch
+    stalled_ms, after, sent, monkeypatch
 ):
-    # met on the rig: a process that was stopped went on with requests whose clients had long given up
-    async def story():
+    # seen on the test rig: a process that had been stopped went on with requests whose clients had given up
+    # long before
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             turn, at = service.turn, [turn_module.clock()]
             monkeypatch.setattr(turn_module, "clock", lambda: at[0])
-            for passed in (0.0, stood):
+            for passed in (0.0, stalled_ms):
                 at[0] += passed
                 turn._dispatch()
             at[0] += after
@@ -519,4 +524,4 @@
             assert (status == 200) is sent and bool(peer.requests) is sent
             assert status in (200, 503)  # it never ran, and the client is told so
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""What crosses a stop: connections that wait, first requests that come late, slow readers, signals."""
+"""Events that coincide with a shutdown: queued connections, late first requests, slow readers, signals."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def stopping(service, monkeypatch, keep=0.0):
-    """A stop has begun, and an event that is set at its first try to stop listening."""
+    """Start a shutdown; also returns an event that is set at its first attempt to stop listening."""
     tried, real = asyncio.Event(), service.clients.stop_listening
 
     def stop_listening():
@@ -34,18 +34,19 @@
 
 
 def test_what_waits_to_be_accepted_at_the_limit_is_taken_before_the_listener_closes(monkeypatch):
-    # accepting was put off at the limit of descriptors, and the listener was closed with whole requests in it
-    async def story():
+    # accepting was paused at the descriptor limit, and the listener was closed with whole requests in its
+    # queue
+    async def scenario():
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
-            most = service.turn.max_clients
+            limit = service.turn.max_clients
             callers: list[Caller] = []
-            for _ in range(most):
+            for _ in range(limit):
                 callers.append(await caller(service))
                 callers[-1].writer.write(request("/change", "POST", b"x"))
-            while sum(client.out is not None for client in service.clients.open) < most:
+            while sum(client.out is not None for client in service.clients.open) < limit:
                 await asyncio.sleep(0)
-            # their connections are up as far as they can tell, and their requests written
+            # for these clients the connections are established and the requests written
             for _ in range(4):
                 callers.append(await caller(service))
                 callers[-1].writer.write(request("/change", "POST", b"x"))
@@ -55,18 +56,18 @@
             for writer in list(peer.writers):
                 writer.write(ok())
             answers = await asyncio.gather(*(client.answer() for client in callers))
-            assert {status for status, _, _ in answers} <= {200, 503}  # 503: no room at its only upstream
+            assert {status for status, _, _ in answers} <= {200, 503}  # 503: no capacity at the only upstream
             for client in callers:
                 client.writer.close()
             await asyncio.wait_for(stop, 4)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("first", ["request", "stop"])
 def test_the_first_request_of_a_new_connection_is_answered_though_it_comes_late(first, monkeypatch):
-    # idle for 0.1 s, it was closed without an answer: such a request is lost, as nobody sends it again
-    async def story():
+    # a new connection was closed without an answer after 0.1 s; such a request is lost, as nobody repeats it
+    async def scenario():
         monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", -1.0)
         async with running(Peer()) as service:
             late = await caller(service)
@@ -84,11 +85,11 @@
             late.writer.close()
             await asyncio.wait_for(stop, 4)
 
-    play(story)
+    play(scenario)
 
 
 def test_one_that_never_asks_does_not_hold_a_stop_for_long(monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.1)
         async with running(Peer()) as service:
             silent = await caller(service)
@@ -99,12 +100,12 @@
             silent.writer.close()
             await asyncio.wait_for(stop, 1)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("unread", [True, False])
 def test_a_kept_connection_is_not_closed_over_a_request_that_lies_in_its_socket(unread, monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(clients, "QUIET_BEFORE_CLOSE_S", -1.0)
         async with running(Peer()) as service:
             kept, loop = socket.create_connection(service.at), asyncio.get_running_loop()
@@ -115,7 +116,7 @@
             if unread:
                 kept.sendall(request())
             service.turn.closing = True
-            service.clients.close_idle()  # nothing was read since
+            service.clients.close_idle()  # the socket has not been read since
             assert client._finished is not unread
             if unread:
                 assert (await loop.sock_recv(kept, 4096)).startswith(b"HTTP/1.1 200")
@@ -127,20 +128,20 @@
             await asyncio.sleep(0)
         return tuple(service.clients.open)
 
-    play(story)
+    play(scenario)
 
 
 def reload(service, registry_port=1, timeout_us=2_000_000):
-    told = configuration([], registry_port)
-    for prefix in told["settings"]["PathPrefixes"]:
+    config = configuration([], registry_port)
+    for prefix in config["settings"]["PathPrefixes"]:
         prefix["ClientTimeoutUs"] = timeout_us
-    service.reload(lambda: (facts.post(json.dumps(told).encode(), {}), None))
+    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
 
 
 @pytest.mark.parametrize("how", ["shortened", "long"])
 def test_what_is_out_is_answered_before_the_earliest_kill(how, monkeypatch):
-    # a stop waited for the longest client timeout there ever was, and for more than the notice there is
-    async def story():
+    # shutdown waited for the longest client timeout ever configured, and longer than the notice period
+    async def scenario():
         monkeypatch.setattr(service_module, "MAX_DRAIN_S", 0.3)
         peer = Peer(SILENT)
         async with running(peer) as service:
@@ -159,11 +160,11 @@
             await stop
             assert asyncio.get_running_loop().time() - began < notice + 0.7
 
-    play(story)
+    play(scenario)
 
 
 def test_the_last_answers_leave_our_buffers_before_the_end(monkeypatch):
-    async def story():
+    async def scenario():
         for name, value in (("MAX_DRAIN_S", 0.0), ("FINAL_ANSWER_GRACE_S", 0.1), ("FLUSH_GRACE_S", 3.0)):
             monkeypatch.setattr(service_module, name, value)
         body = b"x" * 1_000_000
@@ -182,7 +183,7 @@
                 await asyncio.sleep(0)
             began = loop.time()
             stop, _ = stopping(service, monkeypatch)
-            while loop.time() < began + 0.15:  # past the moment at which it was cut off
+            while loop.time() < began + 0.15:  # past the time at which the answer was cut off before
                 await asyncio.sleep(0.01)
             got = bytearray()
             while data := await loop.sock_recv(slow, 65_536):
@@ -191,11 +192,11 @@
             slow.close()
             await stop
 
-    play(story)
+    play(scenario)
 
 
 def start(tmp_path):
-    """A process that reads its configuration from a pipe: it waits there until it is written."""
+    """Start a process that waits until the test writes its configuration to a pipe."""
     fifo = tmp_path / "config.json"
     os.mkfifo(fifo)
     command = [sys.executable, "-m", "ospreyline", "serve", str(fifo)]
@@ -204,12 +205,12 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_a_signal_before_it_is_heard_is_heard_later(number, tmp_path):
-    # SIGTERM ended the process; SIGHUP was thrown away, and with it the file that had just been replaced
+    # SIGTERM ended the process; SIGHUP was lost, and with it a configuration file that had just been replaced
     fifo, process = start(tmp_path)
     watchdog = threading.Timer(15, process.kill)
     watchdog.start()
     try:
-        with open(fifo, "w") as pipe:  # the process is inside the reading of its file, which is replaced
+        with open(fifo, "w") as pipe:  # the process is reading its configuration file, which is now replaced
             new = tmp_path / "new.json"
             new.write_text(json.dumps(configuration([target("u0", 1)], 10)))
             new.replace(fifo)
@@ -220,7 +221,7 @@
             found = next((line for line in lines if line["event"] == "reloaded"), {})
             assert found.get("discovery") == "127.0.0.1:10"
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGTERM)  # twice is once
+            process.send_signal(signal.SIGTERM)  # a second signal has no further effect
         events = [json.loads(line)["event"] for line in process.stdout]
         assert "stopping" in events and events[-1] == "stopped" and process.wait(10) == 0
     finally:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""The switch to other settings in a running balancer, there and back, under load."""
+"""Switching a running balancer to other settings and back, under load."""
 
 from __future__ import annotations
 
@@ -27,19 +27,20 @@
 from ospreyline.host import End, Kind, Scope
 from ospreyline.net.service import Service
 
-FETCHES = 3  # that `configuration` allows a visit
+FETCHES = 3  # maximum fetches of a visit in `configuration`
 
 
-class Ledger(Peer):
-    """Works for some milliseconds; `gate` holds its answers back, each `spoilt`th breaks off.
+class SlowPeer(Peer):
+    """An upstream that takes 3 ms; `gate` holds answers back, every `abort_every`th request is aborted.
 
-    `broken` counts those by visit, over all that share it: the last fetch that one may have never breaks off.
+    `aborted` counts aborts by visit, over all upstreams that share it: the last fetch allowed is never
+    aborted.
     """
 
-    def __init__(self, spoilt: int = 0, broken: Counter[bytes] | None = None) -> None:
+    def __init__(self, abort_every: int = 0, aborted: Counter[bytes] | None = None) -> None:
         super().__init__()
-        self.spoilt = spoilt
-        self.broken = Counter[bytes]() if broken is None else broken
+        self.abort_every = abort_every
+        self.aborted = Counter[bytes]() if aborted is None else aborted
         self.gate = asyncio.Event()
         self.gate.set()
 
@@ -53,11 +54,11 @@
                 await asyncio.sleep(0.003)
                 await self.gate.wait()
                 if (
-                    self.spoilt
-                    and len(self.requests) % self.spoilt == 0
-                    and self.broken[trace(head)] < FETCHES - 1
+                    self.abort_every
+                    and len(self.requests) % self.abort_every == 0
+                    and self.aborted[trace(head)] < FETCHES - 1
                 ):
-                    self.broken[trace(head)] += 1
+                    self.aborted[trace(head)] += 1
                     return writer.transport.abort()
                 writer.write(ok())
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -68,15 +69,15 @@
 
 
 def trace(head: bytes) -> bytes:
-    """The line of a request that names its visit."""
+    """The header line that identifies the visit of a request."""
     return next(line for line in head.split(b"\r\n") if line.lower().startswith(b"x-trace-id"))
 
 
-def other(registry: Registry, old: bool = False) -> bytes:
-    """Settings before the move, and after it: prefixes change place, a zone goes, the list is pushed."""
-    told = configuration([], registry.port)
+def settings_text(registry: Registry, old: bool = False) -> bytes:
+    """Settings before (`old`) or after the switch, which moves prefixes, removes a zone, pushes the list."""
+    config = configuration([], registry.port)
     if not old:
-        settings = told["settings"]
+        settings = config["settings"]
         read, tag, change = settings["PathPrefixes"]
         settings |= {
             "Dcs": ["a"],
@@ -87,7 +88,7 @@
             "Goal": {"Whole": 0.7, "Availability": 0.3, "FullAtNines": 3},
         }
         assert tag
-    return json.dumps(told).encode()
+    return json.dumps(config).encode()
 
 
 def switch(service: Service, text: bytes) -> None:
@@ -102,9 +103,9 @@
 
 
 def test_there_and_back_under_load_nothing_is_lost_or_sent_twice():
-    async def story() -> None:
-        broken = Counter[bytes]()
-        peers, registry = [Ledger(11, broken), Ledger(13, broken), Ledger(17, broken)], Registry()
+    async def scenario() -> None:
+        aborted = Counter[bytes]()
+        peers, registry = [SlowPeer(11, aborted), SlowPeer(13, aborted), SlowPeer(17, aborted)], Registry()
         async with running(*peers, registry=registry) as service:
             await heard(service, registry)
             stop, statuses = asyncio.Event(), Counter[tuple[str, int]]()
@@ -115,12 +116,12 @@
             for old in (False, True, False, True, False):
                 before = sum(len(p.requests) for p in peers)
                 await peers[0].until(lambda before=before: sum(len(p.requests) for p in peers) > before + 100)
-                switch(service, b'{"settings": {')  # a half-written file between
-                switch(service, other(registry, old))
+                switch(service, b'{"settings": {')  # a half-written file in between
+                switch(service, settings_text(registry, old))
             stop.set()
             await asyncio.gather(*tasks)
-            # what broke off may have run: read-like visits went elsewhere (one that has no fetch left is
-            # rejected, below), mutating ones were errored
+            # aborted fetches may have executed: read-like visits were sent elsewhere (one without a fetch
+            # left is rejected, see below), mutating ones were errored
             assert {status for path, status in statuses if "read" in path} == {200}
             assert {status for path, status in statuses if "change" in path} == {200, 502}
             assert not service.turn.visits
@@ -128,71 +129,71 @@
             assert len(traces) > 50 and set(traces.values()) == {1}
             assert service.turn.counts["faults"] == 0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_read_like_visit_whose_every_fetch_breaks_off_is_rejected_once_none_is_left():
-    async def story() -> None:
+    async def scenario() -> None:
         peers = [Peer(RESET) for _ in range(FETCHES + 1)]
         async with running(*peers) as service:
             client = await caller(service)
             status, head, _ = await client.ask(request("/read/a"))
             assert status == 503 and b"Retry-After" in head
-            # each at another upstream, and no more than it may have
+            # each at a different upstream, and no more than allowed
             assert sorted(len(p.requests) for p in peers) == [0, 1, 1, 1]
             assert not service.turn.visits
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_what_is_out_over_a_switch_is_answered_and_a_prefix_goes_and_comes():
-    async def story() -> None:
-        peer, registry = Ledger(), Registry()
+    async def scenario() -> None:
+        peer, registry = SlowPeer(), Registry()
         async with running(peer, registry=registry) as service:
             await heard(service, registry)
             peer.gate.clear()
             client = await caller(service)
             client.writer.write(request("/change/1", "POST"))
             await peer.until(lambda: len(peer.requests) == 1)
-            switch(service, other(registry))
+            switch(service, settings_text(registry))
             peer.gate.set()
             assert (await client.answer())[0] == 200 and len(peer.requests) == 1
             assert (await client.ask(request("/fresh/2")))[0] == 200
             tag = "/tag/3", "POST", b"", None
             assert (await client.ask(request(*tag, Idempotency_Key="k")))[0] == 404
-            switch(service, other(registry, old=True))
+            switch(service, settings_text(registry, old=True))
             client = await caller(service)
             assert (await client.ask(request(*tag, Idempotency_Key="k")))[0] == 200
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_visit_that_came_with_the_signal_is_decided_under_the_settings_it_was_read_under():
-    # guards: prefixes change place, so one noted but not yet decided would be another's
-    async def story() -> None:
-        peer, registry = Ledger(), Registry()
+    # prefixes change index, so a visit that is queued but not decided could be assigned to another prefix
+    async def scenario() -> None:
+        peer, registry = SlowPeer(), Registry()
         async with running(peer, registry=registry) as service:
             await heard(service, registry)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200
-            take, seen = service.turn.accept_request, []
+            accept, seen = service.turn.accept_request, []
 
-            def taken(found, by):
-                done = take(found, by)
-                switch(service, other(registry))  # in the same pass, before the turn
+            def accept_then_switch(found, by):
+                done = accept(found, by)
+                switch(service, settings_text(registry))  # in the same loop iteration, before the event batch
                 seen.append(next(iter(service.turn.visits.values())).handle.lane.kind)
                 return done
 
-            service.turn.accept_request = taken  # type: ignore[method-assign]
+            service.turn.accept_request = accept_then_switch  # type: ignore[method-assign]
             assert (await client.ask(request("/read/x")))[0] == 200
             assert seen == [Kind.READ_LIKE]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_drain_told_before_a_switch_holds_after_it():
-    async def story() -> None:
-        peers, registry = [Ledger(), Ledger()], Registry()
+    async def scenario() -> None:
+        peers, registry = [SlowPeer(), SlowPeer()], Registry()
         async with running(*peers, registry=registry) as service:
             await registry.tell(4, target("u0", peers[0].port, state="leaving"))
             client = await caller(service)
@@ -200,23 +201,23 @@
                 pass
             before = len(peers[0].requests)
             for old in (False, True):
-                switch(service, other(registry, old))
+                switch(service, settings_text(registry, old))
                 for _ in range(20):
                     assert (await client.ask(request()))[0] == 200
             assert len(peers[0].requests) == before
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_the_list_comes_on_sockets_whether_pushed_or_asked_for(mode):
-    async def story() -> None:
-        peer, registry = Ledger(), Registry()
+    async def scenario() -> None:
+        peer, registry = SlowPeer(), Registry()
         await peer.start()
         await registry.start()
-        told = configuration([], registry.port)
-        told["settings"]["Discovery"] = mode
-        service = Service(asyncio.get_running_loop(), facts.post(json.dumps(told).encode(), {}))
+        config = configuration([], registry.port)
+        config["settings"]["Discovery"] = mode
+        service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}))
         service.start()
         try:
             await registry.tell(4, target("u0", peer.port), whole=True)
@@ -227,7 +228,7 @@
         finally:
             service.end()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -243,13 +244,13 @@
     ],
 )
 def test_settings_that_cannot_be_used_are_refused_by_the_name_of_their_key(change, says):
-    told = configuration([], 7)
-    told["settings"] |= change
+    config = configuration([], 7)
+    config["settings"] |= change
     with pytest.raises(facts.FactError, match=says):
-        facts.post(json.dumps(told).encode(), {})
+        facts.post(json.dumps(config).encode(), {})
 
 
-def retold(host: FakeHost, lines: list, **terms: object) -> None:
+def apply_settings(host: FakeHost, lines: list, **terms: object) -> None:
     from dataclasses import replace
 
     host.balancer.set_terms(host.now, replace(host.balancer._terms, **terms))
@@ -267,7 +268,7 @@
     while not cold.cold_sends:
         host.serve(1)
     spent, start = len(cold.cold_sends), cold.start
-    retold(host, lines, overload_factor=factor)
+    apply_settings(host, lines, overload_factor=factor)
     assert len(cold.cold_sends) == spent and cold.start == start
     before = len(host.sends)
     host.serve(10)
@@ -275,24 +276,24 @@
 
 
 def test_a_switch_that_leaves_the_cold_figures_leaves_what_was_granted():
-    # guards: a fleet that has just started would be sent nothing for a window after any reload
+    # otherwise a fleet that has just started would receive nothing for a window after any reload
     lines = [listed(i, came_up=99_000.0) for i in range(3)]
     host = FakeHost(lines, cold_from=0.5, overload_factor=4.0, warm_within=60_000.0)
     host.balancer._levels[0].capacity = 50.0
     host.serve(3)
     granted = [(u.allowed, u.drawn_at, list(u.cold_sends)) for u in host.balancer._upstreams.values()]
     assert any(allowed for allowed, _, _ in granted)
-    retold(host, lines, prefixes=(prefix(Kind.READ_LIKE, gain=5.0),))
+    apply_settings(host, lines, prefixes=(prefix(Kind.READ_LIKE, gain=5.0),))
     assert granted == [(u.allowed, u.drawn_at, list(u.cold_sends)) for u in host.balancer._upstreams.values()]
     assert len(host.serve(6)) >= 3
 
 
 def test_upstreams_that_new_settings_call_cold_are_sent_nothing_for_a_window():
-    # guards: what they were sent while they counted as warm was not noted, so the budget cannot be known
+    # what they received while they counted as warm was not recorded, so their budget is unknown
     lines = [listed(i, came_up=95_000.0) for i in range(3)]
     host = FakeHost(lines, warm_within=3_000.0, tip_after=2_000.0)
     host.serve(30)
-    retold(host, lines, warm_within=60_000.0)
+    apply_settings(host, lines, warm_within=60_000.0)
     until, before = host.now + 1_900.0, len(host.sends)
     while host.now < until:
         host.take()
@@ -304,7 +305,7 @@
     lines = [listed(i) for i in range(4)]
     host = FakeHost(lines, prefixes=(prefix(Kind.MUTATING), prefix(Kind.READ_LIKE)))
     old = host.take(0)
-    retold(host, lines, prefixes=(prefix(Kind.READ_LIKE, gain=2.0), prefix(Kind.MUTATING, gain=2.0)))
+    apply_settings(host, lines, prefixes=(prefix(Kind.READ_LIKE, gain=2.0), prefix(Kind.MUTATING, gain=2.0)))
     host.end(old, End.RESET)
     assert len(old.fetches) == 1 and host.failed == [old.tag]
     new = host.take(0)
@@ -320,7 +321,7 @@
     visits = [host.take() for _ in range(18)]
     waiting = [v for v in visits if v.held]
     assert waiting
-    retold(host, lines, prefixes=(prefix(Kind.MUTATING),))
+    apply_settings(host, lines, prefixes=(prefix(Kind.MUTATING),))
     host.pass_time(2_500)
     assert all(host.answers(v) == 1 or v.fetches for v in waiting)
 
@@ -344,6 +345,6 @@
 def test_what_is_out_is_counted_where_its_upstream_now_stands():
     host = FakeHost([listed(0), listed(1, zone=1)], zones=2, balancers=1, zone_names=("a", "b"))
     visit = host.take()
-    retold(host, [listed(0, zone=1), listed(1, zone=0)], zone_names=("b", "a"))
+    apply_settings(host, [listed(0, zone=1), listed(1, zone=0)], zone_names=("b", "a"))
     host.end(visit, End.DELIVERED)
     assert [level.out for level in host.balancer._levels] == [0, 0]
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""How fetches end on sockets, and what becomes of their connections."""
+"""How backend fetches end on sockets, and what happens to their connections."""
 
 from __future__ import annotations
 
@@ -78,7 +78,8 @@
         (("cut", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), "/read", 200, 2),
         (b"no HTTP at all\r\n\r\n", "/change", 502, 1),
         (b"no HTTP at all\r\n\r\n", "/read", 200, 2),
-        (ok(b"whole" + b"x" * 400_000), "/change", 200, 1),  # met on the busiest days, one answer in six
+        # about this size was one answer in six on the busiest days
+        (ok(b"whole" + b"x" * 400_000), "/change", 200, 1),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + b"30d40\r\n"
@@ -103,11 +104,12 @@
             "/read",
             200,
             1,
-        ),  # small chunks: five times its body
-        (("cut", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole"), "/read", 200, 1),  # ends with it
-        (("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), "/read", 200, 2),  # its length is lost, or never was
+        ),  # small chunks: five times the size of its body
+        # ends with the connection
+        (("cut", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole"), "/read", 200, 1),
+        (("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), "/read", 200, 2),  # its length header is missing or lost
         (("cut", b"HTTP/1.1 200 OK\r\n\r\nhalf"), "/change", 502, 1),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "/read", 200, 2),  # and no time-out
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "/read", 200, 2),  # and no timeout
         (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "/read", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nwhole", "/read", 200, 2),
         (
@@ -126,9 +128,9 @@
     ],
 )
 def test_a_failed_fetch_is_repeated_only_where_that_is_harmless(first, path, status, fetches):
-    async def story():
+    async def scenario():
         peers = Peer(first, ok(b"whole")), Peer()
-        peers[1].answers = peers[0].answers  # whichever is asked first fails
+        peers[1].answers = peers[0].answers  # both share one list of answers, so the first request fails
         async with running(*peers) as service:
             got = await (await caller(service)).ask(
                 request(path, "GET" if path == "/read" else "POST", **(KEY if path == "/tag" else {}))
@@ -136,12 +138,12 @@
             assert got[0] == status and (status != 200 or got[2][:5] in (b"whole", b"xxxxx"))
             assert sum(len(peer.requests) for peer in peers) == fetches
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("path", ["/read", "/change"])
 def test_one_that_cannot_be_reached_never_ran(path):
-    async def story():
+    async def scenario():
         gone, there = await Peer().start(), Peer()
         gone.server.close()
         async with running(gone, there) as service:
@@ -150,11 +152,11 @@
                 assert (await client.ask(request(path, "POST", b"x")))[0] == 200
             assert len(there.requests) == 6
 
-    play(story)
+    play(scenario)
 
 
 def test_a_late_answer_never_reaches_another_visit():
-    async def story():
+    async def scenario():
         peer = Peer(SILENT, ok(b"second"))
         async with running(peer) as service:
             client = await caller(service)
@@ -162,11 +164,11 @@
             peer.writers[0].write(ok(b"first"))
             assert (await client.ask(request()))[2] == b"second"
 
-    play(story)
+    play(scenario)
 
 
 def test_a_connection_is_kept_and_the_one_last_used_is_taken(monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         peer = Peer()
         async with running(peer) as service:
@@ -174,11 +176,11 @@
             for _ in range(5):
                 assert (await client.ask(request()))[0] == 200
             assert len(peer.writers) == 1
-            # well before the upstream would close it, it is closed by us
+            # we close it well before the upstream would
             service.turn.upstreams.run_maintenance(clock() + 0.9 * 15_000)
             await peer.until(lambda: peer.open == 0)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -192,7 +194,7 @@
     ],
 )
 def test_a_connection_that_is_ended_or_out_of_step_is_not_used_again(answer):
-    async def story():
+    async def scenario():
         peer = Peer(answer, ok(b"second"))
         async with running(peer) as service:
             client = await caller(service)
@@ -201,12 +203,12 @@
             assert (await client.ask(request("/change", "POST", b"x")))[2] == b"second"
             assert len(peer.writers) == 2
 
-    play(story)
+    play(scenario)
 
 
 def test_connections_silent_over_a_time_out_are_not_trusted_again():
-    async def story():
-        # an upstream that is cut off leaves its connections open and silent
+    async def scenario():
+        # an upstream that is cut off leaves its connections open and sends nothing
         peer = Peer(SILENT, SILENT, ok())
         async with running(peer) as service:
             upstream = service.turn.upstreams.pools[0]
@@ -223,11 +225,11 @@
             upstream._on_timeout(late)
             assert not upstream.idle and results[-1] == Cut(Stage.WRITTEN, Why.TIMED_OUT)
 
-    play(story)
+    play(scenario)
 
 
 def test_what_waits_for_its_connection_does_not_go_once_the_list_withdraws_the_upstream():
-    async def story():
+    async def scenario():
         peer = Peer()
         async with running(peer) as service:
             upstream = service.turn.upstreams.pools[0]
@@ -238,11 +240,11 @@
             upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
             assert [classify_end(result) for result in results] == [End.UNSENT, End.UNSENT]
 
-    play(story)
+    play(scenario)
 
 
 def test_at_the_limit_an_idle_connection_makes_room_and_else_nothing_leaves():
-    async def story():
+    async def scenario():
         peers = [Peer(), Peer()]
         async with running(*peers) as service:
             service.turn.upstreams.max_open = 1
@@ -251,31 +253,31 @@
                 assert (await client.ask(request()))[0] == 200
             assert len(service.turn.upstreams.open) <= 1 and all(peer.requests for peer in peers)
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("behind", [ok(b"copy"), None])
 def test_a_connection_that_has_just_answered_settles_before_it_is_used_again(behind, monkeypatch):
-    async def story():
+    async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 10_000.0)
-        # a second copy, or the connection's end, may come right behind the answer, but not with it
+        # a second copy, or the connection's end, may arrive right behind the answer, but not with it
         peer = Peer(ok(b"first"), ok(b"second"))
         async with running(peer) as service:
             client = await caller(service)
             assert (await client.ask(request("/change", "POST", b"x")))[2] == b"first"
-            used = peer.writers[0]
+            first = peer.writers[0]
             if behind is None:
-                used.close()
+                first.close()
             else:
-                used.write(behind)
+                first.write(behind)
             assert (await client.ask(request("/change", "POST", b"x")))[2] == b"second"
             assert len(peer.writers) == 2
 
-    play(story)
+    play(scenario)
 
 
 def test_answers_that_come_at_once_are_held_within_a_part_of_the_memory():
-    async def story():
+    async def scenario():
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n"
         peer = Peer(head + b"x" * 800_000)
         async with running(peer) as service:
@@ -284,7 +286,7 @@
             callers = [await caller(service) for _ in range(4)]
             for client in callers:
                 client.writer.write(request("/change", "POST", b"x"))
-            while service.turn.counts["errored"] < 2:  # two have no room
+            while service.turn.counts["errored"] < 2:  # two exceed the memory limit
                 await asyncio.sleep(0)
             assert pool.buffered_bytes <= pool.max_buffered_bytes
             for writer in list(peer.writers):
@@ -292,4 +294,4 @@
             statuses = sorted([(await client.answer())[0] for client in callers])
             assert statuses == [200, 200, 502, 502] and pool.buffered_bytes == 0
 
-    play(story)
+    play(scenario)
