--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -220,7 +220,7 @@
                 zone,
                 operator.fleet,
                 self._post.seed,
-                listed=lambda news: self.note(self._on_list_from_balancer, news),
+                listed=lambda update: self.note(self._on_list_from_balancer, update),
                 hinted=lambda body: self.note(self._on_bank_message, body),
                 hasten=lambda: self.note(self._hasten_list_call),
             )
@@ -262,10 +262,10 @@
         self._configure_discovery()
         # Passed on as a first list, so that it renews no subscription and leaves cold and draining upstreams
         # in their state.
-        lines = [
+        entries = [
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
-        self.balancer.told_changes(now, lines, first=True, own=False)
+        self.balancer.told_changes(now, entries, first=True, own=False)
         if not post.terms.ask_for_list and not self.discovery.watching and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
@@ -304,9 +304,9 @@
             self._batch_scheduled = True
             self._loop.call_soon(self._dispatch)
 
-    def _enqueue_list_update(self, news: News) -> None:
-        self._update_queued = self._update_queued or news.whole or bool(news.targets)
-        self.note(self._on_list_update, news)
+    def _enqueue_list_update(self, update: News) -> None:
+        self._update_queued = self._update_queued or update.whole or bool(update.targets)
+        self.note(self._on_list_update, update)
 
     def _sends_blocked(self) -> bool:
         """Whether all sends to upstreams are blocked; checked right before each one."""
@@ -324,6 +324,7 @@
         self._run_batch(sockets_read=True)
 
     def _run_batch(self, sockets_read: bool) -> None:
+        """Run queued events, due timers and pending actions, in this order."""
         self._batch_scheduled = False
         now = clock()
         if now - self._last_batch_at > STALL_MS:
@@ -397,6 +398,7 @@
     # -- visits -------------------------------------------------------------------------------------------
 
     def run_takeover_results(self, now: float) -> None:
+        """Carry out what takeover has decided."""
         if self.covering is not None:
             self.covering.carry_out(now)
 
@@ -408,7 +410,7 @@
         return self._place_by_index[upstream]
 
     def accept_request(self, request: Request, client: Client) -> bool:
-        """Start a visit for a whole request; False if another open visit has the same request id."""
+        """Start a visit for a request, or join it to its open visit; False if its id is in use otherwise."""
         if request.trace in self._open_ids:
             return self.covering is not None and self.covering.joins(request, client)
         self._open_ids.add(request.trace)
@@ -436,6 +438,7 @@
         )
 
     def _begin_visit(self, now: float, taken: Taken) -> None:
+        """Determine the time left for a visit, set its backstop timer and pass it on."""
         if taken.client is None:
             self._discard_visit(taken)
             return
@@ -539,6 +542,7 @@
         self._discard_if_settled(taken)
 
     def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
+        """Report the end of a fetch to the decisions; if it delivered, answer the client."""
         end = reported = classify_end(outcome)
         self.counts[end.name.lower()] += 1
         taken.fetch_ends.append(end.name.lower())
@@ -595,6 +599,7 @@
             taken.backstop_timer.cancel()
 
     def reply(self, now: float, taken: Taken, status: int, fields: bytes, body: bytes) -> None:
+        """Send the final answer to the client, if it still waits."""
         if taken.client is not None:
             client, taken.client = taken.client, None
             client.reply(status, fields, body)
@@ -739,29 +744,29 @@
         if self._post.terms.may_tell:
             self.balancer.heard(now, body)
 
-    def _on_list_from_balancer(self, now: float, others: Any) -> None:
-        """Apply a newer upstream list that another balancer received from the list service and forwarded."""
-        if others.rev <= self.discovery.rev:
+    def _on_list_from_balancer(self, now: float, forwarded: Any) -> None:
+        """Apply a newer upstream list that another balancer received and forwarded."""
+        if forwarded.rev <= self.discovery.rev:
             return
         text = b'{"rev":%d,"all":%b,"targets":[%b]}' % (
-            others.rev,
-            b"true" if others.whole else b"false",
-            b",".join(others.targets),
+            forwarded.rev,
+            b"true" if forwarded.whole else b"false",
+            b",".join(forwarded.targets),
         )
-        news = read(text, self.logger)
-        if news is None:
+        update = read(text, self.logger)
+        if update is None:
             return
         self.counts["lists_from_others"] += 1
-        self.discovery.took(news.rev)
-        lines = self._list_entries(news)
-        if news.whole:
-            self.balancer.told_all(now, lines, own=False)
+        self.discovery.took(update.rev)
+        entries = self._list_entries(update)
+        if update.whole:
+            self.balancer.told_all(now, entries, own=False)
         else:
-            self.balancer.told_changes(now, lines, own=False)
+            self.balancer.told_changes(now, entries, own=False)
         if self._list_cache is not None:
             self._list_cache.told(changed=True)
 
-    def _on_list_update(self, now: float, news: News) -> None:
+    def _on_list_update(self, now: float, update: News) -> None:
         self._watch_retry_ms = WATCH_RETRY_MS
         # Data from another call, or from the watch at a former address, does not count as received by our own
         # watch. Otherwise nobody would be asked any more once that watch has ended or while it receives
@@ -770,45 +775,45 @@
         if self._pace is not None and from_watch:
             self._pace.told()
         if self._list_cache is not None:
-            self._list_cache.told(changed=news.whole or bool(news.targets))
+            self._list_cache.told(changed=update.whole or bool(update.targets))
         if self.bank is not None:
             self.bank.told(
-                news.rev,
-                news.whole,
-                [(target.uid, target.state == "left", json.encode(target)) for target, _ in news.targets],
+                update.rev,
+                update.whole,
+                [(target.uid, target.state == "left", json.encode(target)) for target, _ in update.targets],
             )
-        lines = self._list_entries(news)
-        if news.whole:
-            self.balancer.told_all(now, lines, from_watch)
+        entries = self._list_entries(update)
+        if update.whole:
+            self.balancer.told_all(now, entries, from_watch)
         else:
-            self.balancer.told_changes(now, lines, own=from_watch)
+            self.balancer.told_changes(now, entries, own=from_watch)
 
-    def _list_entries(self, news: News) -> list[Listed]:
+    def _list_entries(self, update: News) -> list[Listed]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
-        lines = []
-        for target, at in news.targets:
+        entries = []
+        for target, at in update.targets:
             upstream = self._index_by_uid.get(target.uid)
             if upstream is None:
                 if at is None or target.state == "left":
                     continue
                 upstream = self._index_by_uid[target.uid] = self.upstreams.add(at)
                 self._uid_by_index[upstream] = target.uid
-            lines.append(self._list_entry(target, upstream))
-            self._record_readiness(target.uid, lines[-1].readiness, target)
+            entries.append(self._list_entry(target, upstream))
+            self._record_readiness(target.uid, entries[-1].readiness, target)
             self.upstreams.update_from_list(
                 upstream,
                 at or self.upstreams.pools[upstream].address,
                 target.boot_ms,
-                lines[-1].readiness is Readiness.READY,
+                entries[-1].readiness is Readiness.READY,
             )
-        if news.whole:
-            named = {target.uid for target, _ in news.targets}
+        if update.whole:
+            named = {target.uid for target, _ in update.targets}
             for uid, upstream in self._index_by_uid.items():
                 if uid not in named and self._readiness.get(uid) is not Readiness.GONE:
                     self._record_readiness(uid, Readiness.GONE, None)
                     self._target_by_uid[uid] = structs.replace(self._target_by_uid[uid], state="left")
                     self.upstreams.pools[upstream].withdraw()
-        return lines
+        return entries
 
     def _list_entry(self, target: Target, upstream: int) -> Listed:
         # An entry may omit its zone and cell (a removed one does); the upstream keeps its former ones, as
@@ -843,9 +848,7 @@
             )
 
     def run_maintenance(self, now: float) -> None:
-        """Update the cached list and forget upstreams removed long ago, as fleets are often replaced under
-        new ids.
-        """
+        """Update the cached list; forget upstreams removed long ago, as fleets get new ids all the time."""
         if self._list_cache is not None and not self._update_queued:
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
@@ -866,12 +869,8 @@
             ):
                 return
             self.balancer.forget(upstream)
-            del (
-                self._gone_since[uid],
-                self._index_by_uid[uid],
-                self._readiness[uid],
-                self._target_by_uid[uid],
-            )
+            del self._gone_since[uid], self._index_by_uid[uid]
+            del self._readiness[uid], self._target_by_uid[uid]
             del self.upstreams.pools[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
 
     # -- Host: actions for the decisions ------------------------------------------------------------------
