--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -169,7 +169,7 @@
             await settled(registry, service, 1)
             await place(setup)
             async with asyncio.timeout(2):
-                while service.turn._states["u0"] is Readiness.READY:
+                while service.turn._readiness["u0"] is Readiness.READY:
                     await asyncio.sleep(0.005)
 
     play(scenario)
@@ -203,7 +203,7 @@
             watch.connection_lost(ConnectionResetError())
             plain.number = setup.lists.calls_started + 1  # as if it had started after the loss
             plain.data_received(setup.whole() + END)  # of version 40
-            service.turn._turn()
+            service.turn._dispatch()
             assert service.turn.balancer.lease.lost
 
     play(scenario)
@@ -221,12 +221,12 @@
             moved(service, elsewhere)
             await elsewhere.until(lambda: bool(elsewhere.writers))
             await registry.tell(41, target("u0", peers[0].port, state="leaving"))
-            while service.turn._states["u0"] is Readiness.READY:
+            while service.turn._readiness["u0"] is Readiness.READY:
                 await asyncio.sleep(0)
             await elsewhere.tell(7, *(target(f"u{i}", p.port) for i, p in enumerate(peers)), whole=True)
             await elsewhere.until(lambda: len(elsewhere.requests) == 2)
             assert b"?watch=1" not in elsewhere.requests[1][0]  # the full list decides
-            assert service.turn._states["u0"] is Readiness.DRAINING
+            assert service.turn._readiness["u0"] is Readiness.DRAINING
 
     play(scenario)
 
@@ -256,7 +256,7 @@
             ended = clock()
             while clock() - ended < 1_000.0:  # no other call is answered, and this one does not end
                 await asyncio.sleep(0.01)
-                service.turn._turn()
+                service.turn._dispatch()
                 assert service.turn.balancer.lease.withholds(ended + 300.0)
 
     play(scenario)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -96,7 +96,7 @@
 
 async def until_settled(service: Service) -> None:
     """Wait until no visit or exchange is left, and what was opened or written has arrived."""
-    while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.peers.values()):
+    while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.pools.values()):
         await asyncio.sleep(0)
     await passes()
 
@@ -119,7 +119,7 @@
 
 async def open_idle_connection(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """Open an idle connection to the upstream."""
-    monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+    monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
     assert (await (await caller(service)).ask(request()))[0] == 200
 
 
@@ -137,11 +137,12 @@
             delay = Delay(late, lambda: leave(sock, how))
             of, name, wrap = {
                 # the upstream is chosen and the batch takes long
-                "turn": (upstreams.Peer, "run", delay.before),
+                "turn": (upstreams.ConnectionPool, "run", delay.before),
                 "write": (upstreams, "unread", delay.before),  # the last check of an idle connection
                 # a loop iteration between choosing and connecting
-                "connect": (upstreams.Peer, "_open", delay.before),
-                "connected": (upstreams.Peer, "_connect", delay.after),  # connected, and the loop stalled
+                "connect": (upstreams.ConnectionPool, "_open_connection", delay.before),
+                # connected, and the loop stalled
+                "connected": (upstreams.ConnectionPool, "_connect", delay.after),
             }[place]
             with monkeypatch.context() as patch:
                 patch.setattr(of, name, wrap(getattr(of, name)))
@@ -176,7 +177,7 @@
             Delay(late, lambda: leave(sock, how))()
             free_capacity()
             service.turn.balancer._check_queue(clock())
-            service.turn._turn()  # at once; nothing is read before
+            service.turn._dispatch()  # at once; nothing is read before
             await until_settled(service)
             assert (len(peer.requests), len(peer.writers)) == begun
             await only_next_served(service, peer)
@@ -218,17 +219,17 @@
             socks = [open_client(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
-            delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.Peer.run
+            delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.ConnectionPool.run
             ran, turns = [], set()
 
             def nth(self, errand, *args):
                 ran.append(errand)
-                turns.add(service.turn._turned)
+                turns.add(service.turn._last_batch_at)
                 if len(ran) == before:
                     delay()
                 run(self, errand, *args)
 
-            monkeypatch.setattr(upstreams.Peer, "run", nth)
+            monkeypatch.setattr(upstreams.ConnectionPool, "run", nth)
             for sock in socks:
                 sock.sendall(request())  # read in one loop iteration and sent in one batch
             while not delay.done:
@@ -259,7 +260,7 @@
                 sock.sendall(request())
 
             def waiting() -> int:
-                peer = service.turn.upstreams.peers[0]
+                peer = service.turn.upstreams.pools[0]
                 return service.turn.balancer._queued if where == "held" else len(peer.errands)
 
             while waiting() < many:
@@ -271,11 +272,11 @@
             if where == "held":
                 free_capacity()
                 service.turn.balancer._check_queue(clock())
-                service.turn._turn()
+                service.turn._dispatch()
             await until_settled(service)
             while service.clients.open:
                 await asyncio.sleep(0)
-            assert not gate.got and not service.turn.upstreams.open and not service.turn._ids
+            assert not gate.got and not service.turn.upstreams.open and not service.turn._open_ids
             assert not service.turn.balancer._queued and not service.turn.counts["faults"]
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -296,28 +297,28 @@
         server.bind(("127.0.0.1", 0))
         server.listen()
         server.setblocking(False)
-        made = upstreams.Conn.connection_made
+        made = upstreams.UpstreamConnection.connection_made
 
-        def narrow(conn: upstreams.Conn, transport: asyncio.BaseTransport) -> None:
+        def narrow(conn: upstreams.UpstreamConnection, transport: asyncio.BaseTransport) -> None:
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             made(conn, transport)
 
-        monkeypatch.setattr(upstreams.Conn, "connection_made", narrow)
+        monkeypatch.setattr(upstreams.UpstreamConnection, "connection_made", narrow)
         body = b"x" * 60_000
         async with running(known=[target("u0", server.getsockname()[1])]) as service:
             sock, loop, got = open_client(service), asyncio.get_running_loop(), bytearray()
             sock.sendall(request("/change", "POST", body))
             conn, _ = await loop.sock_accept(server)
-            while not service.turn.upstreams.peers[0].errands:
+            while not service.turn.upstreams.pools[0].errands:
                 await asyncio.sleep(0)
-            (errand,) = service.turn.upstreams.peers[0].errands
+            (errand,) = service.turn.upstreams.pools[0].errands
             while errand.stage is not upstreams.Stage.WRITING:
                 await asyncio.sleep(0)
             # all but a last piece, which is sent as soon as the upstream reads more
             while errand.conn.transport.get_write_buffer_size() > 8_000:
                 got.extend(await loop.sock_recv(conn, 1_000))
                 await asyncio.sleep(0)
-            assert not errand.conn.written()
+            assert not errand.conn.write_buffer_empty()
             # in one iteration the upstream reads more and the exchange ends
             conn.setblocking(False)
             with suppress(BlockingIOError):
@@ -326,7 +327,7 @@
             if how == "left":
                 leave(sock)
                 next(iter(service.clients.open)).eof_received()
-                service.turn._turn()
+                service.turn._dispatch()
             else:
                 errand.cut(upstreams.Why.TIMED_OUT)
             with suppress(ConnectionResetError):
@@ -348,7 +349,7 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            sock, turn, take, met = open_client(service), service.turn, service.turn.take, []
+            sock, turn, take, met = open_client(service), service.turn, service.turn.accept_request, []
 
             def taken(asked, client):
                 met.append(take(asked, client))
@@ -356,11 +357,11 @@
                 reload(service, ["change", "tag", "read"])  # processes the batch of queued events at once
                 return met[0]
 
-            turn.take = taken
+            turn.accept_request = taken
             sock.sendall(request())
             while not met:
                 await asyncio.sleep(0)
-            turn.take = take
+            turn.accept_request = take
             await until_settled(service)
             assert not peer.requests and not peer.writers
             await only_next_served(service, peer)
@@ -382,15 +383,15 @@
             sock.sendall(request())
             while not balancer._queued:
                 await asyncio.sleep(0)
-            turn._alarm.cancel()
-            turn._wakes = [(clock(), -1, balancer._check_queue)]  # due now, and the loop stalls from now on
-            Delay(late, lambda: leave(sock))()  # longer than `LATE`
+            turn._loop_timer.cancel()
+            turn._timers = [(clock(), -1, balancer._check_queue)]  # due now, and the loop stalls from now on
+            Delay(late, lambda: leave(sock))()  # longer than `LATE_TIMER_MS`
             free_capacity()
             placed, place = [], balancer._choose_and_send
             monkeypatch.setattr(
                 balancer, "_choose_and_send", lambda *args: placed.append(args) or place(*args)
             )
-            turn._ring()
+            turn._on_loop_timer()
             await until_settled(service)
             assert not placed and not peer.requests and not peer.writers
 
@@ -424,7 +425,7 @@
                 out, one.out = one.out, []
                 for to, message in out:
                     everybody[to].heard(clock(), name, message)
-        self.turn.note(self.turn.covering_news)
+        self.turn.note(self.turn.run_takeover_results)
 
 
 @CANCEL
@@ -445,11 +446,11 @@
             else:
                 Delay(late, lambda: leave(sock))()
             bank.deliver()
-            turn._turn()  # the grant is there, and nothing was read before
+            turn._dispatch()  # the grant is there, and nothing was read before
             await until_settled(service)
             assert not peer.requests and not peer.writers
             # and it is removed: no message about it will come
-            assert not turn._ids and not turn.covering._waiting and not bank.own.visits
+            assert not turn._open_ids and not turn.covering._waiting and not bank.own.visits
 
     play(scenario)
 
@@ -476,12 +477,12 @@
             assert asked_kind is not None
             leave(sock)
             bank.deliver()
-            turn._turn()
+            turn._dispatch()
             await until_settled(service)
             assert (
                 not peer.requests
                 and not peer.writers
-                and not turn._ids
+                and not turn._open_ids
                 and not turn.covering._retry_deadlines
             )
 
@@ -565,7 +566,7 @@
         async with serve_process(tmp_path, peer.port) as (pid, port):
             if kept:  # an idle connection to the upstream exists, and the clients are accepted already
                 assert (await (await dial(port)).ask(request()))[0] == 200
-                await asyncio.sleep(upstreams.SETTLE / 1e3)
+                await asyncio.sleep(upstreams.SETTLE_MS / 1e3)
             begun = len(peer.requests), len(peer.writers)
             socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(12)]
             if kept:
@@ -660,9 +661,9 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.dial = 0.0  # when the client had sent the request
         self.writes: list[tuple[float, float]] = []
-        start = upstreams.Conn.start
+        start = upstreams.UpstreamConnection.start
 
-        def noted(conn: upstreams.Conn, errand: upstreams.Errand, *args: Any) -> None:
+        def noted(conn: upstreams.UpstreamConnection, errand: upstreams.Errand, *args: Any) -> None:
             head, left = errand.head, 1e3 * TIME - (clock() - self.dial)
 
             class Seen:
@@ -682,7 +683,7 @@
             assert head == errand.head
             self.writes.append((reported[0], left))
 
-        monkeypatch.setattr(upstreams.Conn, "start", noted)
+        monkeypatch.setattr(upstreams.UpstreamConnection, "start", noted)
 
     def send(self, sock: socket.socket, path: str = "/read") -> None:
         sock.sendall(asked(path, X_Expires_In=str(TIME)))
@@ -719,20 +720,20 @@
             recorder, delay = TimeLeftRecorder(monkeypatch), Delay(late)
             if place in ("turn", "write", "connect", "connected"):
                 of, name, wrap = {
-                    "turn": (upstreams.Peer, "run", delay.before),
+                    "turn": (upstreams.ConnectionPool, "run", delay.before),
                     "write": (upstreams, "unread", delay.before),
-                    "connect": (upstreams.Peer, "_open", delay.before),
-                    "connected": (upstreams.Peer, "_connect", delay.after),
+                    "connect": (upstreams.ConnectionPool, "_open_connection", delay.before),
+                    "connected": (upstreams.ConnectionPool, "_connect", delay.after),
                 }[place]
                 monkeypatch.setattr(of, name, wrap(getattr(of, name)))
             elif place == "slow":  # the connection is slow, not the loop
-                connect = upstreams.Peer._connect
+                connect = upstreams.ConnectionPool._connect
 
                 async def slow(*args: Any) -> None:
                     await asyncio.sleep(late / 1e3)
                     await connect(*args)
 
-                monkeypatch.setattr(upstreams.Peer, "_connect", slow)
+                monkeypatch.setattr(upstreams.ConnectionPool, "_connect", slow)
             sock = open_client(service)
             if place != "accept":
                 while not service.clients.open:
@@ -788,16 +789,18 @@
                 if place == "ended":
                     delay()
                 elif place in ("turn", "kept", "connect"):
-                    name = {"turn": "run", "kept": "run", "connect": "_open"}[place]
-                    monkeypatch.setattr(upstreams.Peer, name, delay.before(getattr(upstreams.Peer, name)))
+                    name = {"turn": "run", "kept": "run", "connect": "_open_connection"}[place]
+                    monkeypatch.setattr(
+                        upstreams.ConnectionPool, name, delay.before(getattr(upstreams.ConnectionPool, name))
+                    )
                 elif place == "slow":
-                    connect = upstreams.Peer._connect
+                    connect = upstreams.ConnectionPool._connect
 
                     async def slow(*args: Any) -> None:
                         await asyncio.sleep(late / 1e3)
                         await connect(*args)
 
-                    monkeypatch.setattr(upstreams.Peer, "_connect", slow)
+                    monkeypatch.setattr(upstreams.ConnectionPool, "_connect", slow)
                 elif place == "held":
                     free_capacity = block_capacity(service, monkeypatch)
                 turn.ended = ended
@@ -849,7 +852,7 @@
                 await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
             delay = Delay(150)
-            monkeypatch.setattr(upstreams.Peer, "run", delay.before(upstreams.Peer.run))
+            monkeypatch.setattr(upstreams.ConnectionPool, "run", delay.before(upstreams.ConnectionPool.run))
             client = await caller(service)
             status, _, _ = await client.ask(request("/change", "POST", b"x", X_Expires_In="0.1"))
             # it never ran, and its upstream is not to blame
@@ -889,14 +892,18 @@
                 for peer in peers:
                     peer.answers = [ok()]
                 if what == "connection":
-                    monkeypatch.setattr(upstreams.Peer, "_connect", late)
+                    monkeypatch.setattr(upstreams.ConnectionPool, "_connect", late)
                 elif what == "loop":
                     delay = Delay(window + 10, again.set)
-                    monkeypatch.setattr(upstreams.Peer, "_open", delay.before(upstreams.Peer._open))
+                    monkeypatch.setattr(
+                        upstreams.ConnectionPool,
+                        "_open_connection",
+                        delay.before(upstreams.ConnectionPool._open_connection),
+                    )
                 ended(now, taken, number, outcome)
                 assert len(taken.handle.fetches) == 2
 
-            connect, turn.ended = upstreams.Peer._connect, then
+            connect, turn.ended = upstreams.ConnectionPool._connect, then
             sock = open_client(service)
             sock.sendall(asked("/tag"))
             if bank is not None:
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -35,15 +35,15 @@
     async def held(self, loop: asyncio.AbstractEventLoop, monkeypatch: pytest.MonkeyPatch) -> Gate:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
-        real = upstreams.Peer._connect
+        real = upstreams.ConnectionPool._connect
 
-        async def late(peer: upstreams.Peer, conn: upstreams.Conn) -> None:
-            if peer.at[1] == self.port:
+        async def late(peer: upstreams.ConnectionPool, conn: upstreams.UpstreamConnection) -> None:
+            if peer.address[1] == self.port:
                 self.connecting.set()
                 await self.open.wait()
             await real(peer, conn)
 
-        monkeypatch.setattr(upstreams.Peer, "_connect", late)
+        monkeypatch.setattr(upstreams.ConnectionPool, "_connect", late)
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -95,7 +95,7 @@
                 await asyncio.sleep(0)
             gate.open.set()
             await passes()
-            assert not service.turn.visits and not service.turn.upstreams.peers[0].errands
+            assert not service.turn.visits and not service.turn.upstreams.pools[0].errands
             # the next request reaches the upstream, and none did before it
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -126,7 +126,7 @@
             # it was sent whole, so it may have executed: it does not count as unsent
             await passes()
             assert service.turn.counts["unsent"] == 0
-            assert bool(service.turn.upstreams.peers[0].errands) is not cancel
+            assert bool(service.turn.upstreams.pools[0].errands) is not cancel
 
     play(scenario)
 
@@ -141,7 +141,7 @@
 
             def ended(now, taken, number, outcome):
                 # both events are pending when the event batch begins: the reset first, then the disconnect
-                turn.left(next(iter(service.clients.open)))
+                turn.client_left(next(iter(service.clients.open)))
                 real(now, taken, number, outcome)
 
             turn.ended = ended
@@ -190,7 +190,7 @@
         async with running(peer, Cancel=cancel) as service:
             balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
             if idle:  # with an idle connection nothing else comes between the event batch and the write
-                monkeypatch.setattr(upstreams, "SETTLE", 0.0)
+                monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
                 assert (await (await caller(service)).ask(request()))[0] == 200
             before = len(peer.requests)
             monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
@@ -202,7 +202,7 @@
             monkeypatch.setattr(balancer, "_choose_and_send", place)
             sock.close()  # from here to the event batch nothing is read
             balancer._check_queue(clock())
-            service.turn._turn()
+            service.turn._dispatch()
             while service.turn.visits:
                 await asyncio.sleep(0)
             await passes()
@@ -217,10 +217,10 @@
         peer = Peer(SILENT)
         async with running(peer, Cancel=cancel) as service:
             # the upstream accepts no bytes: what was written stays in the transport's buffer
-            monkeypatch.setattr(upstreams.Conn, "written", lambda conn: False)
+            monkeypatch.setattr(upstreams.UpstreamConnection, "write_buffer_empty", lambda conn: False)
             client = await caller(service)
             client.writer.write(asked("/change"))
-            while not any(e.conn for e in service.turn.upstreams.peers[0].errands):
+            while not any(e.conn for e in service.turn.upstreams.pools[0].errands):
                 await asyncio.sleep(0)
             leave(client, "end")
             while service.turn.visits:
@@ -236,15 +236,15 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            turn, real, met = service.turn, service.turn.take, []
+            turn, real, met = service.turn, service.turn.accept_request, []
 
             def take(asked, client):
                 taken = real(asked, client)
-                turn.left(client)  # both events are pending when the event batch begins
+                turn.client_left(client)  # both events are pending when the event batch begins
                 met.append(client)
                 return taken
 
-            turn.take = take
+            turn.accept_request = take
             client = await caller(service)
             client.writer.write(request())
             while not met:
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -134,7 +134,8 @@
 
 STALL_S = 0.15
 turns = []
-begin, received, look = turn.Turn.__init__, list_call.ListCall.data_received, upstreams.Peer._may_begin
+begin, received = turn.Turn.__init__, list_call.ListCall.data_received
+look = upstreams.ConnectionPool._may_start
 
 def noted(self, *args, **more):
     turns.append(self)
@@ -152,7 +153,7 @@
     return found
 
 turn.Turn.__init__, list_call.ListCall.data_received = noted, read_late
-upstreams.Peer._may_begin = written_late
+upstreams.ConnectionPool._may_start = written_late
 main(["serve", sys.argv[1]])
 """
 
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -90,7 +90,7 @@
         return run(*args, **more)
     setattr(owner, name, held)
 
-connect = upstreams.Peer._connect
+connect = upstreams.ConnectionPool._connect
 async def connected(peer, conn):
     await connect(peer, conn)
     hold_up()
@@ -100,7 +100,7 @@
 elif place == "the write":
     before(turn.Turn, "write")
 else:
-    upstreams.Peer._connect = connected
+    upstreams.ConnectionPool._connect = connected
 main(["serve", sys.argv[1]])
 """
 STALL_S = 0.7  # s
@@ -154,10 +154,10 @@
             while turn.discovery.rev != 4:
                 await asyncio.sleep(0)
             known_at_the_act: list[int] = []
-            turn._to_do.append((lambda now: known_at_the_act.append(turn.discovery.rev), ()))
+            turn._pending_actions.append((lambda now: known_at_the_act.append(turn.discovery.rev), ()))
             news = registry.writers[0].get_extra_info("socket").fileno()
             os.write(news, chunk(b'{"rev":5,"all":false,"targets":[]}\n'))
-            turn.adopt(turn._post)
+            turn.apply_config(turn._post)
             while not known_at_the_act:
                 await asyncio.sleep(0)
             assert known_at_the_act == [5]
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -208,7 +208,7 @@
                 await new.until(lambda: bool(new.writers))
                 call = service.turn.discovery._watch
                 balancer._tick(clock())
-                service.turn._turn()
+                service.turn._dispatch()
                 assert service.turn.discovery._watch is call is not None
 
     play(scenario)
@@ -220,7 +220,7 @@
         host = FakeHost([listed(0)], ask_for_list=True, seed=seed)
         host.balancer.told_changes(host.now, [])
         silent = host.now
-        host.pass_time(1e3 * (list_call.SILENCE_TIMEOUT_S + service_module.TIDY))
+        host.pass_time(1e3 * (list_call.SILENCE_TIMEOUT_S + service_module.MAINTENANCE_INTERVAL_S))
         for _ in range(2):
             host.watches.clear()
             host.balancer.told_nothing(host.now)
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -15,7 +15,7 @@
 
 from ospreyline.decide import TICK_MS, Visit
 from ospreyline.host import End
-from ospreyline.net.turn import STOOD
+from ospreyline.net.turn import STALL_MS
 from ospreyline.net.upstreams import Errand
 
 CONNECT_MS, SERVE_MS = 250.0, 50.0  # of a fetch whose upstream is not reached, or reached
@@ -175,12 +175,12 @@
             (u,) = turn.balancer._upstreams.values()
             was = u.locality.latency
             # the clock cannot be set forward, so all else is set back
-            before = 10_000.0 if stood else STOOD / 2
+            before = 10_000.0 if stood else STALL_MS / 2
             errand.sent -= before
             errand.expires -= before
-            turn._turned = errand.sent if stood else turn._turned
+            turn._last_batch_at = errand.sent if stood else turn._last_batch_at
             span = errand.expires - errand.sent
-            errand.peer._expire(errand)
+            errand.pool._on_timeout(errand)
             assert (await client.answer())[0] >= 500
             assert turn.counts["timed_out"] == 1 and not u.in_flight
             assert (
