--- a/ospreyline/state.py
+++ b/ospreyline/state.py
@@ -44,7 +44,7 @@
         self.in_time = 0.0  # of `arrived`, those delivered within the target latency
         self.pace = 1.0  # latency of its fetches relative to that of their zone, smoothed
         self.usual_ttl = 0.0  # the longest time that a client has given a try, which is that of a first try
-        self.held: deque[Visit] = deque()  # the queue; visits that are no longer held may still be in it
+        self.held: deque[Visit] = deque()  # the queue; entries whose visit is no longer queued are skipped
 
 
 @dataclass(slots=True, eq=False)
