--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -1,9 +1,10 @@
-"""What size costs, measured: `ospreyline rig scale slopes`. docs/CAPACITY.md is worked out from it.
+"""Measures how the cost of one balancer grows with each size: `ospreyline rig scale slopes`.
 
-Real `serve` processes beside stand-ins in this process (a list service, other members that are hollow:
-the real frames and nothing behind them, upstreams, clients); pure modules where a process could not be
-filled. Processor time is the process's own, as the kernel counts it; wall time is told apart. A fixed piece
-of work is timed before and after, so that runs on other machines can be put in proportion.
+docs/CAPACITY.md is computed from the results. Real `serve` processes run against stand-ins in this process
+(a list service, simulated members that speak the real frames without a balancer behind them, upstreams,
+clients); where no process could be filled, pure modules are measured. Processor time is the process's own, as
+the kernel counts it; wall time is reported separately. A fixed piece of work is timed before each step and at
+the end, so that runs on other machines can be put in proportion.
 """
 
 from __future__ import annotations
@@ -40,22 +41,22 @@
 )
 from ospreyline.fleet.members import MOST_MEMBERS
 
-SATURATED = 80.0  # % of a core
-START = 240.0  # s that a process may take to serve
-LINKS_IN = 6  # links that others open to one member: as many have it as a neighbour as it has
+SATURATED_PCT = 80.0  # of a core; a busier process cannot show the cost of further work
+START_TIMEOUT_S = 240.0
+INBOUND_LINKS = 6  # links that others open to one member: as many as it opens to its neighbours
 ZONES = tuple("abc")
-BALANCERS = 0.035  # for each upstream, as planned: what a balancer uses of its zone follows from it
+BALANCERS_PER_UPSTREAM = 0.035  # as planned; determines what share of its zone a balancer uses
 
 
 class ScaleError(Exception):
     """A measurement could not be made."""
 
 
-# sizes on paper
+# generated input
 
 
-def entry(i: int, port: int = 9001) -> dict[str, Any]:
-    """One upstream of the list, as discovery words it; each has an address of its own on loopback."""
+def list_entry(i: int, port: int = 9001) -> dict[str, Any]:
+    """Upstream i as the list service encodes it; each has its own loopback address."""
     at = f"127.{1 + i // 62_500}.{i // 250 % 250}.{1 + i % 250}:{port}"
     return {
         "uid": f"svc-{i // 30}-{i}",
@@ -67,16 +68,20 @@
     }
 
 
-def bank(upstreams: int) -> int:
-    """Balancers of a fleet with so many upstreams."""
-    return max(3, round(BALANCERS * upstreams))
+def bank_size(upstreams: int) -> int:
+    """Number of balancers of a fleet with that many upstreams."""
+    return max(3, round(BALANCERS_PER_UPSTREAM * upstreams))
 
 
-def listing(count: int, port: int = 9001) -> bytes:
-    return msgspec.json.encode({"rev": 1, "all": True, "targets": [entry(i, port) for i in range(count)]})
+def list_body(count: int, port: int = 9001) -> bytes:
+    """The full upstream list as JSON."""
+    return msgspec.json.encode(
+        {"rev": 1, "all": True, "targets": [list_entry(i, port) for i in range(count)]}
+    )
 
 
-def configuration(upstreams: int, routes: int, discovery: str, port: int = 9001, name: str = "n0") -> bytes:
+def balancer_config(upstreams: int, routes: int, discovery: str, port: int = 9001, name: str = "n0") -> bytes:
+    """The configuration file of a balancer, as JSON."""
     prefixes = [
         {
             "Name": f"route-{i}",
@@ -91,7 +96,7 @@
     settings = {
         "Dcs": list(ZONES),
         "Zone": 0,
-        "Balancers": bank(upstreams),
+        "Balancers": bank_size(upstreams),
         "Me": 1,
         "Discovery": "ask",
         "PathPrefixes": prefixes,
@@ -105,7 +110,7 @@
             "seed": "5",
             "settings": settings,
             "limits": {"sockets": 1024, "memory_mb": 4096},
-            "known": msgspec.Raw(listing(upstreams, port)),
+            "known": msgspec.Raw(list_body(upstreams, port)),
         }
     )
 
@@ -113,76 +118,84 @@
 # processes
 
 
-def _die_with_us() -> None:
-    """Guards: whatever ends this process, what it started ends, too."""
+def _kill_with_parent() -> None:
+    """Makes the kernel kill the child when this process ends, however it ends."""
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
 
 
 @dataclass(slots=True)
 class Process:
-    """One `serve`, its log drained and read along."""
+    """One `serve` process, its log read continuously."""
 
     proc: asyncio.subprocess.Process
     begun: float
-    seen: dict[str, dict[str, Any]] = field(default_factory=dict)  # by event: the last line
-    times: dict[str, int] = field(default_factory=dict)  # by event
+    last_lines: dict[str, dict[str, Any]] = field(default_factory=dict)  # by event
+    line_counts: dict[str, int] = field(default_factory=dict)  # by event
     log_bytes: int = 0
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    line_read: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def read(self) -> None:
+    async def read_log(self) -> None:
         assert self.proc.stdout is not None
         while line := await self.proc.stdout.readline():
             self.log_bytes += len(line)
             with suppress(ValueError):
                 found = json.loads(line)
-                self.seen[found["event"]] = found
-                self.times[found["event"]] = self.times.get(found["event"], 0) + 1
-            self.changed.set()
-
-    async def until(self, event: str, times: int = 1, most: float = START) -> dict[str, Any]:
-        """Wait for a line of its log."""
-        ends = monotonic() + most
-        while self.times.get(event, 0) < times:
-            self.changed.clear()
+                self.last_lines[found["event"]] = found
+                self.line_counts[found["event"]] = self.line_counts.get(found["event"], 0) + 1
+            self.line_read.set()
+
+    async def wait_for_event(
+        self, event: str, count: int = 1, timeout_s: float = START_TIMEOUT_S
+    ) -> dict[str, Any]:
+        """Waits until the event was logged `count` times; returns its last line."""
+        ends = monotonic() + timeout_s
+        while self.line_counts.get(event, 0) < count:
+            self.line_read.clear()
             if self.proc.returncode is not None:
-                raise ScaleError(f"serve ended with {self.proc.returncode} before {event!r}")
+                raise ScaleError(f"serve ended with status {self.proc.returncode} before {event!r}")
             try:
-                await asyncio.wait_for(self.changed.wait(), max(0.01, min(1.0, ends - monotonic())))
+                await asyncio.wait_for(self.line_read.wait(), max(0.01, min(1.0, ends - monotonic())))
             except TimeoutError:
                 if monotonic() > ends:
-                    raise ScaleError(f"no {event!r} within {most:g} s") from None
-        return self.seen[event]
+                    raise ScaleError(f"no {event!r} within {timeout_s:g} s") from None
+        return self.last_lines[event]
 
-    def cpu(self) -> float:
-        """Processor time so far, s."""
+    def cpu_s(self) -> float:
+        """Processor time so far, in s."""
         threads = Path(f"/proc/{self.proc.pid}/task").iterdir()
         return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / 1e9
 
-    def memory(self) -> float:
-        """Resident memory, MB."""
+    def memory_mb(self) -> float:
+        """Resident memory in MB."""
         for line in Path(f"/proc/{self.proc.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
-    async def rest(self, seconds: float) -> float:
-        """Share of a core that it uses at rest, %."""
-        before, at = self.cpu(), monotonic()
+    async def idle_cpu_pct(self, seconds: float) -> float:
+        """Share of a core used without requests, in percent, measured over `seconds`."""
+        before, at = self.cpu_s(), monotonic()
         await asyncio.sleep(seconds)
-        return 100 * (self.cpu() - before) / (monotonic() - at)
+        return 100 * (self.cpu_s() - before) / (monotonic() - at)
 
 
-LIFTED = (
-    "from ospreyline.fleet import members; members.MOST_MEMBERS = {most}; "
+SERVE_WITH_MEMBER_LIMIT = (
+    "from ospreyline.fleet import members; members.MOST_MEMBERS = {limit}; "
     "from ospreyline.__main__ import main; main()"
 )
 
 
 @asynccontextmanager
-async def serving(config: Path, operator: Path | None = None, members: int = 0) -> AsyncIterator[Process]:
-    """A `serve` process that has said that it serves. Where more `members` are to be kept than it keeps, that
-    bound is lifted in it: what they would cost is to be known before it is."""
-    program = ["-m", "ospreyline"] if members <= MOST_MEMBERS else ["-c", LIFTED.format(most=members)]
+async def running_serve(
+    config: Path, operator: Path | None = None, members: int = 0
+) -> AsyncIterator[Process]:
+    """A `serve` process that has logged that it serves. Above MOST_MEMBERS its member limit is raised to
+    `members`, so that their cost is known before the limit itself is raised."""
+    program = (
+        ["-m", "ospreyline"]
+        if members <= MOST_MEMBERS
+        else ["-c", SERVE_WITH_MEMBER_LIMIT.format(limit=members)]
+    )
     command = [sys.executable, *program, "serve", str(config)]
     if operator is not None:
         command += ["--operator", str(operator)]
@@ -192,12 +205,12 @@
         stdout=asyncio.subprocess.PIPE,
         limit=1 << 24,
         start_new_session=True,
-        preexec_fn=_die_with_us,
+        preexec_fn=_kill_with_parent,
     )
     process = Process(proc, begun)
-    reading = asyncio.create_task(process.read())
+    reading = asyncio.create_task(process.read_log())
     try:
-        await process.until("serving")
+        await process.wait_for_event("serving")
         yield process
     finally:
         with suppress(ProcessLookupError):
@@ -208,30 +221,30 @@
             await reading
 
 
-RELAY = """
+RELAY_PROGRAM = """
 import asyncio, sys, uvloop
-class Way(asyncio.Protocol):
+class Leg(asyncio.Protocol):
     other = None
     def connection_made(self, transport):
-        self.transport, self.kept = transport, []
+        self.transport, self.buffered = transport, []
         if self.other is None:
             asyncio.get_running_loop().create_task(self.open())
     async def open(self):
-        def back():
-            way = Way()
-            way.other = self
-            return way
+        def make_leg():
+            leg = Leg()
+            leg.other = self
+            return leg
         loop = asyncio.get_running_loop()
-        _, self.other = await loop.create_connection(back, "127.0.0.1", int(sys.argv[1]))
-        for data in self.kept:
+        _, self.other = await loop.create_connection(make_leg, "127.0.0.1", int(sys.argv[1]))
+        for data in self.buffered:
             self.other.transport.write(data)
     def data_received(self, data):
         if self.other is None:
-            self.kept.append(data)
+            self.buffered.append(data)
         else:
             self.other.transport.write(data)
 async def main():
-    server = await asyncio.get_running_loop().create_server(Way, "127.0.0.1", 0)
+    server = await asyncio.get_running_loop().create_server(Leg, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 uvloop.run(main())
@@ -239,20 +252,20 @@
 
 
 @asynccontextmanager
-async def relaying(port: int) -> AsyncIterator[tuple[str, int]]:
-    """A process that passes bytes on and does nothing else: what any process between would add here."""
+async def running_relay(port: int) -> AsyncIterator[tuple[str, int]]:
+    """A process that only forwards bytes: the latency that any intermediate process adds here."""
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        RELAY,
+        RELAY_PROGRAM,
         str(port),
         stdout=asyncio.subprocess.PIPE,
         start_new_session=True,
-        preexec_fn=_die_with_us,
+        preexec_fn=_kill_with_parent,
     )
     try:
         assert proc.stdout is not None
-        yield "127.0.0.1", int(await asyncio.wait_for(proc.stdout.readline(), START))
+        yield "127.0.0.1", int(await asyncio.wait_for(proc.stdout.readline(), START_TIMEOUT_S))
     finally:
         proc.kill()
         await proc.wait()
@@ -262,50 +275,52 @@
 
 
 class ListService:
-    """The list service: every watch is told that nothing has changed, then what `tell` is given."""
+    """Stand-in list service: each watch first receives `first_line`, then what `send_update` sends."""
 
     def __init__(self) -> None:
         self.rev = 1
         self.calls = self.bytes = 0
         self.watches: list[asyncio.StreamWriter] = []
-        self.first: bytes = b""  # in place of "nothing has changed": a whole list
+        self.first_line: bytes = b""  # sent in place of an update without changes, such as a full list
         self.server: asyncio.Server | None = None
-        self.at = ""
+        self.address = ""
 
     async def start(self) -> ListService:
-        self.server = await asyncio.start_server(self._call, "127.0.0.1", 0)
-        self.at = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
+        self.server = await asyncio.start_server(self._serve_call, "127.0.0.1", 0)
+        self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
-    async def _call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
             writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
             )
-            self._chunk(writer, (self.first or msgspec.json.encode({"rev": self.rev, "targets": []})) + b"\n")
+            self._write_chunk(
+                writer, (self.first_line or msgspec.json.encode({"rev": self.rev, "targets": []})) + b"\n"
+            )
             self.watches.append(writer)
             while not writer.is_closing():
                 await asyncio.sleep(2.0)
-                self._chunk(writer, b"\n")
+                self._write_chunk(writer, b"\n")
                 await writer.drain()
 
-    def _chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    def _write_chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
         self.bytes += len(data)
 
-    def tell(self, targets: list[dict[str, Any]]) -> int:
-        """A change; its bytes on each watch."""
+    def send_update(self, targets: list[dict[str, Any]]) -> int:
+        """Sends a change to all watches; returns its size in bytes."""
         self.rev += 1
         line = msgspec.json.encode({"rev": self.rev, "targets": targets}) + b"\n"
         for writer in self.watches:
             if not writer.is_closing():
-                self._chunk(writer, line)
+                self._write_chunk(writer, line)
         return len(line)
 
-    async def watched(self, most: float = 60.0) -> None:
-        ends = monotonic() + most
+    async def wait_for_watch(self, timeout_s: float = 60.0) -> None:
+        ends = monotonic() + timeout_s
         while not self.watches:
             if monotonic() > ends:
                 raise ScaleError("no watch was opened")
@@ -318,36 +333,36 @@
             self.server.close()
 
 
-class _Hollow(asyncio.Protocol):
-    """A link of a hollow member: says hello, tells all once, answers asks."""
+class _SimulatedMemberLink(asyncio.Protocol):
+    """A link of a simulated member: sends hello and one full state sync, acknowledges pings."""
 
-    def __init__(self, bank: HollowBank, name: str = "") -> None:
+    def __init__(self, bank: SimulatedBank, name: str = "") -> None:
         self.bank, self.name = bank, name
-        self.dials = bool(name)
+        self.outgoing = bool(name)
         self.transport: Any = None
         self.up = False
         self._reader = Reader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        if self.dials:
+        if self.outgoing:
             self.write(Hello(bank="scale", me=self.bank.entries[self.name], to="n0"))
 
     def write(self, message: Message) -> None:
         if self.transport is not None and not self.transport.is_closing():
             data = encode(message)
-            self.bank.said += 1
-            self.bank.said_bytes += len(data)
+            self.bank.sent_messages += 1
+            self.bank.sent_bytes += len(data)
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.bank.heard_bytes += len(data)
+        self.bank.received_bytes += len(data)
         for message in self._reader.feed(data):
-            self.bank.heard += 1
+            self.bank.received_messages += 1
             if isinstance(message, Hello):
-                if not self.dials:
+                if not self.outgoing:
                     self.name = message.to
-                    if self.name in self.bank.gone or self.name not in self.bank.entries:
+                    if self.name in self.bank.lost or self.name not in self.bank.entries:
                         self.transport.abort()
                         return
                     self.write(Hello(bank="scale", me=self.bank.entries[self.name], to=""))
@@ -357,7 +372,7 @@
             elif isinstance(message, Ask):
                 self.write(Here(number=message.number))
             elif isinstance(message, Whole):
-                self.bank.wholes += 1
+                self.bank.full_syncs += 1
                 if message.wanted:
                     self.write(Whole(news=list(self.bank.entries.values())))
 
@@ -367,37 +382,43 @@
             del self.bank.links[self.name]
 
 
-class HollowBank:
-    """All members of a bank but one, behind one listener: the real frames, and no requests."""
+class SimulatedBank:
+    """All members of a bank but one, behind one listener, with real frames and without requests.
+
+    That one is the balancer under test.
+    """
 
     def __init__(self, count: int) -> None:
         self.count = count
         self.entries: dict[str, Entry] = {}
-        self.links: dict[str, _Hollow] = {}
-        self.gone: set[str] = set()
-        self.said = self.said_bytes = self.heard = self.heard_bytes = self.wholes = 0
+        self.links: dict[str, _SimulatedMemberLink] = {}
+        self.lost: set[str] = set()
+        self.sent_messages = self.sent_bytes = self.full_syncs = 0
+        self.received_messages = self.received_bytes = 0
         self._server: asyncio.Server | None = None
-        self._asking: asyncio.Task[None] | None = None
+        self._pinging: asyncio.Task[None] | None = None
 
-    async def start(self) -> HollowBank:
+    async def start(self) -> SimulatedBank:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Hollow(self), "127.0.0.1", 0, backlog=512)
-        self.at = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
-        begun = 1_700_000_000_000  # before that of the one
+        self._server = await loop.create_server(
+            lambda: _SimulatedMemberLink(self), "127.0.0.1", 0, backlog=512
+        )
+        self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
+        begun = 1_700_000_000_000  # Unix ms; before the start of the balancer under test
         self.entries = {
-            f"m{i}": Entry(f"m{i}", self.at, ZONES[i % len(ZONES)], begun + i, 0, ALIVE)
+            f"m{i}": Entry(f"m{i}", self.address, ZONES[i % len(ZONES)], begun + i, 0, ALIVE)
             for i in range(self.count)
         }
         return self
 
     async def dial(self, at: tuple[str, int]) -> None:
-        """As many open links to the one as have it for a neighbour, and ask it once a second."""
+        """Opens the links of members that have the balancer as a neighbour, each with a ping every second."""
         loop = asyncio.get_running_loop()
-        free = [n for n in self.entries if n not in self.links][-LINKS_IN:]
+        free = [n for n in self.entries if n not in self.links][-INBOUND_LINKS:]
         for name in free:
-            await loop.create_connection(lambda name=name: _Hollow(self, name), *at)  # type: ignore[misc]
+            await loop.create_connection(lambda name=name: _SimulatedMemberLink(self, name), *at)  # type: ignore[misc]
 
-        async def ask() -> None:
+        async def ping() -> None:
             number = 0
             while True:
                 number += 1
@@ -406,73 +427,78 @@
                         self.links[name].write(Ask(number=number))
                 await asyncio.sleep(1.0)
 
-        self._asking = asyncio.create_task(ask())
+        self._pinging = asyncio.create_task(ping())
 
-    def tell(self, *news: Entry) -> None:
-        """News over all links, as it comes when all pass it on."""
+    def gossip(self, *updates: Entry) -> None:
+        """Sends updates over all links, as when every member forwards them."""
         for link in list(self.links.values()):
-            link.write(Tell(news=list(news)))
+            link.write(Tell(news=list(updates)))
 
-    def counted(self) -> tuple[int, int]:
-        """Messages and bytes of the one, both ways."""
-        return self.said + self.heard, self.said_bytes + self.heard_bytes
+    def traffic(self) -> tuple[int, int]:
+        """Messages and bytes of the balancer under test, both ways."""
+        return self.sent_messages + self.received_messages, self.sent_bytes + self.received_bytes
 
     def close(self) -> None:
-        if self._asking is not None:
-            self._asking.cancel()
+        if self._pinging is not None:
+            self._pinging.cancel()
         if self._server is not None:
             self._server.close()
         for link in list(self.links.values()):
             link.transport.abort()
 
 
-class _Answers(asyncio.Protocol):
-    """An upstream that answers at once."""
+class _InstantUpstream(asyncio.Protocol):
+    """An upstream that answers immediately."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: Any = transport
-        self.rest = b""
+        self._buffer = b""
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        while b"\r\n\r\n" in self.rest:
-            _, _, self.rest = self.rest.partition(b"\r\n\r\n")
+        self._buffer += data
+        while b"\r\n\r\n" in self._buffer:
+            _, _, self._buffer = self._buffer.partition(b"\r\n\r\n")
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
 
 
-class _Caller(asyncio.Protocol):
-    """A client's connection: one request at a time."""
+class _ClientConnection(asyncio.Protocol):
+    """A client connection with one request at a time."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: Any = transport
-        self.rest = b""
-        self.due: asyncio.Future[bytes] | None = None
+        self._buffer = b""
+        self.answer: asyncio.Future[bytes] | None = None
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        head, found, body = self.rest.partition(b"\r\n\r\n")
-        if found and b"content-length: %d" % len(body) in head.lower() and self.due and not self.due.done():
-            self.rest = b""
-            self.due.set_result(head)
-
-
-async def latencies(at: tuple[str, int], rate: float, seconds: float) -> list[float]:
-    """Requests at a steady rate, spread over eight connections; ms of each that was answered with 200."""
+        self._buffer += data
+        head, found, body = self._buffer.partition(b"\r\n\r\n")
+        if (
+            found
+            and b"content-length: %d" % len(body) in head.lower()
+            and self.answer
+            and not self.answer.done()
+        ):
+            self._buffer = b""
+            self.answer.set_result(head)
+
+
+async def request_latencies_ms(at: tuple[str, int], rate: float, seconds: float) -> list[float]:
+    """Sends requests at a steady rate over eight connections; sorted latencies (ms) of the 200 answers."""
     loop = asyncio.get_running_loop()
-    callers = [(await loop.create_connection(_Caller, *at))[1] for _ in range(8)]
+    connections = [(await loop.create_connection(_ClientConnection, *at))[1] for _ in range(8)]
     found: list[float] = []
     calls: set[asyncio.Task[None]] = set()
-    free = list(callers)
+    free = list(connections)
 
-    async def one(caller: _Caller, number: int) -> None:
-        caller.due = loop.create_future()
+    async def one(connection: _ClientConnection, number: int) -> None:
+        connection.answer = loop.create_future()
         begun = monotonic()
-        caller.transport.write(b"GET /route-0/a HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\n\r\n" % number)
+        connection.transport.write(b"GET /route-0/a HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\n\r\n" % number)
         with suppress(TimeoutError):
-            head = await asyncio.wait_for(caller.due, 3.0)
+            head = await asyncio.wait_for(connection.answer, 3.0)
             if head.startswith(b"HTTP/1.1 200"):
                 found.append(1e3 * (monotonic() - begun))
-        free.append(caller)
+        free.append(connection)
 
     begin = monotonic()
     for number in range(int(rate * seconds)):
@@ -483,8 +509,8 @@
         calls.add(task)
         task.add_done_callback(calls.discard)
     await asyncio.gather(*calls)
-    for caller in callers:
-        caller.transport.abort()
+    for connection in connections:
+        connection.transport.abort()
     return sorted(found)
 
 
@@ -492,28 +518,29 @@
     return sorted_values[min(len(sorted_values) - 1, int(share * len(sorted_values)))]
 
 
-# what is measured
+# measurements
 
 
-Say = Callable[[str], None]
+Report = Callable[[str], None]
 Points = dict[str, list[tuple[float, float]]]
 
 
-class Found:
-    """Figures by the name of their slope."""
+class Measurements:
+    """Measured points (size, value) by slope name."""
 
-    def __init__(self, say: Say) -> None:
+    def __init__(self, report: Report) -> None:
         self.points: Points = {}
-        self.reference: list[float] = []  # ms of the fixed piece of work, before each step
-        self._say = say
+        # processor ms of the fixed piece of work, before each step and at the end
+        self.reference: list[float] = []
+        self._report = report
 
     def add(self, slope: str, size: float, value: float) -> None:
         self.points.setdefault(slope, []).append((size, value))
-        self._say(f"{slope} at {size:g}: {value:.4g}")
+        self._report(f"{slope} at {size:g}: {value:.4g}")
 
 
-def reference() -> float:
-    """Processor time of a fixed piece of work, ms."""
+def reference_work_ms() -> float:
+    """Processor time of a fixed piece of work in ms, the best of five."""
     best = 1e9
     for _ in range(5):
         begun = process_time()
@@ -524,30 +551,30 @@
     return best
 
 
-class _Nobody:
-    """A host that does nothing."""
+class _NullHost:
+    """A host that ignores all calls."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *args: None
 
 
-def ranked(count: int) -> tuple[float, float]:
-    """Processor time of one ranking, and of telling the whole list to a balancer, ms, with so many listed."""
+def measure_ranking(count: int) -> tuple[float, float]:
+    """Processor time (ms) of one ranking and of loading the full list, with `count` upstreams."""
     from ospreyline.decide import Balancer
     from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
 
     prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
     zones = len(ZONES)
-    terms = Deployment(
-        zone=0, zones=zones, balancers=bank(count), number=1, prefixes=(prefix,), ask_for_list=False
+    deployment = Deployment(
+        zone=0, zones=zones, balancers=bank_size(count), number=1, prefixes=(prefix,), ask_for_list=False
     )
-    balancer = Balancer(_Nobody(), terms, 7, 100_000.0)
+    balancer = Balancer(_NullHost(), deployment, 7, 100_000.0)
     lines = [Listed(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
     begun = process_time()
     balancer.told_all(100_000.0, lines)
-    told = 1e3 * (process_time() - begun)
+    full_list_ms = 1e3 * (process_time() - begun)
     gc.collect()
-    gc.freeze()  # as `serve` does after its start
+    gc.freeze()  # as `serve` does after startup
     times = max(3, min(200, 200_000 // count))
     best = 1e9
     for _ in range(3):
@@ -556,179 +583,191 @@
             balancer._rank(100_000.0 + i)
         best = min(best, 1e3 * (process_time() - begun) / times)
     gc.unfreeze()
-    return best, told
+    return best, full_list_ms
 
 
-async def by_upstreams(found: Found, folder: Path, count: int, seconds: float, rate: float) -> None:
-    """`serve` with so many upstreams listed."""
+async def measure_upstreams(
+    results: Measurements, folder: Path, count: int, seconds: float, rate: float
+) -> None:
+    """Measures `serve` with `count` upstreams in the list."""
     service = await ListService().start()
     loop = asyncio.get_running_loop()
-    upstream = await loop.create_server(_Answers, "0.0.0.0", 0, backlog=512)
+    upstream = await loop.create_server(_InstantUpstream, "0.0.0.0", 0, backlog=512)
     port = upstream.sockets[0].getsockname()[1]
     config = folder / "balancer.json"
-    found.add("list_bytes", count, len(listing(count, port)))
-    config.write_bytes(configuration(count, 2, service.at, port))
+    results.add("list_bytes", count, len(list_body(count, port)))
+    config.write_bytes(balancer_config(count, 2, service.address, port))
     try:
-        async with serving(config) as process:
-            found.add("start_cpu_s", count, process.cpu())
-            found.add("start_log_bytes", count, process.log_bytes)
-            await service.watched()
+        async with running_serve(config) as process:
+            results.add("start_cpu_s", count, process.cpu_s())
+            results.add("start_log_bytes", count, process.log_bytes)
+            await service.wait_for_watch()
             await asyncio.sleep(2.0)
-            found.add("serve_memory_mb", count, process.memory())
-            rest = await process.rest(seconds)
-            found.add("serve_cpu_pct", count, rest)
-            # what a change costs, on top of rest
-            saturated = rest > SATURATED  # guards: one that is busy all the time shows no more than that
-            before, at, changes, size = process.cpu(), monotonic(), 0, 0
+            results.add("serve_memory_mb", count, process.memory_mb())
+            idle_pct = await process.idle_cpu_pct(seconds)
+            results.add("serve_cpu_pct", count, idle_pct)
+            # cost of a change, above idle use
+            saturated = idle_pct > SATURATED_PCT  # a process that is always busy would show no further cost
+            before, at, changes, size = process.cpu_s(), monotonic(), 0, 0
             while monotonic() - at < seconds / 2:
-                size = service.tell([{**entry(changes % count, port), "boot_ms": changes + 1}])
+                size = service.send_update([{**list_entry(changes % count, port), "boot_ms": changes + 1}])
                 changes += 1
                 await asyncio.sleep(0.1 if count < 20_000 else 1.0)
             await asyncio.sleep(0.5)
-            used = process.cpu() - before - rest / 100 * (monotonic() - at)
+            used = process.cpu_s() - before - idle_pct / 100 * (monotonic() - at)
             if not saturated:
-                found.add("change_cpu_ms", count, max(0.0, 1e3 * used / changes))
-            found.add("change_bytes", count, size)
-            # what a reload costs
-            before, at = process.cpu(), monotonic()
+                results.add("change_cpu_ms", count, max(0.0, 1e3 * used / changes))
+            results.add("change_bytes", count, size)
+            # cost of a reload
+            before, at = process.cpu_s(), monotonic()
             config.write_bytes(config.read_bytes().replace(b'"Gain":1', b'"Gain":4'))
             process.proc.send_signal(signal.SIGHUP)
-            await process.until("reloaded")
+            await process.wait_for_event("reloaded")
             if not saturated:
-                found.add(
+                results.add(
                     "reload_cpu_ms",
                     count,
-                    max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))),
+                    max(0.0, 1e3 * (process.cpu_s() - before - idle_pct / 100 * (monotonic() - at))),
                 )
-            # what is added to a request
+            # latency added to a request
             if rate and count <= 50_000:
-                address = process.seen["serving"]["listen"].rpartition(":")
-                direct = await latencies(("127.0.0.1", port), rate, seconds / 2)
-                async with relaying(port) as relay:
-                    bare = await latencies(relay, rate, seconds / 2)
+                address = process.last_lines["serving"]["listen"].rpartition(":")
+                direct = await request_latencies_ms(("127.0.0.1", port), rate, seconds / 2)
+                async with running_relay(port) as relay:
+                    bare = await request_latencies_ms(relay, rate, seconds / 2)
                 at_balancer = address[0], int(address[2])
-                await latencies(at_balancer, rate, seconds / 2)  # connections stand, latencies are known
-                through = await latencies(at_balancer, rate, seconds)
+                # warm-up: opens connections and teaches the balancer the latencies
+                await request_latencies_ms(at_balancer, rate, seconds / 2)
+                through = await request_latencies_ms(at_balancer, rate, seconds)
                 if len(through) < 0.9 * int(rate * seconds):
-                    raise ScaleError(f"of {int(rate * seconds)} requests {len(through)} had a 200 within 3 s")
+                    raise ScaleError(
+                        f"{len(through)} of {int(rate * seconds)} requests were answered with 200 within 3 s"
+                    )
                 for name, share in (("added_p50_ms", 0.5), ("added_p99_ms", 0.99)):
-                    found.add(name, count, quantile(through, share) - quantile(direct, share))
-                found.add("relay_p99_ms", count, quantile(bare, 0.99) - quantile(direct, 0.99))
-                found.add("direct_p99_ms", count, quantile(direct, 0.99))
+                    results.add(name, count, quantile(through, share) - quantile(direct, share))
+                results.add("relay_p99_ms", count, quantile(bare, 0.99) - quantile(direct, 0.99))
+                results.add("direct_p99_ms", count, quantile(direct, 0.99))
     finally:
         upstream.close()
         service.close()
 
 
-async def by_whole_list(found: Found, folder: Path, count: int) -> None:
-    """Whether a list of so many, said in one line by the list service, is taken at all: 1 or 0."""
+async def measure_full_list(results: Measurements, folder: Path, count: int) -> None:
+    """Measures whether a full list of `count` upstreams in one line is accepted: 1 or 0."""
     service = await ListService().start()
-    service.first = listing(count).replace(b'"rev":1', b'"rev":2', 1)
+    service.first_line = list_body(count).replace(b'"rev":1', b'"rev":2', 1)
     config = folder / "whole.json"
-    config.write_bytes(configuration(1, 1, service.at))
+    config.write_bytes(balancer_config(1, 1, service.address))
     try:
-        async with serving(config) as process:
+        async with running_serve(config) as process:
             ends = monotonic() + 60.0
             taken = 0
             while monotonic() < ends:
                 await asyncio.sleep(0.25)
-                if process.seen.get("call to discovery failed", {}).get("why") == "a line without an end":
+                failure = process.last_lines.get("call to discovery failed", {})
+                if failure.get("why") == "a line without an end":
                     break
-                if process.times.get("upstream", 0) >= count:
+                if process.line_counts.get("upstream", 0) >= count:
                     taken = 1
                     break
-            found.add("whole_line_taken", count, taken)
+            results.add("whole_line_taken", count, taken)
     finally:
         service.close()
 
 
-async def by_routes(found: Found, folder: Path, count: int, seconds: float) -> None:
-    """`serve` with so many path prefixes."""
+async def measure_routes(results: Measurements, folder: Path, count: int, seconds: float) -> None:
+    """Measures `serve` with `count` path prefixes."""
     from ospreyline import facts
 
     service = await ListService().start()
     config = folder / "balancer.json"
-    text = configuration(100, count, service.at)
+    text = balancer_config(100, count, service.address)
     config.write_bytes(text)
-    found.add("routes_bytes", count, len(text) - len(configuration(100, 0, service.at)))
+    results.add("routes_bytes", count, len(text) - len(balancer_config(100, 0, service.address)))
     begun = process_time()
     facts.load(config, {})
-    found.add("routes_check_ms", count, 1e3 * (process_time() - begun))
+    results.add("routes_check_ms", count, 1e3 * (process_time() - begun))
     try:
-        async with serving(config) as process:
-            found.add("routes_start_cpu_s", count, process.cpu())
-            await service.watched()
+        async with running_serve(config) as process:
+            results.add("routes_start_cpu_s", count, process.cpu_s())
+            await service.wait_for_watch()
             await asyncio.sleep(2.0)
-            found.add("routes_memory_mb", count, process.memory())
-            rest = await process.rest(seconds)
-            found.add("routes_cpu_pct", count, rest)
-            before, at = process.cpu(), monotonic()
+            results.add("routes_memory_mb", count, process.memory_mb())
+            idle_pct = await process.idle_cpu_pct(seconds)
+            results.add("routes_cpu_pct", count, idle_pct)
+            before, at = process.cpu_s(), monotonic()
             config.write_bytes(text.replace(b'"Gain":1', b'"Gain":4', 1))
             process.proc.send_signal(signal.SIGHUP)
-            await process.until("reloaded")
-            found.add(
+            await process.wait_for_event("reloaded")
+            results.add(
                 "routes_reload_cpu_ms",
                 count,
-                max(0.0, 1e3 * (process.cpu() - before - rest / 100 * (monotonic() - at))),
+                max(0.0, 1e3 * (process.cpu_s() - before - idle_pct / 100 * (monotonic() - at))),
             )
     finally:
         service.close()
 
 
-async def by_members(
-    found: Found, folder: Path, count: int, seconds: float, settle: float = 12.0, losses: int = 8
+async def measure_members(
+    results: Measurements, folder: Path, count: int, seconds: float, settle: float = 12.0, losses: int = 8
 ) -> None:
-    """`serve` among so many members, all others hollow; some of those are lost."""
+    """Measures `serve` in a bank of `count` members, all others simulated; `losses` of them are lost."""
     service = await ListService().start()
-    bank = await HollowBank(count - 1).start()
+    bank = await SimulatedBank(count - 1).start()
     config, operator = folder / "balancer.json", folder / "operator.toml"
-    config.write_bytes(configuration(100, 2, service.at))
-    operator.write_text(f'[fleet]\nbank = "scale"\nlisten = "127.0.0.1:0"\npeers = ["m0={bank.at}"]\n')
+    config.write_bytes(balancer_config(100, 2, service.address))
+    operator.write_text(f'[fleet]\nbank = "scale"\nlisten = "127.0.0.1:0"\npeers = ["m0={bank.address}"]\n')
     try:
-        async with serving(config, operator, count) as process:
-            listens = (await process.until("fleet listens"))["listen"].rpartition(":")
-            await service.watched()
+        async with running_serve(config, operator, count) as process:
+            listens = (await process.wait_for_event("fleet listens"))["listen"].rpartition(":")
+            await service.wait_for_watch()
             await asyncio.sleep(3.0)
             await bank.dial((listens[0], int(listens[2])))
-            await asyncio.sleep(settle)  # what was dialled for its news alone is idle by then
-            messages, size = bank.counted()
-            found.add("members_start_bytes", count, size)
-            found.add("members_start_messages", count, messages)
-            found.add("members_memory_mb", count, process.memory())
-            found.add("members_kept", count, (await process.until("counts"))["fleet_of"])
+            await asyncio.sleep(settle)  # until links that were only dialled for a state sync are idle
+            messages, size = bank.traffic()
+            results.add("members_start_bytes", count, size)
+            results.add("members_start_messages", count, messages)
+            results.add("members_memory_mb", count, process.memory_mb())
+            results.add("members_kept", count, (await process.wait_for_event("counts"))["fleet_of"])
             at = monotonic()
-            found.add("members_cpu_pct", count, await process.rest(seconds))
-            span, now = monotonic() - at, bank.counted()
-            found.add("members_rest_messages_s", count, (now[0] - messages) / span)
-            found.add("members_rest_bytes_s", count, (now[1] - size) / span)
-            found.add("members_links", count, len(bank.links))
-            rest = found.points["members_cpu_pct"][-1][1]
-            rests = [found.points[f"members_rest_{what}_s"][-1][1] for what in ("messages", "bytes")]
-            # losses: suspected, then dead, as all who pass it on say it
+            results.add("members_cpu_pct", count, await process.idle_cpu_pct(seconds))
+            span, now = monotonic() - at, bank.traffic()
+            results.add("members_rest_messages_s", count, (now[0] - messages) / span)
+            results.add("members_rest_bytes_s", count, (now[1] - size) / span)
+            results.add("members_links", count, len(bank.links))
+            idle_pct = results.points["members_cpu_pct"][-1][1]
+            idle_rates = [results.points[f"members_rest_{what}_s"][-1][1] for what in ("messages", "bytes")]
+            # every link reports each lost member as suspect, then as dead
             lost = [e for n, e in bank.entries.items() if n not in bank.links and n != "m0"][:losses]
-            before, counted, at = process.cpu(), bank.counted(), monotonic()
+            before, counted, at = process.cpu_s(), bank.traffic(), monotonic()
             for state in (SUSPECT, DEAD):
                 for one in lost:
-                    bank.gone.add(one.name)
-                    bank.tell(Entry(one.name, one.address, one.zone, one.start, one.bumps, state))
+                    bank.lost.add(one.name)
+                    bank.gossip(Entry(one.name, one.address, one.zone, one.start, one.bumps, state))
                     await asyncio.sleep(0.25)
             await asyncio.sleep(0.5)
-            span, now = monotonic() - at, bank.counted()
-            found.add(
-                "loss_cpu_ms", count, max(0.0, 1e3 * (process.cpu() - before - rest / 100 * span) / len(lost))
+            span, now = monotonic() - at, bank.traffic()
+            results.add(
+                "loss_cpu_ms",
+                count,
+                max(0.0, 1e3 * (process.cpu_s() - before - idle_pct / 100 * span) / len(lost)),
+            )
+            results.add(
+                "loss_messages", count, max(0.0, (now[0] - counted[0] - idle_rates[0] * span) / len(lost))
+            )
+            results.add(
+                "loss_bytes", count, max(0.0, (now[1] - counted[1] - idle_rates[1] * span) / len(lost))
             )
-            found.add("loss_messages", count, max(0.0, (now[0] - counted[0] - rests[0] * span) / len(lost)))
-            found.add("loss_bytes", count, max(0.0, (now[1] - counted[1] - rests[1] * span) / len(lost)))
-            known = process.times.get("member", 0)
+            known = process.line_counts.get("member", 0)
             if known < len(lost):
-                raise ScaleError(f"{len(lost)} were lost, {known} were noticed")
+                raise ScaleError(f"{known} of {len(lost)} lost members were noticed")
     finally:
         bank.close()
         service.close()
 
 
-def by_calls(found: Found, count: int, per_s: float) -> None:
-    """Calls of so many balancers at the list service when all start at once: pure decisions and pace."""
+def measure_first_calls(results: Measurements, count: int, per_s: float) -> None:
+    """First list calls of `count` balancers that start at once, unpaced and paced; pure modules."""
 
     from ospreyline.decide import Balancer
     from ospreyline.fleet.pace import Pace
@@ -736,8 +775,8 @@
 
     prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
 
-    def most(times: list[float]) -> int:
-        """In any second."""
+    def most_in_one_second(times: list[float]) -> int:
+        """The most of these times (ms) within any one second."""
         times = sorted(times)
         first, best = 0, 0
         for last, at in enumerate(times):
@@ -746,9 +785,9 @@
             best = max(best, last - first + 1)
         return best
 
-    alone = []
+    unpaced_due = []
     for number in range(count):
-        terms = Deployment(
+        deployment = Deployment(
             zone=0,
             zones=3,
             balancers=count,
@@ -757,46 +796,47 @@
             ask_for_list=True,
             must_ask_in=10_000.0,
         )
-        alone.append(Balancer(_Nobody(), terms, number, 0.0)._asking.due)
-    found.add("calls_alone_most_s", count, most(alone))
-    paces = []
+        unpaced_due.append(Balancer(_NullHost(), deployment, number, 0.0)._asking.due)
+    results.add("calls_alone_most_s", count, most_in_one_second(unpaced_due))
+    pacers = []
     for number in range(count):
-        pace = Pace(number, count, per_s, 10_000.0)
-        pace.start(0.0)
-        paces.append(pace)
-    found.add("calls_paced_most_s", count, most([pace.due for pace in paces]))
-    found.add("calls_paced_window_s", count, max(pace.due for pace in paces) / 1e3)
+        pacer = Pace(number, count, per_s, 10_000.0)
+        pacer.start(0.0)
+        pacers.append(pacer)
+    results.add("calls_paced_most_s", count, most_in_one_second([pacer.due for pacer in pacers]))
+    results.add("calls_paced_window_s", count, max(pacer.due for pacer in pacers) / 1e3)
 
 
-def by_listeners(found: Found, count: int) -> None:
-    """Processor time of one who passes the list on, for each message to a listener: pure, frames encoded."""
+def measure_forwarding(results: Measurements, count: int) -> None:
+    """Processor time of a relay for each message to a subscribed listener; pure, with frames encoded."""
     from ospreyline.fleet import lists
     from ospreyline.fleet.frames import Listen
 
-    passes = lists.Lists("n0", "a", 1, lambda: 0.5, 0.0)
-    passes.members(0.0, [])
-    passes.tick(1_000.0)
-    body = msgspec.json.encode(entry(1))
-    passes.told(1_000.0, 1, True, [("svc-0-1", False, body)])
+    relay = lists.Lists("n0", "a", 1, lambda: 0.5, 0.0)
+    relay.members(0.0, [])
+    relay.tick(1_000.0)
+    body = msgspec.json.encode(list_entry(1))
+    relay.told(1_000.0, 1, True, [("svc-0-1", False, body)])
     for i in range(count):
-        passes.heard(1_000.0, f"m{i}", Listen(rev=1))
-    passes.out.clear()
+        relay.heard(1_000.0, f"m{i}", Listen(rev=1))
+    relay.out.clear()
     begun, messages, rev = process_time(), 0, 1
     for _ in range(max(2, 20_000 // count)):
         rev += 1
-        passes.told(1_000.0, rev, False, [("svc-0-1", False, body)])
-        messages += len(passes.out)
-        for _, message in passes.out:
+        relay.told(1_000.0, rev, False, [("svc-0-1", False, body)])
+        messages += len(relay.out)
+        for _, message in relay.out:
             encode(message)
-        passes.out.clear()
-    found.add("pass_on_cpu_us", count, 1e6 * (process_time() - begun) / max(1, messages))
-    found.add("pass_on_listeners", count, messages / max(2, 20_000 // count))
+        relay.out.clear()
+    results.add("pass_on_cpu_us", count, 1e6 * (process_time() - begun) / max(1, messages))
+    results.add("pass_on_listeners", count, messages / max(2, 20_000 // count))
 
 
 PARTS = ("rank", "upstreams", "whole", "routes", "members", "calls", "pass")
 
 
 def steps(sizes: dict[str, tuple[int, ...]], parts: tuple[str, ...]) -> Iterator[tuple[str, int]]:
+    """Each part with each of its sizes."""
     by = {
         "rank": "upstreams",
         "whole": "upstreams",
@@ -817,31 +857,31 @@
     seconds: float,
     rate: float,
     calls_per_s: float,
-    say: Say,
+    report: Report,
     step: Callable[[str], None],
-) -> Found:
-    """All slopes, by name: (size, value)."""
-    found = Found(say)
+) -> Measurements:
+    """Measures all parts at their sizes; `report` gets each value, `step` the name of each step."""
+    results = Measurements(report)
     with tempfile.TemporaryDirectory(prefix="ospreyline-scale-") as name:
         folder = Path(name)
         for part, size in steps(sizes, parts):
             step(f"{part} {size:,}")
-            found.reference.append(reference())
+            results.reference.append(reference_work_ms())
             if part == "rank":
-                best, told = ranked(size)
-                found.add("rank_ms", size, best)
-                found.add("told_whole_ms", size, told)
+                best, full_list_ms = measure_ranking(size)
+                results.add("rank_ms", size, best)
+                results.add("told_whole_ms", size, full_list_ms)
             elif part == "upstreams":
-                await by_upstreams(found, folder, size, seconds, rate)
+                await measure_upstreams(results, folder, size, seconds, rate)
             elif part == "whole":
-                await by_whole_list(found, folder, size)
+                await measure_full_list(results, folder, size)
             elif part == "routes":
-                await by_routes(found, folder, size, seconds)
+                await measure_routes(results, folder, size, seconds)
             elif part == "members":
-                await by_members(found, folder, size, seconds)
+                await measure_members(results, folder, size, seconds)
             elif part == "calls":
-                by_calls(found, size, calls_per_s)
+                measure_first_calls(results, size, calls_per_s)
             else:
-                by_listeners(found, size)
-    found.reference.append(reference())
-    return found
+                measure_forwarding(results, size)
+    results.reference.append(reference_work_ms())
+    return results
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -94,19 +94,19 @@
 
     monkeypatch.setattr(facts, "_facts", counting)
     Counted.compared = 0
-    post = facts.post(scale.configuration(1, size, "127.0.0.1:1"), {})
+    post = facts.post(scale.balancer_config(1, size, "127.0.0.1:1"), {})
     assert len(post.prefix_names) == size
     assert Counted.compared <= size
 
 
 def test_a_name_that_is_there_twice_is_refused_with_its_place():
-    text = scale.configuration(1, 50, "127.0.0.1:1").replace(b'"route-31"', b'"route-7"')
+    text = scale.balancer_config(1, 50, "127.0.0.1:1").replace(b'"route-31"', b'"route-7"')
     with pytest.raises(facts.FactError, match=r"PathPrefixes\[31\]\.Name: 'route-7'"):
         facts.post(text, {})
 
 
 def test_the_list_grows_by_a_hundred_bytes_an_upstream_and_its_line_is_bounded():
-    sizes = [len(scale.listing(size)) for size in SIZES]
+    sizes = [len(scale.list_body(size)) for size in SIZES]
     assert all(100 <= size / count <= 115 for size, count in zip(sizes, SIZES, strict=True))
     stopped = []
     owner = SimpleNamespace(
@@ -124,7 +124,7 @@
     lists = Lists("n0", "a", 1, lambda: 0.5, 0.0)
     lists.members(0.0, [])
     lists.tick(1_000.0)
-    bodies = [(f"u{i}", False, msgspec.json.encode(scale.entry(i))) for i in range(entries)]
+    bodies = [(f"u{i}", False, msgspec.json.encode(scale.list_entry(i))) for i in range(entries)]
     lists.told(1_000.0, 1, True, bodies)
     for i in range(listeners):
         lists.heard(1_000.0, f"m{i}", Listen(rev=1))
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize(("entries", "read"), [(1_000, True), (5_000, True), (20_000, False)])
 def test_a_whole_list_is_passed_on_up_to_what_a_frame_may_hold(entries, read):
-    targets = [msgspec.json.encode(scale.entry(i)) for i in range(entries)]
+    targets = [msgspec.json.encode(scale.list_entry(i)) for i in range(entries)]
     frame = encode(Passed(rev=1, since=-1, targets=targets, age=0.0))
     assert (len(frame) <= MOST) is read
     if read:
@@ -182,9 +182,9 @@
 
 
 def test_first_calls_grow_with_the_bank_unless_they_are_paced():
-    found = scale.Found(lambda text: None)
+    found = scale.Measurements(lambda text: None)
     for count in (70, 700, 2_800):
-        scale.by_calls(found, count, 200.0)
+        scale.measure_first_calls(found, count, 200.0)
     alone = [most for _, most in found.points["calls_alone_most_s"]]
     paced = [most for _, most in found.points["calls_paced_most_s"]]
     assert alone[2] > 3.5 * alone[1] > 3.5 * alone[0]
@@ -234,11 +234,11 @@
 
 
 def test_a_serve_process_is_measured_beside_hollow_stand_ins(tmp_path):
-    found = scale.Found(lambda text: None)
+    found = scale.Measurements(lambda text: None)
 
     async def run():
-        await scale.by_upstreams(found, tmp_path, 50, 0.5, 0.0)
-        await scale.by_members(found, tmp_path, 30, 0.5, settle=1.0, losses=1)
+        await scale.measure_upstreams(found, tmp_path, 50, 0.5, 0.0)
+        await scale.measure_members(found, tmp_path, 30, 0.5, settle=1.0, losses=1)
 
     asyncio.run(run())
     values = {name: points[0][1] for name, points in found.points.items()}
