--- a/tests/test_rig_clients.py
+++ b/tests/test_rig_clients.py
@@ -1,4 +1,4 @@
-"""The rig's clients without processes: what they note of a try is what came."""
+"""The rig's clients without processes: the row of a try matches the answer that arrived."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from test_rig_runs import tree
 
 from ospreyline.rig import scenario
-from ospreyline.rig.clients import MOST_IDLE, Clients, Conn, Try, Want
+from ospreyline.rig.clients import MAX_IDLE_CONNECTIONS, ClientConnection, ClientRequest, Clients, Try
 
 
-class Bench:
-    """A worker, and the clients' connections to the first of three balancers."""
+class ClientsUnderTest:
+    """A fake worker, and the clients' connections to the first of three balancers."""
 
     def __init__(self) -> None:
         self.tries: list[dict[str, Any]] = []
@@ -36,26 +36,30 @@
         if kind == "try":
             self.tries.append(values)
 
-    def answered(self) -> Conn:
-        """A connection that has carried one try and its answer."""
-        conn, id_ = Conn(self.clients, 0), f"v{len(self.tries)}"
-        transport = SimpleNamespace(abort=lambda: conn.connection_lost(None), close=lambda: None)
-        conn.connection_made(transport)  # type: ignore[arg-type]
-        attempt = Try(Want(1, 0, 0, 1.0, 900.0, 2_000.0), id_, 0, 500.0)
-        attempt.sent, attempt.conn, conn.attempt = 990.0, conn, attempt
-        conn.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b " % (len(id_) + 1, id_.encode()))
-        return conn
+    def answered_connection(self) -> ClientConnection:
+        """A connection that has carried one try and received its answer."""
+        connection, id_ = ClientConnection(self.clients, 0), f"v{len(self.tries)}"
+        transport = SimpleNamespace(abort=lambda: connection.connection_lost(None), close=lambda: None)
+        connection.connection_made(transport)  # type: ignore[arg-type]
+        attempt = Try(ClientRequest(1, 0, 0, 1.0, 900.0, 2_000.0), id_, 0, 500.0)
+        attempt.sent, attempt.connection, connection.attempt = 990.0, connection, attempt
+        connection.data_received(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b " % (len(id_) + 1, id_.encode())
+        )
+        return connection
 
 
-@pytest.mark.parametrize("closed", [[], [0], [0, 1], list(range(MOST_IDLE))], ids=len)
+@pytest.mark.parametrize("closed", [[], [0], [0, 1], list(range(MAX_IDLE_CONNECTIONS))], ids=len)
 def test_an_answer_counts_whatever_has_become_of_the_oldest_kept_connection(closed):
-    # a fault over one that had closed was taken for an answer that cannot be read, and the try that had just
-    # been answered was never over: at the end of its time it was noted as unanswered
-    bench = Bench()
-    kept = [bench.answered() for _ in range(MOST_IDLE)]
+    # An error at a pooled connection that had closed was taken for an unreadable answer; the try that had
+    # just been answered never finished and was recorded as unanswered at its timeout.
+    rig = ClientsUnderTest()
+    pooled = [rig.answered_connection() for _ in range(MAX_IDLE_CONNECTIONS)]
     for number in closed:
-        kept[number].connection_lost(None)
+        pooled[number].connection_lost(None)
     for _ in range(3):
-        bench.answered()
-    assert [(row["how"], row["status"]) for row in bench.tries] == [("answer", 200)] * (MOST_IDLE + 3)
-    assert len(bench.clients._pools[0]) <= MOST_IDLE
+        rig.answered_connection()
+    assert [(row["how"], row["status"]) for row in rig.tries] == [("answer", 200)] * (
+        MAX_IDLE_CONNECTIONS + 3
+    )
+    assert len(rig.clients._pools[0]) <= MAX_IDLE_CONNECTIONS
