--- a/ospreyline/rig/upstreams.py
+++ b/ospreyline/rig/upstreams.py
@@ -1,8 +1,8 @@
-"""Stand-in upstreams: the laboratory's model of a server on the real clock, behind HTTP on a real socket.
+"""Stand-in upstreams: the simulator's server model on the real clock, behind HTTP on a real socket.
 
-Drawn service times, cold start and warming, tipping over, crowding, connection limits, handshakes that cost
-and load reports are the model's (`lab/servers.py`). The work of a request comes with it (`X-Work`, ms of a
-core at speed 1), so that a repeat costs what the first try did.
+The model (`lab/servers.py`) provides random service times, cold start and warm-up, overload while cold,
+slowdown over capacity, connection limits, handshake costs and load reports. A request states its own work
+(`X-Work`, ms of a core at speed 1), so that a retry costs as much as the first try.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from ospreyline.lab.servers import Job, Server
 from ospreyline.rig.worker import Clock, Worker
 
-LINGER = struct.pack("ii", 1, 0)
-OWN_PATHS = {"/health/live", "/stats"}
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER value: on, 0 s
+PROBE_PATHS = {"/health/live", "/stats"}
 
 
 class Connection(asyncio.Protocol):
-    """One connection to an upstream; one request at a time."""
+    """One connection to an upstream, with one request at a time."""
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
         self.transport: Any = None
-        self.fresh = True  # its handshake is still to be paid for
+        self.handshake_due = True  # the cost of its handshake is charged with the first request
         self.job: Job | None = None
         self.waiting = False
         self._parser: Any = httptools.HttpRequestParser(self)
@@ -40,11 +40,11 @@
 
     def _clear(self) -> None:
         self._path = b""
-        self._fields: dict[bytes, bytes] = {}
+        self._headers: dict[bytes, bytes] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.upstream.joined(self)
+        self.upstream.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         self.upstream.clock.tick()
@@ -58,7 +58,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.upstream.clock.tick()
-        self.upstream.left(self)
+        self.upstream.connection_closed(self)
         if self.job is not None:
             self.upstream.server.cancel(self.job)
             self.job = None
@@ -67,20 +67,20 @@
         self._path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._fields[name.lower()] = value
+        self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
         path = self._path.split(b"?")[0].decode("latin-1")
-        if path in OWN_PATHS:
-            self.upstream.probed(self, path)
+        if path in PROBE_PATHS:
+            self.upstream.answer_probe(self, path)
         else:
-            self.upstream.asked(self, path, self._fields)
+            self.upstream.handle_request(self, path, self._headers)
         self._clear()
 
-    def answer(self, status: int, body: bytes, fields: bytes = b"", close: bool = False) -> None:
+    def answer(self, status: int, body: bytes, headers: bytes = b"", close: bool = False) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        words = {
+        reasons = {
             200: b"OK",
             400: b"Bad Request",
             404: b"Not Found",
@@ -89,14 +89,14 @@
         }
         self.transport.write(
             b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b"
-            % (status, words[status], fields, b"Connection: close\r\n" if close else b"", len(body), body)
+            % (status, reasons[status], headers, b"Connection: close\r\n" if close else b"", len(body), body)
         )
         if close:
             self.transport.close()
 
 
 class Upstream:
-    """One machine: its model, its address, its connections."""
+    """One upstream machine: server model, address and open connections."""
 
     def __init__(
         self,
@@ -113,122 +113,129 @@
         self.index = index
         self.uid = uid
         self.clock = owner.worker.clock
-        self.at = (listen, 0)
+        self.address = (listen, 0)
         self.draw = Random(owner.worker.seed * 1009 + index).random
         self.server = Server(self.clock, group, index, zone, 0, speed, slower, self.draw)
-        self.server.fall = self.fell
-        self.open: dict[Connection, None] = {}
+        self.server.fall = self.on_overload
+        self.connections: dict[Connection, None] = {}
         self.stop_pauses: list[Any] = []
         self._listening: asyncio.Server | None = None
-        self.errors = 0.0
-        self.mute = 0
+        self.error_share = 0.0
+        self.mute_faults = 0
 
     async def listen(self) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
-        sock.bind(self.at)
-        self.at = sock.getsockname()
+        sock.bind(self.address)
+        self.address = sock.getsockname()
         self._listening = await self.owner.worker.loop.create_server(
             lambda: Connection(self), sock=sock, backlog=512
         )
 
-    def start(self, warm: bool) -> None:
-        """A process begins on this machine."""
+    def start_process(self, warm: bool) -> None:
+        """Starts a process on this machine."""
         self.server.start(warm=warm)
         self.owner.worker.row("started", u=self.index, inc=self.server.incarnation, warm=warm)
 
-    def die(self) -> None:
-        """The process is gone: connections are reset, new ones refused."""
+    def kill_process(self) -> None:
+        """Ends the process: connections are reset and new ones refused."""
         if self._listening is not None:
             self._listening.close()
             self._listening = None
-        for conn in list(self.open):
-            conn.job = None  # the model drops it with the process
-            sock = conn.transport.get_extra_info("socket")
+        for connection in list(self.connections):
+            connection.job = None  # the model discards it with the process
+            sock = connection.transport.get_extra_info("socket")
             if sock is not None:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
-            conn.transport.abort()
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            connection.transport.abort()
         if self.server.up:
-            self.server.stop(vanish=True)  # nobody is told job by job: the connections tell
+            self.server.stop(vanish=True)  # no callback for each job: the resets inform the clients
         self.owner.worker.row("died", u=self.index)
 
-    def fell(self, server: Server) -> None:
-        """Pushed over while cold."""
+    def on_overload(self, server: Server) -> None:
+        """Overloaded while cold: the process ends."""
         self.owner.worker.row("fell", u=self.index)
-        self.die()
+        self.kill_process()
         self.owner.worker.say("fell", u=self.index)
 
-    def joined(self, conn: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
         self.clock.tick()
-        self.open[conn] = None
+        self.connections[connection] = None
         self.owner.worker.row("handshake", u=self.index)
 
-    def left(self, conn: Connection) -> None:
-        self.open.pop(conn, None)
+    def connection_closed(self, connection: Connection) -> None:
+        self.connections.pop(connection, None)
 
     def report(self) -> bytes:
-        fields, server = self.owner.fields, self.server
+        """The load report header, or nothing."""
+        fields, server = self.owner.report_fields, self.server
         if not fields:
             return b""
-        have = {
+        values = {
             "in-flight": f"inflight={server.held}",
             "queue": f"queue={max(0.0, server.held - server.cores):g}",
             "util": f"util={min(1.0, server.held / server.cores):.3f}",
         }
         return (
-            "Endpoint-Load-Metrics: TEXT " + ", ".join(have[f] for f in fields if f in have) + "\r\n"
+            "Endpoint-Load-Metrics: TEXT " + ", ".join(values[f] for f in fields if f in values) + "\r\n"
         ).encode()
 
-    def probed(self, conn: Connection, path: str) -> None:
-        if not self.mute:
+    def answer_probe(self, connection: Connection, path: str) -> None:
+        if not self.mute_faults:
             self.owner.worker.row("probe", u=self.index)
-            conn.answer(200, b"", self.report())
+            connection.answer(200, b"", self.report())
 
-    def asked(self, conn: Connection, path: str, fields: dict[bytes, bytes]) -> None:
-        """A request has come whole."""
-        trace = fields.get(b"x-trace-id", b"").decode("latin-1")
+    def handle_request(self, connection: Connection, path: str, headers: dict[bytes, bytes]) -> None:
+        """Handles a complete request."""
+        trace = headers.get(b"x-trace-id", b"").decode("latin-1")
         server = self.server
         try:
-            work = float(fields.get(b"x-work", b"")) if b"x-work" in fields else self.owner.work
+            work = float(headers.get(b"x-work", b"")) if b"x-work" in headers else self.owner.default_work_ms
         except ValueError:
-            work = self.owner.work
+            work = self.owner.default_work_ms
         row = {
             "u": self.index,
             "inc": server.incarnation,
             "id": trace,
             "work": round(work, 3),
-            "key": fields.get(b"idempotency-key", b"").decode("latin-1"),
+            "key": headers.get(b"idempotency-key", b"").decode("latin-1"),
         }
-        if not server.up or self.mute:
+        if not server.up or self.mute_faults:
             self.owner.worker.row("muted", **row)
             return
-        fresh, conn.fresh = conn.fresh, False
-        full = server.group.connections and len(self.open) > server.group.connections
-        job = Job(work, 0.0, 0, self.clock.now + 60_000.0, lambda well: self.done(conn, job, trace, well))
-        if self.errors and self.draw() < self.errors:
+        handshake_due, connection.handshake_due = connection.handshake_due, False
+        full = server.group.connections and len(self.connections) > server.group.connections
+        job = Job(
+            work,
+            0.0,
+            0,
+            self.clock.now + 60_000.0,
+            lambda succeeded: self.finish_request(connection, job, trace, succeeded),
+        )
+        if self.error_share and self.draw() < self.error_share:
             self.owner.worker.row("arrived", took=True, **row)
             self.owner.worker.row("ran", u=self.index, id=trace)
-            conn.answer(500, b"error", self.report())
+            connection.answer(500, b"error", self.report())
             return
-        conn.job = job
-        took = not full and server.arrive(job, fresh, 0)
+        connection.job = job
+        took = not full and server.arrive(job, handshake_due, 0)
         if not server.up:
-            return  # that was one too many
+            return  # this request overloaded it
         self.owner.worker.row("arrived", took=took, **row)
         if not took:
-            conn.job = None
-            conn.answer(503, b"full", b"X-Never-Ran: 1\r\n" + self.report())
+            connection.job = None
+            connection.answer(503, b"full", b"X-Never-Ran: 1\r\n" + self.report())
 
-    def done(self, conn: Connection, job: Job, trace: str, well: bool | None) -> None:
-        conn.job = None
-        if well is None:
+    def finish_request(self, connection: Connection, job: Job, trace: str, succeeded: bool | None) -> None:
+        connection.job = None
+        if succeeded is None:
             return
         self.owner.worker.row("ran", u=self.index, id=trace)
-        if well:
-            conn.answer(200, f"{trace} {self.uid}".encode(), self.report())
+        if succeeded:
+            connection.answer(200, f"{trace} {self.uid}".encode(), self.report())
         else:
-            conn.answer(500, b"error", self.report())
+            connection.answer(500, b"error", self.report())
 
 
 class Upstreams:
@@ -236,8 +243,8 @@
 
     def __init__(self, worker: Worker, setup: dict[str, Any]) -> None:
         self.worker = worker
-        self.fields: list[str] = setup["fields"]
-        self.work = 1.0  # ms, of a request that brings none
+        self.report_fields: list[str] = setup["fields"]
+        self.default_work_ms = 1.0  # of a request without X-Work
         self.upstreams = {
             one["index"]: Upstream(
                 self,
@@ -255,33 +262,33 @@
     async def begin(self) -> None:
         for upstream in self.upstreams.values():
             await upstream.listen()
-            upstream.start(warm=True)
+            upstream.start_process(warm=True)
             group = upstream.server.group
             if group.pause_every_ms:
                 upstream.server.pauses(group.pause_every_ms, group.pause_ms, upstream.draw)
-        self.worker.say("listening", at={str(i): u.at for i, u in self.upstreams.items()})
+        self.worker.say("listening", at={str(i): u.address for i, u in self.upstreams.items()})
 
     async def told(self, order: dict[str, Any]) -> None:
         for index in order["of"]:
-            await self._one(self.upstreams[index], order)
+            await self._apply_order(self.upstreams[index], order)
         self.worker.say("done", order=order["order"])
 
-    async def _one(self, upstream: Upstream, order: dict[str, Any]) -> None:
+    async def _apply_order(self, upstream: Upstream, order: dict[str, Any]) -> None:
         server, do, size, on = upstream.server, order["do"], order.get("size", 0.0), order.get("on", 1)
         if do == "die":
-            upstream.die()
+            upstream.kill_process()
         elif do == "start" and not server.up:
             await upstream.listen()
-            upstream.start(warm=order.get("warm", False))
+            upstream.start_process(warm=order.get("warm", False))
         elif do == "drain":
             server.draining = bool(on)
         elif do == "slow":
             server.slow *= size if on > 0 else 1 / size
             server.changed()
         elif do == "errors":
-            upstream.errors = max(0.0, upstream.errors + on * size)
+            upstream.error_share = max(0.0, upstream.error_share + on * size)
         elif do == "mute":
-            upstream.mute += on
+            upstream.mute_faults += on
         elif do == "pause":
             if on > 0:
                 upstream.stop_pauses.append(server.pauses(order["extra"], size, upstream.draw))
@@ -290,15 +297,15 @@
 
     async def end(self) -> None:
         for upstream in self.upstreams.values():
-            upstream.die()
+            upstream.kill_process()
 
 
 def make(worker: Worker, setup: dict[str, Any]) -> Upstreams:
     return Upstreams(worker, setup)
 
 
-class _Alone:
-    """What a worker gives, for an upstream that no rig keeps."""
+class _StandaloneWorker:
+    """Replaces the worker for an upstream outside a rig run."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -312,14 +319,17 @@
         pass
 
 
-async def alone(at: tuple[str, int], work: float, said: Callable[[tuple[str, int]], None]) -> None:
-    """One warm upstream at an address until it is cancelled; `work` in ms where a request brings none."""
-    worker: Any = _Alone(asyncio.get_running_loop())
+async def alone(at: tuple[str, int], work: float, listening: Callable[[tuple[str, int]], None]) -> None:
+    """Serves one warm upstream until cancelled; `work` is the ms of a request without X-Work.
+
+    `listening` is called with the bound address.
+    """
+    worker: Any = _StandaloneWorker(asyncio.get_running_loop())
     owner = Upstreams(worker, {"fields": [], "upstreams": []})
-    owner.work = work
+    owner.default_work_ms = work
     upstream = Upstream(owner, 0, "s-0-1", at[0], Group(), 0, 1.0, 1.0)
-    upstream.at = at
+    upstream.address = at
     await upstream.listen()
-    upstream.start(warm=True)
-    said(upstream.at)
+    upstream.start_process(warm=True)
+    listening(upstream.address)
     await asyncio.Event().wait()
