--- a/ospreyline/rig/hollow.py
+++ b/ospreyline/rig/hollow.py
@@ -1,7 +1,7 @@
-"""`ospreyline rig scale scopes`: hollow balancers, fan-out machines and a source, at the size of the plan.
+"""`ospreyline rig scale scopes`: simulated balancers, fan-out machines and a source, at the planned size.
 
-This side starts the processes (`ospreyline.fleet.hollow`), gives the orders of a phase, and judges by what
-the source says that it changed and what each balancer says that it took. It knows nothing of the protocol.
+This side starts the processes (`ospreyline.fleet.hollow`), sends the commands of each phase, and evaluates
+what the source reports as changed and what each balancer reports as received. It does not use the protocol.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 import msgspec
 
 ROOT = Path(__file__).parent.parent.parent
-ALLOWED = 4_000.0  # ms from a change to in force
-OF_A_PROCESS = 500  # hollow balancers
+IN_FORCE_LIMIT_MS = 4_000.0  # allowed from a change to in force
+SUBSCRIBERS_PER_PROCESS = 500  # simulated balancers
 REGIONS = 5
 STEPS = ("steady", "stopped", "killed", "zone", "restart", "region")
-LOAD_S = 150.0  # after which a run that is not loaded is given up
-END_S = 60.0
+LOAD_TIMEOUT_S = 150.0
+END_TIMEOUT_S = 60.0
 
 
 @dataclass(slots=True)
 class Plan:
-    """What is run."""
+    """Sizes, rates and durations of a run; its keys are passed to the processes and reported."""
 
     subscribers: int = 7_000
     fanouts: int = 20
     services: int = 6_700
     upstreams: int = 200_000
-    per: int = 12  # balancers of a service
+    per: int = 12  # balancers that serve a service
     seed: int = 1
     config_per_s: float = 59_000 / 86_400
     replaced_per_s: float = 77_000 / 86_400
@@ -45,28 +45,28 @@
     fault_s: float = 12.0
     restart_s: float = 60.0
     cut_s: float = 20.0
-    gone_after_s: float = 3.0  # from a drain to the end, and the one that comes in its place
-    of_a_process: int = OF_A_PROCESS
+    gone_after_s: float = 3.0  # from the drain of an upstream to its removal and replacement
+    of_a_process: int = SUBSCRIBERS_PER_PROCESS
 
 
-class HollowError(Exception):
-    """A run that could not be carried out; one line."""
+class SimulationError(Exception):
+    """A run could not be carried out; the message is one line."""
 
 
 class Process:
-    """One process of the run."""
+    """One process of the run, its commands and its reports."""
 
     def __init__(self, name: str, role: str) -> None:
         self.name, self.role = name, role
-        self.rows: list[dict[str, Any]] = []  # one a second
-        self.last: dict[str, Any] = {}
-        self.heard = asyncio.Event()
-        self.at: tuple[str, int] = ("", 0)
-        self.gone = False
+        self.rows: list[dict[str, Any]] = []  # status, one row a second
+        self.final_report: dict[str, Any] = {}
+        self.listens_or_ended = asyncio.Event()
+        self.address: tuple[str, int] = ("", 0)
+        self.has_ended = False
         self._proc: asyncio.subprocess.Process | None = None
         self._reader: asyncio.Task[None] | None = None
 
-    async def start(self, what: dict[str, Any]) -> None:
+    async def start(self, setup: dict[str, Any]) -> None:
         self._proc = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -77,7 +77,7 @@
             cwd=ROOT,
             start_new_session=True,
         )
-        self.order({"name": self.name, "role": self.role, **what})
+        self.order({"name": self.name, "role": self.role, **setup})
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
     async def _read(self) -> None:
@@ -87,23 +87,23 @@
             if "status" in said:
                 self.rows.append(said)
             elif "listens" in said:
-                self.at = (said["host"], said["port"])
-                self.heard.set()
+                self.address = (said["host"], said["port"])
+                self.listens_or_ended.set()
             else:
-                self.last = said
-        self.gone = True
-        self.heard.set()
+                self.final_report = said
+        self.has_ended = True
+        self.listens_or_ended.set()
 
-    def order(self, what: dict[str, Any]) -> None:
+    def order(self, command: dict[str, Any]) -> None:
         assert self._proc is not None and self._proc.stdin is not None
-        if not self.gone:
-            self._proc.stdin.write(msgspec.json.encode(what) + b"\n")
+        if not self.has_ended:
+            self._proc.stdin.write(msgspec.json.encode(command) + b"\n")
 
     def signal(self, number: int) -> None:
         if self._proc is not None and self._proc.returncode is None:
             self._proc.send_signal(number)
 
-    async def ended(self) -> None:
+    async def wait_until_ended(self) -> None:
         if self._reader is not None:
             await self._reader
 
@@ -114,22 +114,23 @@
 
 
 class Run:
-    """One run; `say` is told where it is."""
+    """One run; `report` is called with its progress."""
 
-    def __init__(self, plan: Plan, steps: list[str], say: Callable[[str], None]) -> None:
-        self.plan, self.steps, self.say = plan, steps, say
+    def __init__(self, plan: Plan, steps: list[str], report: Callable[[str], None]) -> None:
+        self.plan, self.steps, self.report = plan, steps, report
         self.source = Process("source", "source")
-        self.fans = [Process(f"f{i}", "fanout") for i in range(plan.fanouts)]
+        self.fanouts = [Process(f"f{i}", "fanout") for i in range(plan.fanouts)]
         self.regions = [f"region{i}" for i in range(min(REGIONS, plan.fanouts))]
-        self.subs: list[Process] = []
-        self.spans: list[tuple[str, float, float]] = []
-        self.loaded: dict[str, float] = {}
+        self.subscribers: list[Process] = []
+        self.phases: list[tuple[str, float, float]] = []  # name, begin, end (ms, monotonic)
+        self.load_times_s: dict[str, float] = {}
 
     @property
-    def all(self) -> list[Process]:
-        return [self.source, *self.fans, *self.subs]
+    def processes(self) -> list[Process]:
+        return [self.source, *self.fanouts, *self.subscribers]
 
     async def play(self) -> dict[str, Any]:
+        """Starts all processes, runs the steps and returns the figures."""
         try:
             await self._load()
             self.source.order({"changes": True})
@@ -137,11 +138,11 @@
                 await getattr(self, f"_{step}")()
             return await self._gather()
         finally:
-            for process in self.all:
+            for process in self.processes:
                 process.signal(signal.SIGCONT)
                 await process.close()
 
-    async def _begin(self, process: Process, what: dict[str, Any]) -> None:
+    async def _begin(self, process: Process, extra: dict[str, Any]) -> None:
         plan = asdict(self.plan)
         keys = (
             "services",
@@ -153,194 +154,200 @@
             "replaced_per_s",
             "gone_after_s",
         )
-        await process.start({**{key: plan[key] for key in keys}, **what})
+        await process.start({**{key: plan[key] for key in keys}, **extra})
 
     async def _load(self) -> None:
         begun = monotonic()
         await self._begin(self.source, {})
         await self._up([self.source])
-        at = [["source", *self.source.at]]
-        for i, fan in enumerate(self.fans):
-            await self._begin(fan, {"at": at, "number": i, "count": len(self.fans)})
-        await self._up(self.fans)
+        at = [["source", *self.source.address]]
+        for i, fan in enumerate(self.fanouts):
+            await self._begin(fan, {"at": at, "number": i, "count": len(self.fanouts)})
+        await self._up(self.fanouts)
         await self._until(
             "fan-out machines",
-            lambda: sum(bool(f.rows and f.rows[-1]["ready"]) for f in self.fans),
-            len(self.fans),
+            lambda: sum(bool(f.rows and f.rows[-1]["ready"]) for f in self.fanouts),
+            len(self.fanouts),
             begun,
         )
-        self.loaded["fanouts_s"] = monotonic() - begun
-        many = self.plan.of_a_process
-        publishers = [[f.name, self.regions[i % len(self.regions)]] for i, f in enumerate(self.fans)]
-        for first in range(0, self.plan.subscribers, many):
-            process = Process(f"p{first // many}", "subscribers")
-            self.subs.append(process)
+        self.load_times_s["fanouts_s"] = monotonic() - begun
+        batch = self.plan.of_a_process
+        publishers = [[f.name, self.regions[i % len(self.regions)]] for i, f in enumerate(self.fanouts)]
+        for first in range(0, self.plan.subscribers, batch):
+            process = Process(f"p{first // batch}", "subscribers")
+            self.subscribers.append(process)
             await self._begin(
                 process,
                 {
-                    "at": [[f.name, *f.at] for f in self.fans],
+                    "at": [[f.name, *f.address] for f in self.fanouts],
                     "publishers": publishers,
                     "zones": self.regions,
                     "first": first,
-                    "many": min(many, self.plan.subscribers - first),
+                    "many": min(batch, self.plan.subscribers - first),
                 },
             )
-        await self._up(self.subs)
+        await self._up(self.subscribers)
         await self._until("balancers", self._whole, self.plan.subscribers, begun)
-        self.loaded["all_s"] = monotonic() - begun
+        self.load_times_s["all_s"] = monotonic() - begun
 
     def _whole(self) -> int:
-        return sum(p.rows[-1]["whole"] for p in self.subs if p.rows)
+        """Number of subscribers that have received all their scopes."""
+        return sum(p.rows[-1]["whole"] for p in self.subscribers if p.rows)
 
     async def _up(self, processes: list[Process]) -> None:
-        async with asyncio.timeout(LOAD_S):
+        """Waits until all of them listen."""
+        async with asyncio.timeout(LOAD_TIMEOUT_S):
             for process in processes:
-                await process.heard.wait()
-                if process.gone:
-                    raise HollowError(f"{process.name} ended at its start")
+                await process.listens_or_ended.wait()
+                if process.has_ended:
+                    raise SimulationError(f"{process.name} ended during startup")
 
     async def _until(self, what: str, count: Callable[[], int], most: int, begun: float) -> None:
         while (found := count()) < most:
-            self.say(f"{what}: {found} of {most} have all, {monotonic() - begun:.0f} s")
-            if monotonic() - begun > LOAD_S:
-                raise HollowError(f"{what}: {found} of {most} had all after {LOAD_S:.0f} s")
+            self.report(f"{what}: {found} of {most} are complete, {monotonic() - begun:.0f} s")
+            if monotonic() - begun > LOAD_TIMEOUT_S:
+                raise SimulationError(
+                    f"{what}: only {found} of {most} were complete after {LOAD_TIMEOUT_S:.0f} s"
+                )
             await asyncio.sleep(0.2)
 
-    async def _phase(self, name: str, seconds: float, then: Callable[[], None] | None = None) -> None:
-        """So many seconds under this name; `then` is done once all know of it."""
-        for process in self.all:
+    async def _phase(self, name: str, seconds: float, at_start: Callable[[], None] | None = None) -> None:
+        """Runs a phase of so many seconds; `at_start` is called once all processes know its name."""
+        for process in self.processes:
             process.order({"phase": name})
         begun = monotonic()
-        if then is not None:
-            await asyncio.sleep(min(1.1, seconds / 4))  # each has said once how it stood before
-            then()
+        if at_start is not None:
+            await asyncio.sleep(min(1.1, seconds / 4))  # each has sent a status row before the action
+            at_start()
         while (left := begun + seconds - monotonic()) > 0:
-            self.say(f"{name}: {left:.0f} s left")
+            self.report(f"{name}: {left:.0f} s left")
             await asyncio.sleep(min(0.25, left))
-        self.spans.append((name, 1e3 * begun, 1e3 * monotonic()))
+        self.phases.append((name, 1e3 * begun, 1e3 * monotonic()))
 
     async def _steady(self) -> None:
         await self._phase("steady", self.plan.steady_s)
 
-    async def _without(self, name: str, lost: list[Process], number: int) -> None:
-        """Some are stopped or killed as the phase begins; what was stopped goes on after it, and is heard."""
+    async def _without(self, name: str, affected: list[Process], number: int) -> None:
+        """A phase in which some processes are stopped or killed by a signal, then one after they continue."""
 
-        def lose() -> None:
-            for process in lost:
+        def send_signals() -> None:
+            for process in affected:
                 process.signal(number)
 
-        await self._phase(name, self.plan.fault_s, lose)
-        for process in lost:
+        await self._phase(name, self.plan.fault_s, send_signals)
+        for process in affected:
             process.signal(signal.SIGCONT)
         await self._phase(f"after {name}", self.plan.fault_s / 2)
 
     async def _stopped(self) -> None:
-        await self._without("one stopped", self.fans[:1], signal.SIGSTOP)
+        await self._without("one stopped", self.fanouts[:1], signal.SIGSTOP)
 
     async def _zone(self) -> None:
-        """All fan-out machines of a region, without a word."""
-        await self._without("zone stopped", self.fans[1 :: len(self.regions)], signal.SIGSTOP)
+        """All fan-out machines of a region stop without notice."""
+        await self._without("zone stopped", self.fanouts[1 :: len(self.regions)], signal.SIGSTOP)
 
     async def _killed(self) -> None:
-        count = max(1, len(self.fans) // 5)
-        await self._without(f"{count} killed", self.fans[-count:], signal.SIGKILL)
+        count = max(1, len(self.fanouts) // 5)
+        await self._without(f"{count} killed", self.fanouts[-count:], signal.SIGKILL)
 
     async def _restart(self) -> None:
         def restart() -> None:
-            for process in self.subs:
+            for process in self.subscribers:
                 process.order({"restart_s": self.plan.restart_s})
 
         await self._phase("all restarted", self.plan.restart_s + 8.0, restart)
 
     async def _region(self) -> None:
-        """One region is cut off from all others and the source, then healed."""
+        """One region is partitioned from all others and the source, then reconnected."""
         cut = self.regions[2 % len(self.regions)]
-        inside = self.fans[2 % len(self.regions) :: len(self.regions)]
+        inside = self.fanouts[2 % len(self.regions) :: len(self.regions)]
 
-        def become(cut: str) -> None:
-            for process in [*inside, *self.subs]:
+        def set_cut(cut: str) -> None:
+            for process in [*inside, *self.subscribers]:
                 process.order({"cut": cut})
 
-        await self._phase("region cut", self.plan.cut_s, lambda: become(cut))
-        await self._phase("region healed", 12.0, lambda: become(""))
+        await self._phase("region cut", self.plan.cut_s, lambda: set_cut(cut))
+        await self._phase("region healed", 12.0, lambda: set_cut(""))
 
     def _at_rest(self) -> bool:
-        """Nothing is to come, and nobody who lives is behind."""
-        rows = [p.rows[-1] for p in [self.source, *self.fans] if not p.gone]
-        since = self.spans[-1][1] + 1e3
+        """No change is planned, and no running process has a backlog."""
+        rows = [p.rows[-1] for p in [self.source, *self.fanouts] if not p.has_ended]
+        since = self.phases[-1][1] + 1e3
         return not self.source.rows[-1]["planned"] and all(
             row["t"] > since and row["phase"] == "end" and not row["backlog"] for row in rows
         )
 
     async def _gather(self) -> dict[str, Any]:
+        """Waits until all changes have arrived, ends the processes and returns the figures."""
         self.source.order({"quiet": True})
         await self._phase("end", 1.0)
         begun = monotonic()
         while not self._at_rest():
-            if monotonic() - begun > END_S:
-                raise HollowError(f"changes were still on their way after {END_S:.0f} s")
-            self.say("the last changes")
+            if monotonic() - begun > END_TIMEOUT_S:
+                raise SimulationError(f"changes were still pending after {END_TIMEOUT_S:.0f} s")
+            self.report("waiting for the last changes")
             await asyncio.sleep(0.1)
-        self.spans[-1] = ("end", self.spans[-1][1], 1e3 * monotonic())
-        for process in self.all:
+        self.phases[-1] = ("end", self.phases[-1][1], 1e3 * monotonic())
+        for process in self.processes:
             process.order({"end": True})
-        self.say("gathering")
-        async with asyncio.timeout(END_S):
-            for process in self.all:
-                await process.ended()
-        return judge(self)
+        self.report("collecting reports")
+        async with asyncio.timeout(END_TIMEOUT_S):
+            for process in self.processes:
+                await process.wait_until_ended()
+        return summarize(self)
 
 
-def share(found: list[float], part: float) -> float:
-    """That part of them is not above this; 0 of none."""
+def quantile(found: list[float], part: float) -> float:
+    """The value that this part of the sorted values does not exceed; 0 for none."""
     return found[min(len(found) - 1, int(part * len(found)))] if found else 0.0
 
 
-def spread(found: list[float]) -> dict[str, float]:
+def distribution(found: list[float]) -> dict[str, float]:
+    """Count, median, 99th percentile and maximum."""
     found = sorted(found)
     return {
         "count": len(found),
-        "p50": round(share(found, 0.5), 1),
-        "p99": round(share(found, 0.99), 1),
+        "p50": round(quantile(found, 0.5), 1),
+        "p99": round(quantile(found, 0.99), 1),
         "most": round(found[-1], 1) if found else 0.0,
     }
 
 
-def judge(run: Run) -> dict[str, Any]:
-    """Figures by phase."""
-    took: dict[tuple[int, str], list[tuple[int, float]]] = {}
-    exact: dict[tuple[int, str, int], float] = {}
-    wanting: dict[str, list[int]] = {}
-    deaf: dict[str, list[float]] = {}
-    whole: dict[str, list[float]] = {}
+def summarize(run: Run) -> dict[str, Any]:
+    """The figures of a run, by phase, in ms where not named otherwise."""
+    received: dict[tuple[int, str], list[tuple[int, float]]] = {}
+    received_ahead: dict[tuple[int, str, int], float] = {}
+    subscribers_of: dict[str, list[int]] = {}
+    stale_ms: dict[str, list[float]] = {}
+    until_synced_ms: dict[str, list[float]] = {}
     records = held = 0
-    for process in run.subs:
-        last = process.last
+    for process in run.subscribers:
+        last = process.final_report
         records, held = records + last["records"], held + last["held"]
         for number, scope, n, at, ahead in last["took"]:
             if ahead:
-                exact.setdefault((number, scope, n), at)
+                received_ahead.setdefault((number, scope, n), at)
             else:
-                took.setdefault((number, scope), []).append((n, at))
+                received.setdefault((number, scope), []).append((n, at))
         for number, scopes in last["wants"]:
             for scope in scopes:
-                wanting.setdefault(scope, []).append(number)
+                subscribers_of.setdefault(scope, []).append(number)
         for phase, found in last["deaf"].items():
-            deaf.setdefault(phase, []).extend(age for _, age in found)
+            stale_ms.setdefault(phase, []).extend(age for _, age in found)
         for phase, after in last["whole"]:
-            whole.setdefault(phase, []).append(after)
-    for found in took.values():
+            until_synced_ms.setdefault(phase, []).append(after)
+    for found in received.values():
         found.sort()
     phases: dict[str, Any] = {}
-    for name, begun, ended in run.spans:
+    for name, begun, ended in run.phases:
         waits: dict[str, list[float]] = {}
         never = 0
-        changes = [c for c in run.source.last["changes"] if begun <= c[2] < ended]
+        changes = [c for c in run.source.final_report["changes"] if begun <= c[2] < ended]
         for n, scope, at, kind in changes:
-            for number in wanting.get(scope, ()):
-                rows = took.get((number, scope), [])
+            for number in subscribers_of.get(scope, ()):
+                rows = received.get((number, scope), [])
                 later = [t for _, t in rows[bisect_left(rows, (n, 0.0)) :]]
-                if (one := exact.get((number, scope, n))) is not None:
+                if (one := received_ahead.get((number, scope, n))) is not None:
                     later.append(one)
                 if later:
                     waits.setdefault(kind, []).append(max(0.0, min(later) - at))
@@ -351,21 +358,21 @@
             "seconds": round((ended - begun) / 1e3, 1),
             "changes": len(changes),
             "never": never,
-            "in_force_ms": spread(every),
-            "over_4_s": sum(w > ALLOWED for w in every),
-            "by_kind_ms": {kind: spread(found) for kind, found in sorted(waits.items())},
-            "deaf_ms": spread(deaf.get(name, [])),
-            "until_whole_ms": spread(whole.get(name, [])),
-            "source": used([run.source], name),
-            "fanout": used(run.fans, name),
-            "subscriber": used(run.subs, name),
+            "in_force_ms": distribution(every),
+            "over_4_s": sum(w > IN_FORCE_LIMIT_MS for w in every),
+            "by_kind_ms": {kind: distribution(found) for kind, found in sorted(waits.items())},
+            "deaf_ms": distribution(stale_ms.get(name, [])),
+            "until_whole_ms": distribution(until_synced_ms.get(name, [])),
+            "source": resource_use([run.source], name),
+            "fanout": resource_use(run.fanouts, name),
+            "subscriber": resource_use(run.subscribers, name),
         }
     plan = asdict(run.plan)
     subscribers = max(1, run.plan.subscribers)
     return {
         "slopes": slopes(run.plan, phases, held / subscribers),
         "plan": plan,
-        "loaded_s": {k: round(v, 1) for k, v in run.loaded.items()},
+        "loaded_s": {k: round(v, 1) for k, v in run.load_times_s.items()},
         "records_a_subscriber": round(records / subscribers, 1),
         "held_bytes_a_subscriber": round(held / subscribers),
         "phases": phases,
@@ -373,7 +380,7 @@
 
 
 def slopes(plan: Plan, phases: dict[str, Any], held: float) -> dict[str, list[float]]:
-    """Points for the table of capacity, as (size, figure): each by its own unit of size."""
+    """Points for the capacity table as [size, value]; each slope has its own unit of size."""
     services = plan.services * plan.per / plan.subscribers
     found = {"scoped_state_bytes": [services, held]}
     if (steady := phases.get("steady")) is not None:
@@ -393,9 +400,9 @@
             services,
             restarted["subscriber"]["bytes_a_second"] * restarted["seconds"],
         ]
-    deaf = [p["deaf_ms"]["most"] for name, p in phases.items() if name.endswith(("killed", "stopped"))]
-    if deaf:
-        found["scoped_deaf_s"] = [plan.subscribers, max(deaf) / 1e3]
+    stale_ms = [p["deaf_ms"]["most"] for name, p in phases.items() if name.endswith(("killed", "stopped"))]
+    if stale_ms:
+        found["scoped_deaf_s"] = [plan.subscribers, max(stale_ms) / 1e3]
     found["source_calls_most_s"] = [
         plan.fanouts,
         max((p["source"]["most_calls_a_second"] for p in phases.values()), default=0.0),
@@ -403,9 +410,9 @@
     return found
 
 
-def used(processes: list[Process], phase: str) -> dict[str, float]:
-    """What one of a role used in a phase: means over all, and the most of one second of one process."""
-    cpu = seconds = went = calls = words = moves = 0.0
+def resource_use(processes: list[Process], phase: str) -> dict[str, float]:
+    """Resources that a role used in a phase: means per instance, and the maximum of one process."""
+    cpu = seconds = transferred = calls = messages = moves = 0.0
     most = {
         "mb": 0.0,
         "lag_ms": 0.0,
@@ -414,34 +421,38 @@
         "words_a_second": 0.0,
         "cpu_percent": 0.0,
     }
-    ones = 0.0
+    instances = 0.0
     for process in processes:
         rows = [row for row in process.rows if row["phase"] == phase]
         if len(rows) < 2:
             continue
         count = rows[-1]["subscribers"] if process.role == "subscribers" else 1
         for before, after in pairwise(rows):
-            apart = max(1e-3, (after["t"] - before["t"]) / 1e3)
-            most["calls_a_second"] = max(most["calls_a_second"], (after["calls"] - before["calls"]) / apart)
-            most["words_a_second"] = max(most["words_a_second"], (after["words"] - before["words"]) / apart)
-            most["cpu_percent"] = max(most["cpu_percent"], 100 * (after["cpu"] - before["cpu"]) / apart)
+            interval_s = max(1e-3, (after["t"] - before["t"]) / 1e3)
+            most["calls_a_second"] = max(
+                most["calls_a_second"], (after["calls"] - before["calls"]) / interval_s
+            )
+            most["words_a_second"] = max(
+                most["words_a_second"], (after["words"] - before["words"]) / interval_s
+            )
+            most["cpu_percent"] = max(most["cpu_percent"], 100 * (after["cpu"] - before["cpu"]) / interval_s)
         for row in rows:
             most["mb"] = max(most["mb"], row["mb"])
             most["lag_ms"] = max(most["lag_ms"], row["lag_ms"])
             most["backlog"] = max(most["backlog"], row.get("backlog", 0))
-        apart = (rows[-1]["t"] - rows[0]["t"]) / 1e3
-        seconds += apart * count
-        ones += count
+        interval_s = (rows[-1]["t"] - rows[0]["t"]) / 1e3
+        seconds += interval_s * count
+        instances += count
         cpu += rows[-1]["cpu"] - rows[0]["cpu"]
-        went += rows[-1]["in"] + rows[-1]["out"] - rows[0]["in"] - rows[0]["out"]
+        transferred += rows[-1]["in"] + rows[-1]["out"] - rows[0]["in"] - rows[0]["out"]
         calls += rows[-1]["calls"] - rows[0]["calls"]
-        words += rows[-1]["words"] - rows[0]["words"] + rows[-1]["said"] - rows[0]["said"]
+        messages += rows[-1]["words"] - rows[0]["words"] + rows[-1]["said"] - rows[0]["said"]
         moves += rows[-1].get("moves", 0) - rows[0].get("moves", 0)
     seconds = max(seconds, 1e-3)
     return {
         "cpu_percent": round(100 * cpu / seconds, 4),
-        "bytes_a_second": round(went / seconds, 1),
-        "words_a_second": round(words / seconds, 2),
+        "bytes_a_second": round(transferred / seconds, 1),
+        "words_a_second": round(messages / seconds, 2),
         "calls_a_second": round(calls / seconds, 3),
         "moves": moves,
         "processes": len(processes),
@@ -450,20 +461,20 @@
 
 
 def table(found: dict[str, Any]) -> str:
-    """The figures of a run in lines."""
+    """The figures of a run as text."""
     plan = found["plan"]
     lines = [
         f"{plan['subscribers']} balancers, {plan['fanouts']} fan-out machines, "
         f"{plan['services']} services, {plan['upstreams']} upstreams; "
-        f"{found['records_a_subscriber']:.0f} records a balancer; all had all after "
+        f"{found['records_a_subscriber']:.0f} records a balancer; all loaded after "
         f"{found['loaded_s']['all_s']:.0f} s"
     ]
     for name, phase in found["phases"].items():
         force, deaf = phase["in_force_ms"], phase["deaf_ms"]
         lines.append(
             f"{name:14} {phase['changes']:4} changes, in force p50 {force['p50']:.0f} p99 {force['p99']:.0f} "
-            f"most {force['most']:.0f} ms (never {phase['never']}, over 4 s {phase['over_4_s']}); deaf p50 "
-            f"{deaf['p50']:.0f} p99 {deaf['p99']:.0f} most {deaf['most']:.0f} ms"
+            f"most {force['most']:.0f} ms (never {phase['never']}, over 4 s {phase['over_4_s']}); no data "
+            f"p50 {deaf['p50']:.0f} p99 {deaf['p99']:.0f} most {deaf['most']:.0f} ms"
         )
         for role in ("subscriber", "fanout", "source"):
             one = phase[role]
@@ -475,14 +486,14 @@
         if phase["until_whole_ms"]["count"]:
             one = phase["until_whole_ms"]
             lines.append(
-                f"  from a restart to all held: p50 {one['p50']:.0f} p99 {one['p99']:.0f} most "
+                f"  from a restart until synced: p50 {one['p50']:.0f} p99 {one['p99']:.0f} most "
                 f"{one['most']:.0f} ms ({one['count']})"
             )
     return "\n".join(lines)
 
 
 def plot(found: list[dict[str, Any]], to: Path) -> None:
-    """Times from a change to in force, and deafness, by phase, one bar a run."""
+    """Plots times from change to in force and without data, by phase, one bar for each run."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -490,18 +501,22 @@
 
     figure, axes = pyplot.subplots(2, 1, figsize=(10, 8), constrained_layout=True)
     names = list(dict.fromkeys(name for one in found for name in one["phases"]))
-    wide = 0.8 / len(found)
+    bar_width = 0.8 / len(found)
     for i, one in enumerate(found):
         label = f"{one['plan']['subscribers']} balancers, {one['plan']['upstreams']} upstreams"
         for axis, key in zip(axes, ("in_force_ms", "deaf_ms"), strict=True):
             shown = [n for n in names if n in one["phases"]]
-            places = [names.index(n) + i * wide for n in shown]
-            axis.bar(places, [one["phases"][n][key]["most"] for n in shown], wide, alpha=0.35, color=f"C{i}")
-            axis.bar(places, [one["phases"][n][key]["p99"] for n in shown], wide, color=f"C{i}", label=label)
-    for axis, title in zip(axes, ("from a change to in force", "longest without news"), strict=True):
-        axis.set_title(f"{title}: p99 (full) and the most (pale), ms")
+            places = [names.index(n) + i * bar_width for n in shown]
+            axis.bar(
+                places, [one["phases"][n][key]["most"] for n in shown], bar_width, alpha=0.35, color=f"C{i}"
+            )
+            axis.bar(
+                places, [one["phases"][n][key]["p99"] for n in shown], bar_width, color=f"C{i}", label=label
+            )
+    for axis, title in zip(axes, ("from a change to in force", "longest without data"), strict=True):
+        axis.set_title(f"{title}: p99 (solid) and maximum (pale), ms")
         axis.set_xticks(range(len(names)), names, rotation=20)
-        axis.axhline(ALLOWED, color="black", linestyle=":")
+        axis.axhline(IN_FORCE_LIMIT_MS, color="black", linestyle=":")
         axis.set_yscale("symlog", linthresh=10)
         axis.legend()
     figure.savefig(to)
@@ -509,13 +524,13 @@
 
 
 @click.command(name="scopes")
-@click.option("--subscribers", default=7_000, show_default=True, help="Hollow balancers.")
-@click.option("--fanouts", default=20, show_default=True, help="Machines that pass on.")
+@click.option("--subscribers", default=7_000, show_default=True, help="Simulated balancers.")
+@click.option("--fanouts", default=20, show_default=True, help="Machines that forward changes.")
 @click.option("--services", default=6_700, show_default=True)
 @click.option("--upstreams", default=200_000, show_default=True)
 @click.option("--per", default=12, show_default=True, help="Balancers that serve a service.")
-@click.option("--steps", default="steady", show_default=True, help=f"Of {', '.join(STEPS)}, with commas.")
-@click.option("--steady", "steady_s", default=30.0, show_default=True, help="s without a fault.")
+@click.option("--steps", default="steady", show_default=True, help=f"Of {', '.join(STEPS)}, comma-separated.")
+@click.option("--steady", "steady_s", default=30.0, show_default=True, help="s without faults.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "to", type=click.Path(dir_okay=False, path_type=Path), help="Figures, as JSON.")
 @click.option("--plot", "picture", type=click.Path(dir_okay=False, path_type=Path), help="A picture (PNG).")
@@ -531,9 +546,9 @@
     to: Path | None,
     picture: Path | None,
 ) -> None:
-    """Scoped subscriptions at size: hollow balancers behind fan-out machines, changes and faults.
+    """Scoped subscriptions at size: simulated balancers behind fan-out machines, changes and faults.
 
-    Status 1 if a change was never in force somewhere, 2 at a wrong option, 3 if the run could not be had.
+    Status 1 if a change was never in force somewhere, 2 for a wrong option, 3 if the run failed.
     """
     from rich.console import Console
 
@@ -550,9 +565,9 @@
     wrong = [step for step in wanted if step not in STEPS]
     if wrong or min(subscribers, fanouts, services, upstreams, per) < 1:
         click.echo(
-            f"ospreyline: --steps: {wrong[0]} is none of {', '.join(STEPS)}"
+            f"ospreyline: --steps: {wrong[0]} is not one of {', '.join(STEPS)}"
             if wrong
-            else "ospreyline: sizes are 1 or more",
+            else "ospreyline: sizes must be 1 or more",
             err=True,
         )
         sys.exit(2)
@@ -560,8 +575,8 @@
     try:
         with console.status("starting") as status:
             found = asyncio.run(Run(plan, wanted, status.update).play())
-    except (HollowError, OSError, TimeoutError) as error:
-        click.echo(f"ospreyline: {error or 'it took too long'}", err=True)
+    except (SimulationError, OSError, TimeoutError) as error:
+        click.echo(f"ospreyline: {error or 'timed out'}", err=True)
         sys.exit(3)
     click.echo(table(found))
     if to is not None:
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -36,17 +36,17 @@
 def test_every_change_reaches_all_that_serve_it_also_while_a_machine_is_silent():
     run = hollow.Run(SMALL, ["steady", "stopped"], lambda text: None)
     found = asyncio.run(run.play())
-    wanted = sum(len(w) for p in run.subs for _, w in p.last["wants"])
+    wanted = sum(len(w) for p in run.subscribers for _, w in p.final_report["wants"])
     assert wanted == 30 * 4
     for name, phase in found["phases"].items():
         assert phase["never"] == 0, name
         assert phase["in_force_ms"]["count"] == 4 * phase["changes"], name
     assert found["phases"]["steady"]["changes"] and found["phases"]["one stopped"]["changes"]
     # subscribers of the unresponsive machine moved to another, and none had mismatched contents
-    assert sum(p.rows[-1]["moves"] for p in run.subs) > SMALL.subscribers
-    assert not any(p.rows[-1]["doubts"] for p in run.subs)
+    assert sum(p.rows[-1]["moves"] for p in run.subscribers) > SMALL.subscribers
+    assert not any(p.rows[-1]["doubts"] for p in run.subscribers)
     # a change costs one message for each balancer that serves it, and one for each fan-out machine
-    changes = len(run.source.last["changes"])
+    changes = len(run.source.final_report["changes"])
     assert run.source.rows[-1]["sent"] <= 3 * 30 + 3 * 2 * changes
 
 
