--- a/ospreyline/rig/results.py
+++ b/ospreyline/rig/results.py
@@ -1,6 +1,6 @@
-"""What a run comes to: one table, and records in the laboratory's form that `lab plot` draws.
+"""The results of a run: a summary table, and records in the simulator's format that `lab plot` draws.
 
-Pure but for `write`: rows in, figures out. Times are ms from the beginning of the day.
+Pure but for `write`: rows in, figures out. Times of rows are ms from the start of the scenario's day.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from ospreyline.rig.referee import RULES, Breach, Row
 from ospreyline.rig.scenario import Scenario
 
-MOST_US = 600_000_000
-WINDOW = 100.0  # ms; the busiest of these is told
+MAX_LATENCY_US = 600_000_000  # upper bound of the histogram
+CALL_WINDOW_MS = 100.0  # the list calls of the busiest such window are reported
 _JSON = msgspec.json.Encoder(order="deterministic")
 
 
 def quantiles(times: Sequence[float]) -> dict[str, float]:
     """p50, p90 and p99 of times in ms; 0 where there are none."""
-    histogram = HdrHistogram(1, MOST_US, 3)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for ms in times:
         histogram.record_value(max(1, int(ms * 1e3)))
     return {
@@ -31,61 +31,65 @@
     }
 
 
-def busiest(times: Sequence[float], span: float) -> int:
-    """The most of these times that lie within one span."""
+def busiest(times: Sequence[float], window: float) -> int:
+    """The most of these times that lie within any window of this length."""
     ordered, most, begin = sorted(times), 0, 0
     for i, at in enumerate(ordered):
-        while ordered[begin] <= at - span:
+        while ordered[begin] <= at - window:
             begin += 1
         most = max(most, i - begin + 1)
     return most
 
 
-def start(rows: Sequence[Row], count: int, since: float = 0.0) -> dict[str, Any]:
-    """The start of a bank of `count`: calls, lists in force, handshakes, counted from a time on."""
+def start_figures(rows: Sequence[Row], count: int, since: float = 0.0) -> dict[str, Any]:
+    """Figures of the start of `count` balancers from `since` (ms) on: list calls, lists, handshakes."""
     calls = [row for row in rows if row["k"] == "call" and row["t"] >= since]
     served = [row for row in calls if not row["refused"]]
-    spans = [
+    connections = [
         row["t"] for row in rows if row["k"] == "opened" and ">list" in row["link"] and row["t"] >= since
     ]
     listed: dict[str, float] = {}
     for row in rows:
         if row["k"] == "told" and row["t"] >= since:
             listed.setdefault(row["b"], row["t"])
-    times = sorted(listed.values())
-    up: dict[int, float] = {}
+    list_times = sorted(listed.values())
+    started: dict[int, float] = {}
     for row in rows:
         if row["k"] == "serving" and row["t"] >= since:
-            up.setdefault(row["b"], row["t"])
+            started.setdefault(row["b"], row["t"])
     ready: dict[int, float] = {}
     for row in rows:
         if row["k"] == "ready" and row["t"] >= since:
             ready[row["b"]] = min(row["t"], ready.get(row["b"], row["t"]))
-    able = sorted(ready.values())
-    waits = sorted(ready[b] - up[b] for b in ready if b in up)
-    by: dict[int, list[float]] = {}
+    ready_times = sorted(ready.values())
+    waits = sorted(ready[b] - started[b] for b in ready if b in started)
+    handshakes: dict[int, list[float]] = {}
     for row in rows:
         if row["k"] == "handshake" and row["t"] >= since:
-            by.setdefault(row["u"], []).append(row["t"])
+            handshakes.setdefault(row["u"], []).append(row["t"])
     return {
-        "attempts_each": round(max(len(spans), len(calls)) / count, 2),
+        "attempts_each": round(max(len(connections), len(calls)) / count, 2),
         "calls_each": round(len(calls) / count, 2),
         "refused": len(calls) - len(served),
         "longest_queue": max((row["queue"] for row in calls), default=0),
-        "busiest_100_ms": busiest([row["t"] for row in calls], WINDOW),
-        "listed": len(times),
-        "half_listed_s": round((times[(len(times) - 1) // 2] - since) / 1e3, 2) if times else None,
-        "all_listed_s": round((times[-1] - since) / 1e3, 2) if len(times) >= count else None,
-        # ready: it has a list, from whomever; looked at every 100 ms
-        "half_ready_s": round((able[(len(able) - 1) // 2] - since) / 1e3, 2) if able else None,
-        "all_ready_s": round((able[-1] - since) / 1e3, 2) if len(able) >= count else None,
-        # from its own start to listen until it has a list
+        "busiest_100_ms": busiest([row["t"] for row in calls], CALL_WINDOW_MS),
+        "listed": len(list_times),
+        "half_listed_s": round((list_times[(len(list_times) - 1) // 2] - since) / 1e3, 2)
+        if list_times
+        else None,
+        "all_listed_s": round((list_times[-1] - since) / 1e3, 2) if len(list_times) >= count else None,
+        # ready: has a list from any source; probed every 100 ms
+        "half_ready_s": round((ready_times[(len(ready_times) - 1) // 2] - since) / 1e3, 2)
+        if ready_times
+        else None,
+        "all_ready_s": round((ready_times[-1] - since) / 1e3, 2) if len(ready_times) >= count else None,
+        # from the time that it listens until it has a list
         "list_after_start_s": [round(waits[int(q * (len(waits) - 1))] / 1e3, 2) for q in (0.5, 0.99)]
         if waits
         else None,
         "calls_in_4_s": sum(row["t"] < since + 4_000.0 for row in calls),
-        "all_up_s": round((max(up.values()) - since) / 1e3, 2) if len(up) >= count else None,
-        "most_handshakes_a_s": max((busiest(at, 1e3) for at in by.values()), default=0),
+        "all_up_s": round((max(started.values()) - since) / 1e3, 2) if len(started) >= count else None,
+        "most_handshakes_a_s": max((busiest(at, 1e3) for at in handshakes.values()), default=0),
     }
 
 
@@ -98,14 +102,14 @@
     lag: float,
     used: dict[str, Any],
 ) -> dict[str, Any]:
-    """The figures of one run."""
+    """The figures of one run; `lag` is the rig's largest delay in ms, `used` the resource figures."""
     settle = 1e3 * s.day.settle
     wants = [row for row in rows if row["k"] == "want" and row["since"] >= settle]
     tries = [row for row in rows if row["k"] == "try" and row["t"] >= settle]
     delivered = [row["t"] - row["sent"] for row in tries if row["how"] == "answer" and row["status"] == 200]
     gains = {p.name: p.gain for p in s.prefixes}
     late = {p.name: p.late_gain for p in s.prefixes}
-    asked = sum(gains[row["prefix"]] for row in wants)
+    offered = sum(gains[row["prefix"]] for row in wants)
     won = sum(
         gains[row["prefix"]] * (1.0 if row["outcome"] == "in time" else late[row["prefix"]])
         for row in wants
@@ -127,12 +131,12 @@
         "balancers": s.bank.count,
         "upstreams": s.upstreams(),
         "wanted": len(wants),
-        "gain": round(won / asked, 4) if asked else 0.0,
+        "gain": round(won / offered, 4) if offered else 0.0,
         "in_time": round(outcomes["in time"] / total, 4),
         "late": round(outcomes["late"] / total, 4),
         "failed": round(outcomes["failed"] / total, 4),
-        "in_time_5_s": _early(rows, 5_000.0),
-        "met_in_time_5_s": _met(s, rows, 5_000.0),
+        "in_time_5_s": _in_time_share(rows, 5_000.0),
+        "met_in_time_5_s": _on_target_share(s, rows, 5_000.0),
         "tries": len(tries),
         "bounced": sum(row["status"] in (429, 503) for row in tries),
         "errored": sum(row["how"] == "answer" and row["status"] not in (200, 429, 503) for row in tries),
@@ -141,8 +145,8 @@
         "fetches": len(sends),
         "crossed": crossed,
         **quantiles(delivered),
-        "start": start(rows, s.bank.count),
-        **({"asked_again": asked_again(rows)} if s.rig.asks_again else {}),
+        "start": start_figures(rows, s.bank.count),
+        **({"asked_again": repeated_requests(rows)} if s.rig.asks_again else {}),
         "breaches": {rule: counts[rule] for rule in RULES},
         "pushed": round(pushed, 3),
         "lag_ms": lag,
@@ -156,22 +160,24 @@
     return [s.zones.names.index(g.zone) if g.zone else i % len(s.zones.names) for i, g in enumerate(groups)]
 
 
-def _early(rows: Sequence[Row], span: float) -> float | None:
-    """The share of the first tries of the first ms that ended in time."""
+def _in_time_share(rows: Sequence[Row], span: float) -> float | None:
+    """The share of client requests of the first `span` ms that were served in time."""
     wants = [row["outcome"] for row in rows if row["k"] == "want" and 0 <= row["since"] < span]
     return round(wants.count("in time") / len(wants), 4) if wants else None
 
 
-def _met(s: Scenario, rows: Sequence[Row], span: float) -> float | None:
-    """Of the first ms' tries that met a balancer, the share delivered within the target latency."""
+def _on_target_share(s: Scenario, rows: Sequence[Row], span: float) -> float | None:
+    """Of the tries sent in the first `span` ms, the share delivered within the target latency."""
     targets = {p.name: p.target_ms for p in s.prefixes}
-    met = [row for row in rows if row["k"] == "try" and 0 < row["sent"] < span]
-    well = sum(row["status"] == 200 and row["t"] - row["sent"] <= targets[row["prefix"]] for row in met)
-    return round(well / len(met), 4) if met else None
+    reached = [row for row in rows if row["k"] == "try" and 0 < row["sent"] < span]
+    on_target = sum(
+        row["status"] == 200 and row["t"] - row["sent"] <= targets[row["prefix"]] for row in reached
+    )
+    return round(on_target / len(reached), 4) if reached else None
 
 
-def asked_again(rows: Sequence[Row]) -> dict[str, Any]:
-    """What became of visits whose connection ended under them, asked for again under their id."""
+def repeated_requests(rows: Sequence[Row]) -> dict[str, Any]:
+    """Outcomes of visits whose connection ended, repeated by their clients under the same id."""
     tries: dict[str, list[Row]] = {}
     sent: set[str] = set()
     for row in rows:
@@ -179,23 +185,23 @@
             tries.setdefault(row["id"], []).append(row)
         elif row["k"] == "asked" and ">u" in row["link"]:
             sent.add(row["id"])
-    found: Counter[str] = Counter()
+    outcomes_by_prefix: Counter[str] = Counter()
     times = []
-    for id_, mine in tries.items():
-        mine = sorted(mine, key=lambda row: float(row["t"]))
-        if len(mine) < 2:
+    for id_, visit_tries in tries.items():
+        visit_tries = sorted(visit_tries, key=lambda row: float(row["t"]))
+        if len(visit_tries) < 2:
             continue
-        first, last = mine[0], mine[-1]
+        first, last = visit_tries[0], visit_tries[-1]
         how = {200: "answered", 503: "bounced", 502: "may have run"}.get(last["status"], "no answer")
-        found[f"{first['prefix']}: {how}"] += 1
-        found["may have run, never sent"] += how == "may have run" and id_ not in sent
+        outcomes_by_prefix[f"{first['prefix']}: {how}"] += 1
+        outcomes_by_prefix["may have run, never sent"] += how == "may have run" and id_ not in sent
         if how == "answered":
             times.append(last["t"] - first["t"])
-    return {**dict(sorted(found.items())), "ms_to_the_answer": quantiles(times)}
+    return {**dict(sorted(outcomes_by_prefix.items())), "ms_to_the_answer": quantiles(times)}
 
 
 def table(figures: dict[str, Any]) -> str:
-    """Plain text for a terminal."""
+    """The summary as plain text for a terminal."""
     f = figures
     first = f["start"]
     lines = [
@@ -203,14 +209,14 @@
         f"{f['wanted']} first tries",
         f"  gain {f['gain']:.4f}; in time {f['in_time']:.1%}, late {f['late']:.1%}, "
         f"failed {f['failed']:.1%}; bounced {f['bounced']}, errored {f['errored']}, cut {f['cut']}, "
-        f"nobody there {f['nobody']}",
+        f"no balancer {f['nobody']}",
         f"  latency ms p50 {f['p50']:g}, p90 {f['p90']:g}, p99 {f['p99']:g}; fetches {f['fetches']}, "
         f"crossed {f['crossed']}",
         f"  list: {first['calls_each']} calls a balancer ({first['attempts_each']} connections), "
         f"refused {first['refused']}, longest queue {first['longest_queue']}, "
         f"busiest 100 ms {first['busiest_100_ms']}; half ready after {first['half_ready_s']} s, "
         f"all {first['all_ready_s']} s; most handshakes {first['most_handshakes_a_s']} a second",
-        f"  first 5 s: in time {f['in_time_5_s']}, of tries that met a balancer {f['met_in_time_5_s']}",
+        f"  first 5 s: in time {f['in_time_5_s']}, of tries that reached a balancer {f['met_in_time_5_s']}",
     ]
     if f.get("resident_mb"):
         lines.append(
@@ -218,11 +224,13 @@
             f"{f['cpu_s']} s of CPU"
         )
     if f.get("asked_again"):
-        lines.append("  asked again: " + ", ".join(f"{what} {n}" for what, n in f["asked_again"].items()))
+        lines.append(
+            "  repeated under their id: " + ", ".join(f"{what} {n}" for what, n in f["asked_again"].items())
+        )
     broken = {rule: n for rule, n in f["breaches"].items() if n}
     lines.append(
-        f"  rules {'BROKEN: ' + str(broken) if broken else 'kept'}; nearest to a cold bound "
-        f"{f['pushed']:.0%}; the rig came {f['lag_ms']:g} ms late at the most"
+        f"  rules {'BROKEN: ' + str(broken) if broken else 'kept'}; highest load of a cold upstream "
+        f"{f['pushed']:.0%} of its bound; the rig was up to {f['lag_ms']:g} ms late"
         + (" - VOID, the machine was too busy" if f["void"] else "")
     )
     return "\n".join(lines)
@@ -237,13 +245,13 @@
     faults: Sequence[dict[str, Any]],
     begun: float,
 ) -> None:
-    """The records of a run, in the laboratory's form."""
-    window = 1e3 * s.day.window
-    last = max((row["t"] for row in rows if row["k"] in ("want", "try")), default=0.0)
-    windows = max(1, int(last / window) + 1)
+    """Writes the records of a run in the simulator's format; `begun` (ms) is the start of the day."""
+    window_ms = 1e3 * s.day.window
+    last_ms = max((row["t"] for row in rows if row["k"] in ("want", "try")), default=0.0)
+    windows = max(1, int(last_ms / window_ms) + 1)
     time = [
         {
-            "t": i * window / 1e3,
+            "t": i * window_ms / 1e3,
             "wanted": 0,
             "in_time": 0,
             "late": 0,
@@ -265,66 +273,66 @@
     gains = {p.name: p.gain for p in s.prefixes}
     lates = {p.name: p.late_gain for p in s.prefixes}
     delays: list[list[float]] = [[] for _ in range(windows)]
-    held = [[0] * s.upstreams() for _ in range(windows)]
+    fetches_run = [[0] * s.upstreams() for _ in range(windows)]
     zones, names = _zones(s), s.zones.names
     for row in rows:
         kind, at = row["k"], row["since"] if row["k"] == "want" else row["t"]
-        place = int(at / window)
+        place = int(at / window_ms)
         if at < 0 or place >= windows:
             continue
-        into: dict[str, Any] = time[place]
+        window_row: dict[str, Any] = time[place]
         if kind == "want":
-            into["wanted"] += 1
-            into[row["outcome"].replace(" ", "_")] += 1
-            into["asked"] += gains[row["prefix"]]
-            into["gain"] += gains[row["prefix"]] * {"in time": 1.0, "failed": 0.0}.get(
+            window_row["wanted"] += 1
+            window_row[row["outcome"].replace(" ", "_")] += 1
+            window_row["asked"] += gains[row["prefix"]]
+            window_row["gain"] += gains[row["prefix"]] * {"in time": 1.0, "failed": 0.0}.get(
                 row["outcome"], lates[row["prefix"]]
             )
         elif kind == "try":
-            into["tries"] += 1
+            window_row["tries"] += 1
             if row["how"] == "answer" and row["status"] == 200:
                 delays[place].append(row["t"] - row["sent"])
             elif row["how"] == "answer":
-                into["bounced" if row["status"] in (429, 503) else "errored"] += 1
+                window_row["bounced" if row["status"] in (429, 503) else "errored"] += 1
             else:
-                into["cut"] += 1
+                window_row["cut"] += 1
         elif kind == "asked" and ">u" in row["link"]:
             b, u = row["link"][1:].split(">u")
-            into["fetches"] += 1
-            into["crossed"] += int(b) % len(names) != zones[int(u)]
+            window_row["fetches"] += 1
+            window_row["crossed"] += int(b) % len(names) != zones[int(u)]
         elif kind == "call":
-            into["calls"] += 1
+            window_row["calls"] += 1
         elif kind == "probe":
-            into["probes"] += 1
+            window_row["probes"] += 1
         elif kind == "ran":
-            held[place][row["u"]] += 1
-    for row_of, times in zip(time, delays, strict=True):
-        row_of.update(quantiles(times))
-    away: list[list[tuple[float, float]]] = [[] for _ in range(s.upstreams())]
+            fetches_run[place][row["u"]] += 1
+    for window_row, times in zip(time, delays, strict=True):
+        window_row.update(quantiles(times))
+    absences: list[list[tuple[float, float]]] = [[] for _ in range(s.upstreams())]
     for row in rows:
         if row["k"] == "died":
-            away[row["u"]].append((row["t"], float("inf")))
-        elif row["k"] == "started" and away[row["u"]]:
-            away[row["u"]][-1] = (away[row["u"]][-1][0], row["t"])
+            absences[row["u"]].append((row["t"], float("inf")))
+        elif row["k"] == "started" and absences[row["u"]]:
+            absences[row["u"]][-1] = (absences[row["u"]][-1][0], row["t"])
     servers = [
         {
-            "t": i * window / 1e3,
+            "t": i * window_ms / 1e3,
             "server": u,
             "zone": names[zones[u]],
             "warmth": 1.0,
-            "up": not any(a < (i + 1) * window and b > i * window for a, b in away[u]),
+            "up": not any(a < (i + 1) * window_ms and b > i * window_ms for a, b in absences[u]),
             "slow": 1.0,
-            "held": held[i][u],
+            "held": fetches_run[i][u],
             "busy": 0.0,
-            "done": held[i][u],
+            "done": fetches_run[i][u],
             "turned_away": 0,
         }
         for i in range(windows)
         for u in range(s.upstreams())
     ]
-    carried = [{**f, "from": (f["from"] - begun) / 1e3, "to": (f["to"] - begun) / 1e3} for f in faults]
-    for name, lines in (("time", time), ("servers", servers), ("breaches", breaches), ("faults", carried)):
+    fault_rows = [{**f, "from": (f["from"] - begun) / 1e3, "to": (f["to"] - begun) / 1e3} for f in faults]
+    for name, lines in (("time", time), ("servers", servers), ("breaches", breaches), ("faults", fault_rows)):
         (out / f"{name}.jsonl").write_bytes(b"".join(_JSON.encode(line) + b"\n" for line in lines))
-    told = {"scenario": s, "seed": figures["seed"], "arm": "rig"}
-    for name, value in (("summary", figures), ("run", told)):
+    run_record = {"scenario": s, "seed": figures["seed"], "arm": "rig"}
+    for name, value in (("summary", figures), ("run", run_record)):
         (out / f"{name}.json").write_bytes(msgspec.json.format(_JSON.encode(value)) + b"\n")
