--- a/ospreyline/rig/ready.py
+++ b/ospreyline/rig/ready.py
@@ -1,9 +1,9 @@
-"""How long processes that start at once take from exec until they are ready, and what of it is their own.
+"""Measures how long processes that start together take from exec to ready, and their own processor time.
 
-`serve` by its command line, unmodified, and the stand-in list service, in one of these states:
+Runs `serve` by its command line, unmodified, with the stand-in list service in one of these states:
 
-- up: calls are answered at once; slow: so many a second that all have theirs after 5 s;
-- hang: calls are taken, and nothing is said; down: connections are refused;
+- up: calls are answered at once; slow: at a rate that answers all calls within 5 s;
+- hang: calls are accepted but never answered; down: connections are refused;
 - back: down for the first 4 s, then up.
 """
 
@@ -27,47 +27,48 @@
 from ospreyline.rig.run import ROOT, Process, configuration
 
 STATES = ("up", "slow", "hang", "down", "back")
-SLOW, BACK = 5.0, 4.0  # s until the slow one has answered all; that the list service is down for
-LOOK = 0.05  # s between two looks at a process
-TICKS = os.sysconf("SC_CLK_TCK")
+SLOW_S = 5.0  # until the slow list service has answered all calls
+BACK_S = 4.0  # for which the list service is down in state "back"
+READY_POLL_S = 0.05
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(slots=True)
 class Start:
-    """One process: s from its exec until it serves and is ready, and its processor time until then."""
+    """One process: seconds from exec until it serves and until it is ready, and its processor time."""
 
     serving: float = inf
     ready: float = inf
-    busy: float = 0.0
+    cpu_s: float = 0.0
 
 
 def share(times: list[float], part: float) -> float:
-    """The time within which so large a part of them was there."""
+    """The time within which this part of them was reached."""
     return sorted(times)[max(0, ceil(part * len(times)) - 1)]
 
 
 def line(state: str, starts: list[Start]) -> str:
-    """The figures of one run."""
+    """The figures of one run as a line of text."""
     text = f"{state:>5} {len(starts):4}"
     for name, times in (("serving", [s.serving for s in starts]), ("ready", [s.ready for s in starts])):
         text += f"  {name} {share(times, 0.5):6.2f} {share(times, 0.9):6.2f} {max(times):6.2f}"
-    return f"{text}  processor {sum(s.busy for s in starts) / len(starts):5.2f}"
+    return f"{text}  processor {sum(s.cpu_s for s in starts) / len(starts):5.2f}"
 
 
 HEADER = "s from exec: half, nine in ten, all; processor time, mean"
 
 
-def busy(pid: int) -> float:
-    """Processor time of a process so far, s."""
+def cpu_seconds(pid: int) -> float:
+    """Processor time of a process so far, in s; 0 if it is gone."""
     with suppress(OSError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
     return 0.0
 
 
-async def _watch(command: list[str], errors: Path, start: Start, until: float) -> None:
-    """Start one, look until it is ready, end it."""
-    began = monotonic()
+async def _start_and_wait(command: list[str], errors: Path, start: Start, until: float) -> None:
+    """Starts one process, polls until it is ready or `until` (loop time), then ends it."""
+    begun = monotonic()
     with errors.open("ab") as log:
         process = await asyncio.create_subprocess_exec(
             *command, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=log, cwd=ROOT
@@ -76,27 +77,27 @@
     reading: asyncio.Task[bytes] | None = None
     try:
         async with asyncio.timeout_at(until):
-            while said := await process.stdout.readline():
-                if (news := msgspec.json.decode(said))["event"] == "serving":
+            while logged := await process.stdout.readline():
+                if (event := msgspec.json.decode(logged))["event"] == "serving":
                     break
             else:
                 return
-            start.serving = monotonic() - began
+            start.serving = monotonic() - begun
             reading = asyncio.ensure_future(process.stdout.read())
-            host, _, port = str(news["listen"]).rpartition(":")
+            host, _, port = str(event["listen"]).rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             while True:
                 writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b" 200 " in head.partition(b"\r\n")[0]:
-                    start.ready = monotonic() - began
-                    start.busy = busy(process.pid)
+                    start.ready = monotonic() - begun
+                    start.cpu_s = cpu_seconds(process.pid)
                     break
                 await reader.readuntil(b"\n")  # the body, one line
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(READY_POLL_S)
             writer.close()
     except (TimeoutError, OSError, asyncio.IncompleteReadError):
-        start.busy = start.busy or busy(process.pid)
+        start.cpu_s = start.cpu_s or cpu_seconds(process.pid)
     finally:
         with suppress(ProcessLookupError):
             process.kill()
@@ -116,12 +117,12 @@
     out: Path,
     back: float,
 ) -> list[Start]:
-    await asyncio.to_thread(compile_dir, f"{ROOT}/ospreyline", quiet=2)  # as the deployment's build does
+    await asyncio.to_thread(compile_dir, f"{ROOT}/ospreyline", quiet=2)  # as the build of a deployment does
     entries = [{"uid": f"s{i}", "machine": i, "az": "", "state": "active", "boot_ms": 0} for i in range(3)]
-    at_all = {str(entry["machine"]): f"127.0.0.1:{9 + i}" for i, entry in enumerate(entries)}
+    endpoints = {str(entry["machine"]): f"127.0.0.1:{9 + i}" for i, entry in enumerate(entries)}
     service = Process("list-0", lambda part, news: None)
     waiting = asyncio.ensure_future(service.said("listening", seconds))
-    await asyncio.sleep(0)  # its future stands before the process can speak
+    await asyncio.sleep(0)  # so that it is registered before the process sends anything
     try:
         await service.start(
             "registry",
@@ -132,8 +133,8 @@
                 "listen": "127.0.0.1",
                 "named": {},
                 "entries": entries,
-                "endpoints": {"": at_all},
-                "calls_per_s": count / SLOW if state == "slow" else 0.0,
+                "endpoints": {"": endpoints},
+                "calls_per_s": count / SLOW_S if state == "slow" else 0.0,
                 "queue": 4 * count,
                 "retry_after_s": 0.0,
                 "period_ms": 10.0,
@@ -141,28 +142,28 @@
             out / "list.log",
         )
         at = (await waiting)["at"]
-        down = {"do": "fault", "kind": "registry-hang" if state == "hang" else "registry-down"}
+        fault = {"do": "fault", "kind": "registry-hang" if state == "hang" else "registry-down"}
         if state in ("hang", "down", "back"):
-            await service.order(**down, on=1)
+            await service.order(**fault, on=1)
         scenario = scenarios.load("quiet")
-        targets = [{**entry, "endpoint": at_all[str(entry["machine"])]} for entry in entries if known]
-        listed = {"rev": int(known), "all": True, "targets": targets}
+        targets = [{**entry, "endpoint": endpoints[str(entry["machine"])]} for entry in entries if known]
+        known_list = {"rev": int(known), "all": True, "targets": targets}
         starts, until = [Start() for _ in range(count)], asyncio.get_running_loop().time() + seconds
         tasks = []
         for number, start in enumerate(starts):
-            told = configuration(
-                scenario, number, "127.0.0.1:0", "{}:{}".format(*at), seed * 1009 + number, listed
+            config = configuration(
+                scenario, number, "127.0.0.1:0", "{}:{}".format(*at), seed * 1009 + number, known_list
             )
-            told["settings"] |= {"Balancers": count, "Discovery": "push" if pushed else "ask"}
-            told["settings"]["Invariants"]["MustAskInUs"] = 1e6 * must_ask_s
+            config["settings"] |= {"Balancers": count, "Discovery": "push" if pushed else "ask"}
+            config["settings"]["Invariants"]["MustAskInUs"] = 1e6 * must_ask_s
             file = out / f"b{number}.json"
-            file.write_bytes(msgspec.json.encode(told))
+            file.write_bytes(msgspec.json.encode(config))
             command = [sys.executable, "-m", "ospreyline", "serve", str(file)]
-            tasks.append(asyncio.create_task(_watch(command, out / f"b{number}.log", start, until)))
+            tasks.append(asyncio.create_task(_start_and_wait(command, out / f"b{number}.log", start, until)))
         try:
             if state == "back":
                 await asyncio.sleep(back)
-                await service.order(**down, on=-1)
+                await service.order(**fault, on=-1)
             await asyncio.gather(*tasks)
         finally:
             for task in tasks:
@@ -173,7 +174,7 @@
         await service.end()
 
 
-async def _ended_by_signals(call: Any) -> list[Start]:
+async def _cancel_on_signals(call: Any) -> list[Start]:
     task = asyncio.ensure_future(call)
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
@@ -190,9 +191,12 @@
     must_ask_s: float = 10.0,
     seconds: float = 30.0,
     seed: int = 1,
-    back: float = BACK,
+    back: float = BACK_S,
 ) -> list[Start]:
-    """Start so many at once; each gets `seconds` at the most."""
+    """Starts `count` processes at once; each gets at most `seconds`.
+
+    Logs go to `out`; `back` is the time in s until the list service of state "back" comes up.
+    """
     return asyncio.run(
-        _ended_by_signals(_measure(count, state, known, pushed, must_ask_s, seconds, seed, out, back))
+        _cancel_on_signals(_measure(count, state, known, pushed, must_ask_s, seconds, seed, out, back))
     )
