--- a/ospreyline/rig/slopefile.py
+++ b/ospreyline/rig/slopefile.py
@@ -1,4 +1,7 @@
-"""The data file of slopes: what each is, its points, and from where; `ospreyline capacity` reads it."""
+"""The data file of slopes: description, points and origin of each; `ospreyline capacity` reads it.
+
+The texts of the descriptions are stored in data files, so rewording one changes those files.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,7 @@
 
 
 def slope(by: str, unit: str, about: str) -> dict[str, str]:
+    """A description: the size that the slope depends on, its unit, and what is measured."""
     return {"by": by, "unit": unit, "about": about}
 
 
@@ -55,56 +59,66 @@
     "pass_on_listeners": slope("listeners", "listeners", "that are told a change"),
 }
 
-HELD, SUBSCRIBERS, OF_ONE = "services held", "subscribers", "subscribers of one that passes on"
-SCOPED = {  # of a hollow run of scoped subscriptions; "steady" is with the planned changes
-    "scoped_state_bytes": slope(HELD, "bytes", "what a subscriber holds"),
-    "scoped_cpu_pct": slope(HELD, "% of a core", "processor time of a subscriber, steady"),
-    "scoped_bytes_s": slope(HELD, "bytes/s", "a subscriber, steady, both ways"),
-    "scoped_messages_s": slope(HELD, "a second", "the same, messages"),
-    "scoped_return_bytes": slope(HELD, "bytes", "a subscriber, while all are restarted, in all"),
-    "scoped_in_force_s": slope(SUBSCRIBERS, "s", "from change to in force, 99 in 100, steady"),
-    "scoped_deaf_s": slope(SUBSCRIBERS, "s", "longest deafness, some that pass on killed"),
-    "fan_cpu_pct": slope(OF_ONE, "% of a core", "processor time of one that passes on, steady"),
-    "fan_bytes_s": slope(OF_ONE, "bytes/s", "one that passes on, steady, both ways"),
-    "fan_messages_s": slope(OF_ONE, "a second", "the same, messages"),
+SERVICES_HELD, FLEET_SUBSCRIBERS = "services held", "subscribers"
+SUBSCRIBERS_PER_FANOUT = "subscribers of one that passes on"
+SCOPED = {  # from a simulated run of scoped subscriptions; "steady" includes the planned changes
+    "scoped_state_bytes": slope(SERVICES_HELD, "bytes", "what a subscriber holds"),
+    "scoped_cpu_pct": slope(SERVICES_HELD, "% of a core", "processor time of a subscriber, steady"),
+    "scoped_bytes_s": slope(SERVICES_HELD, "bytes/s", "a subscriber, steady, both ways"),
+    "scoped_messages_s": slope(SERVICES_HELD, "a second", "the same, messages"),
+    "scoped_return_bytes": slope(SERVICES_HELD, "bytes", "a subscriber, while all are restarted, in all"),
+    "scoped_in_force_s": slope(FLEET_SUBSCRIBERS, "s", "from change to in force, 99 in 100, steady"),
+    "scoped_deaf_s": slope(FLEET_SUBSCRIBERS, "s", "longest deafness, some that pass on killed"),
+    "fan_cpu_pct": slope(
+        SUBSCRIBERS_PER_FANOUT, "% of a core", "processor time of one that passes on, steady"
+    ),
+    "fan_bytes_s": slope(SUBSCRIBERS_PER_FANOUT, "bytes/s", "one that passes on, steady, both ways"),
+    "fan_messages_s": slope(SUBSCRIBERS_PER_FANOUT, "a second", "the same, messages"),
     "fan_memory_mb": slope("upstreams", "MB", "resident memory of one that passes on, the most"),
     "source_calls_most_s": slope("machines that pass on", "a second", "calls at the source, the most"),
 }
 
 
 def scoped(runs: list[dict[str, Any]]) -> dict[str, list[tuple[float, float]]]:
-    """Points from the figures of hollow runs (`plan`, `held_bytes_a_subscriber`, `phases`)."""
+    """Points (size, value) from the figures of simulated runs, as `rig scale scopes` writes them."""
     points: dict[str, dict[float, float]] = {}
     for run in runs:
         plan, phases = run["plan"], run["phases"]
         subscribers = float(plan["subscribers"])
-        held = plan["services"] * min(1.0, plan["per"] / subscribers)
-        of_one = subscribers / plan["fanouts"]
+        services_held = plan["services"] * min(1.0, plan["per"] / subscribers)
+        subscribers_per_fanout = subscribers / plan["fanouts"]
 
         def add(name: str, size: float, value: float) -> None:
-            """The most, where several phases or runs tell it."""
-            at = points.setdefault(name, {})
-            at[size] = max(at.get(size, 0.0), value)
+            """Keeps the maximum where several phases or runs give a value for one size."""
+            by_size = points.setdefault(name, {})
+            by_size[size] = max(by_size.get(size, 0.0), value)
 
-        add("scoped_state_bytes", held, run["held_bytes_a_subscriber"])
+        add("scoped_state_bytes", services_held, run["held_bytes_a_subscriber"])
         for name, phase in phases.items():
             add("fan_memory_mb", plan["upstreams"], phase["fanout"]["most_mb"])
             add("source_calls_most_s", plan["fanouts"], phase["source"]["most_calls_a_second"])
             if name == "steady":
                 add("scoped_in_force_s", subscribers, phase["in_force_ms"]["p99"] / 1e3)
-                for role, key, size in (("subscriber", "scoped", held), ("fanout", "fan", of_one)):
+                for role, key, size in (
+                    ("subscriber", "scoped", services_held),
+                    ("fanout", "fan", subscribers_per_fanout),
+                ):
                     add(f"{key}_cpu_pct", size, phase[role]["cpu_percent"])
                     add(f"{key}_bytes_s", size, phase[role]["bytes_a_second"])
                     add(f"{key}_messages_s", size, phase[role]["words_a_second"])
             elif "restart" in name:
-                add("scoped_return_bytes", held, phase["subscriber"]["bytes_a_second"] * phase["seconds"])
-            elif "region" not in name and phase["deaf_ms"]["count"]:  # who is cut off is deaf until it heals
+                add(
+                    "scoped_return_bytes",
+                    services_held,
+                    phase["subscriber"]["bytes_a_second"] * phase["seconds"],
+                )
+            elif "region" not in name and phase["deaf_ms"]["count"]:  # a partitioned region gets no data
                 add("scoped_deaf_s", subscribers, phase["deaf_ms"]["most"] / 1e3)
     return {name: sorted(found.items()) for name, found in points.items()}
 
 
 def machine() -> str:
-    """The class of machine, in words."""
+    """Describes this machine: architecture, cores, system, Python version, load."""
     load = os.getloadavg()[0]
     return (
         f"{platform.machine()}, {os.cpu_count()} cores, {platform.system()}, Python "
@@ -113,11 +127,11 @@
 
 
 def toml(slopes: dict[str, dict[str, Any]]) -> str:
-    """The data file."""
+    """The data file as TOML text."""
     out = [
-        "# Measured slopes, which docs/CAPACITY.md and `ospreyline capacity` are worked out from.",
-        "# Written by `ospreyline rig scale slopes`, which leaves what it has not measured as it stands.",
-        "# A slope without points is not measured yet.",
+        "# Measured slopes, from which docs/CAPACITY.md and `ospreyline capacity` are computed.",
+        "# Written by `ospreyline rig scale slopes`, which keeps the slopes that it did not measure.",
+        "# A slope without points has not been measured yet.",
     ]
     for name, about in slopes.items():
         out += ["", f"[{name}]"]
@@ -139,25 +153,30 @@
     reference: list[float],
     date: str,
     command: str,
-    on: str,
+    machine_class: str,
 ) -> dict[str, dict[str, Any]]:
-    """What stood there, with what was measured now; a slope that was measured now is measured anew whole."""
+    """The data of the file with new points; a slope with new points loses its former ones.
+
+    `reference` holds the ms of the fixed piece of work, of which minimum, median and maximum are stored.
+    """
     out = {name: dict(about) for name, about in before.items()}
-    ms = sorted(reference)
+    reference_ms = sorted(reference)
     for name, found in points.items():
         out[name] = {
             **(SLOPES | SCOPED)[name],
             "date": date,
             "command": command,
-            "machine": on,
-            "reference_ms": [ms[0], ms[len(ms) // 2], ms[-1]] if ms else [],
+            "machine": machine_class,
+            "reference_ms": [reference_ms[0], reference_ms[len(reference_ms) // 2], reference_ms[-1]]
+            if reference_ms
+            else [],
             "points": [[size, value] for size, value in found],
         }
     return out
 
 
 def plot(slopes: dict[str, dict[str, Any]], out: Path) -> None:
-    """What grows with each size, log over log."""
+    """Plots what grows with each size, on logarithmic axes."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -178,7 +197,7 @@
         axis.grid(True, which="major", alpha=0.3)
         if axis.lines:
             axis.legend(fontsize=8)
-    figure.suptitle("What one balancer spends, by size")
+    figure.suptitle("Cost of one balancer by size")
     figure.tight_layout()
     figure.savefig(out, dpi=100)
     pyplot.close(figure)
