--- a/ospreyline/rig/fleetlog.py
+++ b/ospreyline/rig/fleetlog.py
@@ -1,7 +1,7 @@
-"""What the balancers of a run said of one another, beside what was done to them: a report, no verdict.
+"""Reports what the balancers of a run logged about each other, compared with what was done to them.
 
-The referee judges by the wire alone; this reads the logs of the balancers, to see when each noticed that
-another was gone, and whom it held for gone that was not.
+It gives no verdict: the referee judges by the wire alone. This module reads the balancers' logs to see when
+each noticed that another was gone, and which it wrongly considered dead.
 """
 
 from __future__ import annotations
@@ -21,54 +21,60 @@
         yield msgspec.json.decode(line)
 
 
-def absences(folder: Path, how: tuple[str, ...] = ("kill", "stop")) -> dict[str, list[Span]]:
-    """By balancer: when it was killed or stopped, and until it was there again; ms of the run's clock."""
+def absences(folder: Path, signals: tuple[str, ...] = ("kill", "stop")) -> dict[str, list[Span]]:
+    """By balancer: intervals from a kill or stop until it ran again, in ms of the run's clock."""
     out: dict[str, list[Span]] = {}
     for row in _rows(folder, "keeper-0"):
         spans = out.setdefault(row.get("name", ""), [])
-        gone = row["k"] == "signal" and row["what"] in how
+        left = row["k"] == "signal" and row["what"] in signals
         back = row["k"] == "spawned" or (row["k"] == "signal" and row["what"] == "go on")
-        if gone:
+        if left:
             spans.append((row["t"], float("inf")))
         elif back and spans and spans[-1][1] == float("inf"):
             spans[-1] = (spans[-1][0], row["t"])
     return out
 
 
-def said(
-    folder: Path, balancer: str, wall: float, events: tuple[str, ...] = ("member", "fleet")
+def log_lines(
+    folder: Path, balancer: str, origin_unix_ms: float, events: tuple[str, ...] = ("member", "fleet")
 ) -> Iterator[tuple[float, dict[str, Any]]]:
-    """Its lines of some kinds until it stops; times in ms of the run's clock (`wall`: its zero, Unix ms)."""
-    for line in (folder / "logs" / f"{balancer}.log").read_bytes().splitlines():
-        if not line.startswith(b"{"):
+    """Log lines of these events until the balancer stops, with their times in ms of the run's clock.
+
+    `origin_unix_ms` is the zero of that clock.
+    """
+    for raw in (folder / "logs" / f"{balancer}.log").read_bytes().splitlines():
+        if not raw.startswith(b"{"):
             continue
-        told = msgspec.json.decode(line)
-        if told["event"] == "stopping" and "upstream" not in events:
+        line = msgspec.json.decode(raw)
+        if line["event"] == "stopping" and "upstream" not in events:
             return
-        if told["event"] in events:
-            yield datetime.fromisoformat(told["timestamp"]).timestamp() * 1e3 - wall, told
+        if line["event"] in events:
+            yield datetime.fromisoformat(line["timestamp"]).timestamp() * 1e3 - origin_unix_ms, line
 
 
 def report(folder: Path) -> dict[str, Any]:
-    """Times (s) until one that was gone was held for dead by the others, wrong deaths, who hears all."""
-    gone = absences(folder)
-    begun = msgspec.json.decode((folder / "origin.json").read_bytes())["unix_ms"]
+    """Failure detection: times (s) until others declared an absent balancer dead, and wrong deaths.
+
+    Also counts the balancers that received from all others at the end.
+    """
+    absent = absences(folder)
+    origin_unix_ms = msgspec.json.decode((folder / "origin.json").read_bytes())["unix_ms"]
     names = sorted(path.stem for path in (folder / "logs").glob("b*.log"))
     times: list[float] = []
-    wrong = hearing = 0
+    wrong_deaths = complete = 0
     for name in names:
-        last = ""
-        for at, told in said(folder, name, begun):
-            if told["event"] == "fleet":
-                last = told["words"]
-            elif told["state"] == "dead":
-                spans = [s for s in gone.get(told["peer"], []) if s[0] <= at <= s[1] + 3_000.0]
-                own = [s for s in gone.get(name, []) if s[0] <= at <= s[1] + 3_000.0]
+        last_state = ""
+        for at, line in log_lines(folder, name, origin_unix_ms):
+            if line["event"] == "fleet":
+                last_state = line["words"]
+            elif line["state"] == "dead":
+                spans = [s for s in absent.get(line["peer"], []) if s[0] <= at <= s[1] + 3_000.0]
+                own = [s for s in absent.get(name, []) if s[0] <= at <= s[1] + 3_000.0]
                 if spans:
                     times.append((at - spans[-1][0]) / 1e3)
                 elif not own:
-                    wrong += 1
-        hearing += last == "hears all"
+                    wrong_deaths += 1
+        complete += last_state == "hears all"
     times.sort()
     return {
         "balancers": len(names),
@@ -76,37 +82,37 @@
         "median_s": round(times[len(times) // 2], 2) if times else None,
         "p99_s": round(times[int(0.99 * (len(times) - 1))], 2) if times else None,
         "most_s": round(times[-1], 2) if times else None,
-        "wrong_deaths": wrong,
-        "hear_all_at_the_end": hearing,
+        "wrong_deaths": wrong_deaths,
+        "hear_all_at_the_end": complete,
     }
 
 
-SOON = 6_000.0  # ms in which news has to be in force at a balancer that is there
-STATES = {"leaving": "draining", "left": "gone", "active": "ready"}  # the list's words, and the log's
+UPDATE_LIMIT_MS = 6_000.0  # within which an update must be in force at a running balancer
+LOGGED_STATES = {"leaving": "draining", "left": "gone", "active": "ready"}  # list state -> state in the log
 
 
 def news(folder: Path) -> dict[str, Any]:
-    """Times (ms) from each change of the list until it was in force at each balancer that was there."""
-    gone = absences(folder, ("kill", "stop", "term"))
-    wall = msgspec.json.decode((folder / "origin.json").read_bytes())["unix_ms"]
+    """Times (ms) from each change of the list until it was in force at each running balancer."""
+    absent = absences(folder, ("kill", "stop", "term"))
+    origin_unix_ms = msgspec.json.decode((folder / "origin.json").read_bytes())["unix_ms"]
     changes = [
-        (row["t"], row["entry"]["uid"], STATES[row["entry"].get("state", "active")])
+        (row["t"], row["entry"]["uid"], LOGGED_STATES[row["entry"].get("state", "active")])
         for row in _rows(folder, "script")
         if row["k"] == "listed"
     ]
     times: list[float] = []
     never = 0
     for path in sorted((folder / "logs").glob("b*.log")):
-        heard: dict[tuple[str, str], list[float]] = {}
-        for at, told in said(folder, path.stem, wall, ("upstream",)):
-            heard.setdefault((told["uid"], told["state"]), []).append(at)
+        applied: dict[tuple[str, str], list[float]] = {}
+        for at, line in log_lines(folder, path.stem, origin_unix_ms, ("upstream",)):
+            applied.setdefault((line["uid"], line["state"]), []).append(at)
         for at, uid, state in changes:
-            if any(a <= at + SOON and b >= at for a, b in gone.get(path.stem, [])):
-                continue  # it was not there, or ended before it had to know
-            later = [t for t in heard.get((uid, state), []) if t >= at - 5.0]
-            if later:
-                times.append(later[0] - at)
-            elif not any(t >= at for (u, _), ts in heard.items() if u == uid for t in ts):
+            if any(a <= at + UPDATE_LIMIT_MS and b >= at for a, b in absent.get(path.stem, [])):
+                continue  # absent, or ended before the limit
+            after = [t for t in applied.get((uid, state), []) if t >= at - 5.0]
+            if after:
+                times.append(after[0] - at)
+            elif not any(t >= at for (u, _), ts in applied.items() if u == uid for t in ts):
                 never += 1
     times.sort()
     figures = {
