--- a/ospreyline/rig/hollow.py
+++ b/ospreyline/rig/hollow.py
@@ -83,14 +83,14 @@
     async def _read(self) -> None:
         assert self._proc is not None and self._proc.stdout is not None
         while line := await self._proc.stdout.readline():
-            said = msgspec.json.decode(line)
-            if "status" in said:
-                self.rows.append(said)
-            elif "listens" in said:
-                self.address = (said["host"], said["port"])
+            message = msgspec.json.decode(line)
+            if "status" in message:
+                self.rows.append(message)
+            elif "listens" in message:
+                self.address = (message["host"], message["port"])
                 self.listens_or_ended.set()
             else:
-                self.final_report = said
+                self.final_report = message
         self.has_ended = True
         self.listens_or_ended.set()
 
@@ -470,11 +470,11 @@
         f"{found['loaded_s']['all_s']:.0f} s"
     ]
     for name, phase in found["phases"].items():
-        force, deaf = phase["in_force_ms"], phase["deaf_ms"]
+        force, no_data = phase["in_force_ms"], phase["deaf_ms"]
         lines.append(
             f"{name:14} {phase['changes']:4} changes, in force p50 {force['p50']:.0f} p99 {force['p99']:.0f} "
             f"most {force['most']:.0f} ms (never {phase['never']}, over 4 s {phase['over_4_s']}); no data "
-            f"p50 {deaf['p50']:.0f} p99 {deaf['p99']:.0f} most {deaf['most']:.0f} ms"
+            f"p50 {no_data['p50']:.0f} p99 {no_data['p99']:.0f} most {no_data['most']:.0f} ms"
         )
         for role in ("subscriber", "fanout", "source"):
             one = phase[role]
--- a/ospreyline/rig/referee.py
+++ b/ospreyline/rig/referee.py
@@ -484,23 +484,23 @@
                 group, (since, warm) = self._groups[index], started.get(row["u"], (-inf, True))
                 if warm or now - since >= group.warm_ms:
                     continue
-                pushed = recent[index]
-                pushed.append((now, row["work"]))
-                while pushed[0][0] <= now - window:
-                    pushed.popleft()
+                arrivals = recent[index]
+                arrivals.append((now, row["work"]))
+                while arrivals[0][0] <= now - window:
+                    arrivals.popleft()
                 warmth = group.cold_from + (1 - group.cold_from) * (now - since) / group.warm_ms
                 capacity_ms = factor * warmth * self._speeds[index] * group.cores * window
-                mean = sum(work for _, work in pushed) / len(pushed)
+                mean = sum(work for _, work in arrivals) / len(arrivals)
                 # the rule allows N + 2 root N + 2 visits of mean work; below four visits the
                 # former bound N + 3 root N is stricter and still applies
                 n = capacity_ms / mean
                 slack = mean * min(2 * (sqrt(n) + 1), 3 * sqrt(max(1.0, n)))
-                share = sum(w for _, w in pushed) / (capacity_ms + slack)
+                share = sum(w for _, w in arrivals) / (capacity_ms + slack)
                 self.pushed = max(self.pushed, share)
                 if share > 1:
                     much = f"{share:.2f} times what an upstream {now - since:.0f} ms old can handle"
                     self._add_breach("cold", now, much, row["id"], upstream=index)
-                    pushed.clear()
+                    arrivals.clear()
 
     def counts(self) -> dict[str, int]:
         """Number of breaches by rule."""
