--- a/ospreyline/rig/command.py
+++ b/ospreyline/rig/command.py
@@ -53,15 +53,15 @@
     """Play a scenario, judge it and write its records; its figures."""
     from ospreyline.rig import results
     from ospreyline.rig.referee import Referee
-    from ospreyline.rig.run import Day, play, prepare
+    from ospreyline.rig.run import RigRun, prepare, run_interruptible
 
     prepare(out)
-    day = Day(found, seed, out, say, live)
-    rows = asyncio.run(play(day))
+    day = RigRun(found, seed, out, say, live)
+    rows = asyncio.run(run_interruptible(day))
     referee = Referee(found, day.speeds)
     breaches = referee.judge(rows)
-    figures = results.summary(found, rows, breaches, referee.pushed, seed, day.lag, day.used)
-    results.write(out, found, rows, breaches, figures, day.script.log, day.begun)
+    figures = results.summary(found, rows, breaches, referee.pushed, seed, day.lag, day.resource_usage)
+    results.write(out, found, rows, breaches, figures, day.injector.log, day.start_ms)
     for problem in day.problems:
         say(problem)
     for breach in breaches[:10]:
--- a/ospreyline/rig/scenario.py
+++ b/ospreyline/rig/scenario.py
@@ -246,7 +246,7 @@
     ]
 
 
-def drawn(s: Scenario, generator: Any) -> list[Fault]:
+def draw_faults(s: Scenario, generator: Any) -> list[Fault]:
     """The drawn faults of a day: those of the laboratory, and links and processes; one seed, one day."""
     chance, out = s.chance, list[Fault]()
     kinds = list(chance.kinds) or [k for k in SHARED if k in words.RANGES]
--- a/ospreyline/rig/soak.py
+++ b/ospreyline/rig/soak.py
@@ -79,7 +79,7 @@
         chance = msgspec.structs.replace(
             found.chance, kinds=list(kinds), mildness=0.3, count=int(generator.integers(*FAULTS)) // 2 + 1
         )
-        faults += scenarios.drawn(msgspec.structs.replace(found, chance=chance), generator)
+        faults += scenarios.draw_faults(msgspec.structs.replace(found, chance=chance), generator)
     faults = [_met(fault, found.bank.count, generator) for fault in faults]
     found.faults = sorted(faults, key=lambda fault: fault.at_s)
     return found
