--- a/ospreyline/rig/__init__.py
+++ b/ospreyline/rig/__init__.py
@@ -1,5 +1,5 @@
-"""The rig: many real processes of the program on loopback, every link a relay that can be broken.
+"""The test rig: many real balancer processes on loopback, with a relay on every link that can inject faults.
 
-It starts what the operators start and judges by what was on the wire; it imports nothing of what it judges
-(`decide`, `net`, `fleet`). docs/rig.md has the parts, the words of a scenario and the limits.
+It starts the same command as operators do and judges by the traffic on the wire; it imports nothing of what
+it judges (`decide`, `net`, `fleet`). docs/rig.md describes its parts, scenario files and limits.
 """
--- a/ospreyline/rig/keeper.py
+++ b/ospreyline/rig/keeper.py
@@ -1,7 +1,7 @@
-"""Keeps the processes that are judged: starts, stops, continues and ends them, each in a group of its own.
+"""Starts the balancer processes, each in a process group of its own, and sends them signals.
 
-It holds no log and knows no scenario. When its orders end, for whatever reason, it kills all that it
-started and waits for them, so that none is left behind even if the rig itself was killed.
+It reads no logs and knows no scenario. When its standard input ends, for whatever reason, it kills and reaps
+all that it started, so no process is left behind even if the rig itself was killed.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from ospreyline.rig.worker import Worker
 
-STARVED = 30.0  # ms in LOOK that a process was ready to run and did not, which is told
-LOOK = 100.0  # ms
+STARVED_MS = 30.0  # run queue wait per check from which a process is reported as starved
+STARVED_CHECK_MS = 100.0
 SIGNALS = {
     "stop": signal.SIGSTOP,
     "go on": signal.SIGCONT,
@@ -30,55 +30,55 @@
     def __init__(self, worker: Worker, setup: dict[str, Any]) -> None:
         self.worker = worker
         self._procs: dict[str, subprocess.Popen[bytes]] = {}
-        self._wanted: set[str] = set()  # whose end was ordered
-        self._waited: dict[str, float] = {}  # ms for which each was ready to run and did not
+        self._expected_exits: set[str] = set()  # names of those that were told to exit
+        self._run_delay_ms: dict[str, float] = {}  # total run queue wait so far, by name
 
     async def begin(self) -> None:
-        self.worker.clock.after(20.0, self._look)
-        self.worker.clock.after(LOOK, self._look_for_starved)
+        self.worker.clock.after(20.0, self._reap)
+        self.worker.clock.after(STARVED_CHECK_MS, self._report_starved)
         self.worker.say("keeping")
 
-    def _look_for_starved(self) -> None:
-        """Who was ready to run and was given no core, by the kernel's own accounts?"""
-        self.worker.clock.after(LOOK, self._look_for_starved)
+    def _report_starved(self) -> None:
+        """Write a row for each process that waited long for a core, by /proc/PID/schedstat."""
+        self.worker.clock.after(STARVED_CHECK_MS, self._report_starved)
         for name, proc in self._procs.items():
             try:
                 with open(f"/proc/{proc.pid}/schedstat", "rb") as file:
-                    waited = int(file.read().split()[1]) / 1e6
+                    run_delay_ms = int(file.read().split()[1]) / 1e6
             except (OSError, IndexError, ValueError):
-                continue  # a kernel without these accounts tells nothing
-            before, self._waited[name] = self._waited.get(name, waited), waited
-            if waited - before > STARVED:
-                self.worker.row("starved", name=name, ms=round(waited - before, 1))
+                continue  # no schedstat in this kernel, or the process has ended
+            before, self._run_delay_ms[name] = self._run_delay_ms.get(name, run_delay_ms), run_delay_ms
+            if run_delay_ms - before > STARVED_MS:
+                self.worker.row("starved", name=name, ms=round(run_delay_ms - before, 1))
 
-    def _look(self) -> None:
-        """Who has ended?"""
-        self.worker.clock.after(20.0, self._look)
+    def _reap(self) -> None:
+        """Report the processes that have exited."""
+        self.worker.clock.after(20.0, self._reap)
         for name, proc in list(self._procs.items()):
             status = proc.poll()
             if status is not None:
                 del self._procs[name]
-                self.worker.row("ended", name=name, status=status, wanted=name in self._wanted)
-                self.worker.say("gone", name=name, status=status, wanted=name in self._wanted)
-                self._wanted.discard(name)
+                self.worker.row("ended", name=name, status=status, wanted=name in self._expected_exits)
+                self.worker.say("gone", name=name, status=status, wanted=name in self._expected_exits)
+                self._expected_exits.discard(name)
 
     async def told(self, order: dict[str, Any]) -> None:
         do = order["do"]
         if do == "start":
-            for one in order["processes"]:
-                await asyncio.sleep(0)  # a hundred of them take a while
-                with open(one["log"], "ab") as log:
-                    self._procs[one["name"]] = subprocess.Popen(
-                        one["command"],
+            for spec in order["processes"]:
+                await asyncio.sleep(0)  # starting a hundred takes a while; let other tasks run
+                with open(spec["log"], "ab") as log:
+                    self._procs[spec["name"]] = subprocess.Popen(
+                        spec["command"],
                         stdin=subprocess.DEVNULL,
                         stdout=log,
                         stderr=log,
-                        cwd=one["folder"],
+                        cwd=spec["folder"],
                         process_group=0,
                     )
-                self._waited.pop(one["name"], None)
-                self.worker.row("spawned", name=one["name"], pid=self._procs[one["name"]].pid)
-            pids = {one["name"]: self._procs[one["name"]].pid for one in order["processes"]}
+                self._run_delay_ms.pop(spec["name"], None)
+                self.worker.row("spawned", name=spec["name"], pid=self._procs[spec["name"]].pid)
+            pids = {spec["name"]: self._procs[spec["name"]].pid for spec in order["processes"]}
             self.worker.say("spawned", pids=pids)
         else:
             for name in order["names"]:
@@ -86,8 +86,8 @@
                 if proc is None:
                     continue
                 if do in ("kill", "term"):
-                    self._wanted.add(name)
-                # guards: a signal to an id that was reaped could meet another process
+                    self._expected_exits.add(name)
+                # the id of a reaped process may belong to another process by now
                 if proc.poll() is None:
                     with suppress(ProcessLookupError):
                         proc.send_signal(SIGNALS[do])
--- a/ospreyline/rig/registry.py
+++ b/ospreyline/rig/registry.py
@@ -1,7 +1,7 @@
-"""The stand-in list service: discovery's protocol, calls worked through in turn, and the ways it fails.
+"""The stand-in list service: the list protocol over HTTP, a queue of calls, and its faults.
 
-`Listing` holds what the list says and what it said before, `lab/turns.py` when a call is served and which
-are refused; both are without I/O. Each balancer is told addresses of its own, those of its links.
+`UpstreamList` holds the list and its changes by version; `lab/turns.py` decides when a call is served or
+refused; neither does I/O. Each balancer gets upstream addresses of its own: those of its links.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from ospreyline.lab.turns import Turns
 from ospreyline.rig.worker import Worker
 
-RESETS = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
-LOST_BUT_FOR = (0, 1, 4, 0, 40)  # bytes of a writing that arrive before the reset that takes the rest away
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends RST
+ARRIVING_BYTES = (0, 1, 4, 0, 40)  # bytes of a lost write that arrive before the reset, in rotation
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-LOSES = "registry-lost-"  # of a kind of fault, behind which the end stands that takes the writing's place
-AWAY_WAIT = 2_000.0  # ms until a call is turned away that is let wait first
-EMPTY_LINE = 2_000.0  # ms between two lines of a watch that has nothing to tell
+LOSS_PREFIX = "registry-lost-"  # of fault kinds; the rest of the kind is `Loss.end`
+REFUSAL_DELAY_MS = 2_000.0  # how long a call waits for its 503 if the loss is `silent`
+KEEPALIVE_INTERVAL_MS = 2_000.0  # between empty lines on watches
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """What becomes of a writing that is lost, and of the calls after it."""
+    """What happens to a lost write, and to the calls after it."""
 
-    end: str  # last-chunk, fin, reset or silence
-    arrives: int  # bytes of it
-    away: float  # ms for which the service turns calls away after it
-    wait: float  # ms that such a call waits for its answer
+    end: str  # how the connection ends: last-chunk, fin, reset or silence
+    arriving_bytes: int  # of the write, before the end
+    refuse_ms: float  # calls are refused with 503 for so long after it
+    refusal_delay_ms: float  # until such a call gets its 503
 
 
-class Listing:
-    """What the list says of each upstream, by version."""
+class UpstreamList:
+    """The upstream list: its entries, and in which version each changed."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
-        self.rev = 1
-        self._first = [dict(entry) for entry in entries]
+        self.version = 1
+        self._first_entries = [dict(entry) for entry in entries]
         self.entries = {entry["uid"]: entry for entry in entries}
-        self._changed: dict[str, int] = {}  # the version in which each was changed last
+        self._changed_in: dict[str, int] = {}  # version of the last change, by uid
         self._left: dict[str, dict[str, Any]] = {}
 
     def change(self, uid: str, **values: Any) -> None:
-        """One entry changes: a new version."""
+        """Change or add an entry, which makes a new version."""
         entry = {**(self.entries.get(uid) or self._left.get(uid) or {"uid": uid}), **values}
-        self.rev += 1
-        self._changed[uid] = self.rev
+        self.version += 1
+        self._changed_in[uid] = self.version
         if entry.get("state") == "left":
             self.entries.pop(uid, None)
             self._left[uid] = entry
@@ -57,41 +57,41 @@
             self._left.pop(uid, None)
             self.entries[uid] = entry
 
-    def whole(self) -> list[dict[str, Any]]:
+    def all_entries(self) -> list[dict[str, Any]]:
         return list(self.entries.values())
 
-    def oldest(self) -> list[dict[str, Any]]:
+    def first_entries(self) -> list[dict[str, Any]]:
         """The list as it was at the start."""
-        return self._first
+        return self._first_entries
 
-    def since(self, rev: int) -> list[dict[str, Any]] | None:
-        """What changed after a version; None if the version is none of ours."""
-        if not 0 < rev <= self.rev:
+    def changes_since(self, version: int) -> list[dict[str, Any]] | None:
+        """The entries that changed after a version, oldest change first; None for an unknown version."""
+        if not 0 < version <= self.version:
             return None
         return [
             self.entries.get(uid) or self._left[uid]
-            for uid, at in sorted(self._changed.items(), key=lambda item: item[1])
-            if at > rev
+            for uid, at in sorted(self._changed_in.items(), key=lambda item: item[1])
+            if at > version
         ]
 
 
 class Call(asyncio.Protocol):
-    """One connection to the service; it carries one call."""
+    """One connection to the service, with one list call: a poll or a watch."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
         self.transport: Any = None
         self.balancer = ""
         self.watching = False
-        self.rev = 0
-        self.heard = service.worker.clock.now  # when the last byte was sent, or it came up
+        self.version = 0
+        self.last_sent_at = service.worker.clock.now  # ms; when it was accepted, until then
         self._path = b""
         self._parser: Any = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.balancer = self.service.named.get(transport.get_extra_info("peername")[0], "")
-        self.service.open[self] = None
+        self.balancer = self.service.balancer_names.get(transport.get_extra_info("peername")[0], "")
+        self.service.open_calls[self] = None
 
     def data_received(self, data: bytes) -> None:
         self.service.worker.clock.tick()
@@ -101,7 +101,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.service.open.pop(self, None)
+        self.service.open_calls.pop(self, None)
         self.watching = False
 
     def on_url(self, url: bytes) -> None:
@@ -110,56 +110,57 @@
     def on_message_complete(self) -> None:
         path, _, query = self._path.decode("latin-1").partition("?")
         self._path = b""
-        words = dict(part.partition("=")[::2] for part in query.split("&") if part)
+        parameters = dict(part.partition("=")[::2] for part in query.split("&") if part)
         if path != "/registry/instances":
-            self.plain(404, b"")
+            self.respond(404, b"")
             return
-        after = words.get("after", "0")
-        self.service.called(self, words.get("watch") == "1", int(after) if after.isdigit() else 0)
+        after = parameters.get("after", "0")
+        self.service.on_call(self, parameters.get("watch") == "1", int(after) if after.isdigit() else 0)
 
-    def plain(self, status: int, body: bytes, fields: bytes = b"") -> None:
-        word = {200: b"OK", 404: b"Not Found", 503: b"Service Unavailable"}[status]
+    def respond(self, status: int, body: bytes, headers: bytes = b"") -> None:
+        reason = {200: b"OK", 404: b"Not Found", 503: b"Service Unavailable"}[status]
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(
                 b"HTTP/1.1 %d %b\r\n%bConnection: close\r\nContent-Length: %d\r\n\r\n%b"
-                % (status, word, fields, len(body), body)
+                % (status, reason, headers, len(body), body)
             )
             self.transport.close()
 
     def reset(self) -> None:
-        """End the connection by a reset, not in order."""
+        """Close the connection by a reset."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.transport.abort()
 
-    def chunk(self, data: bytes) -> None:
-        self.send(chunked(data))
+    def send_chunk(self, data: bytes) -> None:
+        self.send(as_chunk(data))
 
     def send(self, data: bytes) -> None:
         if data and self.transport is not None and not self.transport.is_closing():
-            self.heard = self.service.worker.clock.now
+            self.last_sent_at = self.service.worker.clock.now
             self.transport.write(data)
 
     def close(self) -> None:
-        """End the connection in order, behind what has been sent."""
+        """Close the connection in order, after what has been sent."""
         if self.transport is not None:
             self.transport.close()
 
 
-def chunked(data: bytes) -> bytes:
+def as_chunk(data: bytes) -> bytes:
+    """As one chunk of the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class Service:
-    """The list service."""
+    """The list service process."""
 
     def __init__(self, worker: Worker, setup: dict[str, Any]) -> None:
         self.worker = worker
-        self.open: dict[Call, None] = {}
-        self.named: dict[str, str] = setup["named"]  # balancers by the address that their calls come from
-        self.listing = Listing(setup["entries"])
-        # where each balancer reaches each machine
+        self.open_calls: dict[Call, None] = {}
+        self.balancer_names: dict[str, str] = setup["named"]  # by the source address of their calls
+        self.upstream_list = UpstreamList(setup["entries"])
+        # upstream addresses by balancer and machine
         self.endpoints: dict[str, dict[str, str]] = setup["endpoints"]
         self._at: tuple[str, int] = (setup["listen"], 0)
         per_s = setup["calls_per_s"]
@@ -167,16 +168,16 @@
         self._retry_after: float = setup["retry_after_s"]
         self._period: float = setup["period_ms"]
         self._server: asyncio.Server | None = None
-        self.faults: dict[str, int] = {}  # how many faults of a kind are on
-        self._swapped: dict[str, str] = {}  # by id: the machine that is named in place of its own
-        self._due = False
-        self._lost = 0  # writings so far
-        self._losses: list[Loss] = []  # that are on; the last of them counts
-        self._away_until = self._away_wait = 0.0  # calls are turned away after a loss
+        self.faults: dict[str, int] = {}  # active faults by kind
+        self._swapped_machines: dict[str, str] = {}  # by uid: the machine whose address is listed instead
+        self._notify_scheduled = False
+        self._lost_writes = 0  # writes lost to `registry-lost` so far
+        self._active_losses: list[Loss] = []  # the last one applies
+        self._refuse_until = self._refusal_delay_ms = 0.0  # refusal of calls after a loss
 
     async def begin(self) -> None:
         await self._listen()
-        self.worker.clock.after(EMPTY_LINE, self._empty_lines)
+        self.worker.clock.after(KEEPALIVE_INTERVAL_MS, self._send_keepalives)
         self.worker.say("listening", at=self._at)
 
     async def _listen(self) -> None:
@@ -185,189 +186,196 @@
         )
         self._at = self._server.sockets[0].getsockname()
 
-    def _on(self, kind: str) -> bool:
+    def _is_active(self, kind: str) -> bool:
         return self.faults.get(kind, 0) > 0
 
     # calls
 
-    def called(self, call: Call, watch: bool, after: int) -> None:
+    def on_call(self, call: Call, watch: bool, after: int) -> None:
         now = self.worker.clock.now
-        away = now < self._away_until
-        waits = None if away or self._on("registry-full") else self.turns.call(now)
+        refusing = now < self._refuse_until
+        delay = None if refusing or self._is_active("registry-full") else self.turns.call(now)
         self.worker.row(
             "call",
             b=call.balancer,
             watch=watch,
             after=after,
-            refused=waits is None,
+            refused=delay is None,
             queue=self.turns.waiting(now),
         )
-        if waits is None:
-            said = b"Retry-After: %g\r\n" % self._retry_after if self._retry_after else b""
-            if away and self._away_wait:
-                self.worker.clock.after(self._away_wait, call.plain, 503, b"", said)
+        if delay is None:
+            retry_after = b"Retry-After: %g\r\n" % self._retry_after if self._retry_after else b""
+            if refusing and self._refusal_delay_ms:
+                self.worker.clock.after(self._refusal_delay_ms, call.respond, 503, b"", retry_after)
             else:
-                call.plain(503, b"", said)
+                call.respond(503, b"", retry_after)
         else:
-            self.worker.clock.after(waits, self._served, call, watch, after)
+            self.worker.clock.after(delay, self._answer_call, call, watch, after)
 
-    def _served(self, call: Call, watch: bool, after: int) -> None:
+    def _answer_call(self, call: Call, watch: bool, after: int) -> None:
         if call.transport is None or call.transport.is_closing():
             return
         if not watch:
-            line = self._line(call, whole=True, entries=self.listing.whole())
-            if self._losses:
-                self._lose(call, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
+            line = self._list_line(call, whole=True, entries=self.upstream_list.all_entries())
+            if self._active_losses:
+                self._lose_write(call, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
             else:
-                call.plain(200, line)
+                call.respond(200, line)
             return
-        # of an answer that is lost the head is a part
-        answers = not self._on("registry-hang") and not self._on("registry-half")
-        head = HEAD if self._losses and answers else b""
+        # the head is part of a response that is lost
+        sends_line = not self._is_active("registry-hang") and not self._is_active("registry-half")
+        head = HEAD if self._active_losses and sends_line else b""
         if not head:
             call.send(HEAD)
-        if self._on("registry-hang"):
+        if self._is_active("registry-hang"):
             return
-        changes = self.listing.since(after)
-        if self._on("registry-back"):
-            whole, entries = True, self.listing.oldest()
+        changes = self.upstream_list.changes_since(after)
+        if self._is_active("registry-back"):
+            whole, entries = True, self.upstream_list.first_entries()
         else:
-            whole, entries = changes is None, self.listing.whole() if changes is None else changes
-        line = self._line(call, whole, entries)
-        if self._on("registry-half"):
-            call.chunk(line[: len(line) // 2])
+            whole, entries = changes is None, self.upstream_list.all_entries() if changes is None else changes
+        line = self._list_line(call, whole, entries)
+        if self._is_active("registry-half"):
+            call.send_chunk(line[: len(line) // 2])
             self.worker.clock.after(5.0, call.transport.abort)
             return
         call.watching = True
-        call.rev = self.listing.rev
-        self._write(call, line, head)
+        call.version = self.upstream_list.version
+        self._write_line(call, line, head)
 
-    def _write(self, call: Call, line: bytes, head: bytes = b"") -> None:
-        """A line goes out, or is lost on its way; either way it has been written."""
-        if self._losses:
-            self._lose(call, head + chunked(line), head, line)
+    def _write_line(self, call: Call, line: bytes, head: bytes = b"") -> None:
+        """Write a line of a watch; a loss fault may drop it, which the service does not notice."""
+        if self._active_losses:
+            self._lose_write(call, head + as_chunk(line), head, line)
             return
-        if not self._on("registry-lost"):
-            call.chunk(line)
+        if not self._is_active("registry-lost"):
+            call.send_chunk(line)
             return
         call.watching = False
-        arrives = LOST_BUT_FOR[self._lost % len(LOST_BUT_FOR)]
-        self._lost += 1
-        if arrives and call.transport is not None and not call.transport.is_closing():
-            call.transport.write((b"%x\r\n%b\r\n" % (len(line), line))[:arrives])
+        arriving_bytes = ARRIVING_BYTES[self._lost_writes % len(ARRIVING_BYTES)]
+        self._lost_writes += 1
+        if arriving_bytes and call.transport is not None and not call.transport.is_closing():
+            call.transport.write((b"%x\r\n%b\r\n" % (len(line), line))[:arriving_bytes])
         # the bytes that arrive are on their way before the reset is
-        self.worker.clock.after(1.0 if arrives else 0.0, call.reset)
+        self.worker.clock.after(1.0 if arriving_bytes else 0.0, call.reset)
 
-    def _lose(self, call: Call, writing: bytes, head: bytes = b"", line: bytes = b"") -> None:
-        """A writing is lost but for its first bytes; `line`: it is one of a watch, behind the `head`."""
-        loss = self._losses[-1]
+    def _lose_write(self, call: Call, data: bytes, head: bytes = b"", line: bytes = b"") -> None:
+        """Send only the first bytes of a write and end the call; `line`: of a watch, behind `head`."""
+        loss = self._active_losses[-1]
         call.watching = False
-        if loss.away:
+        if loss.refuse_ms:
             now = self.worker.clock.now
-            self._away_until, self._away_wait = max(self._away_until, now + loss.away), loss.wait
+            self._refuse_until, self._refusal_delay_ms = (
+                max(self._refuse_until, now + loss.refuse_ms),
+                loss.refusal_delay_ms,
+            )
         if loss.end == "last-chunk" and line:
-            # chunked anew by what passes it on, so that its end is in form behind a part of a line, too
-            call.send(head + (chunked(line[: loss.arrives]) if loss.arrives else b"") + LAST_CHUNK)
+            # as a proxy that re-chunks does: a well-formed end even after part of a line
+            call.send(
+                head + (as_chunk(line[: loss.arriving_bytes]) if loss.arriving_bytes else b"") + LAST_CHUNK
+            )
             call.close()
             return
-        call.send(writing[: loss.arrives])
+        call.send(data[: loss.arriving_bytes])
         if loss.end == "reset":
             # the bytes that arrive are on their way before the reset is
-            self.worker.clock.after(1.0 if loss.arrives else 0.0, call.reset)
+            self.worker.clock.after(1.0 if loss.arriving_bytes else 0.0, call.reset)
         elif loss.end != "silence":
             call.close()
 
-    def _line(self, call: Call, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-        rev = 1 if self._on("registry-back") else self.listing.rev
-        own = self.endpoints.get(call.balancer, {})
-        told = []
+    def _list_line(self, call: Call, whole: bool, entries: list[dict[str, Any]]) -> bytes:
+        version = 1 if self._is_active("registry-back") else self.upstream_list.version
+        addresses = self.endpoints.get(call.balancer, {})
+        targets = []
         for entry in entries:
-            machine = self._swapped.get(entry["uid"], str(entry.get("machine", "")))
-            told.append({**entry, "endpoint": own.get(machine, "")})
-        loss = self._losses[-1].end if self._losses else ""
-        silent = {"heard": round(call.heard, 3)} if loss == "silence" else {}
+            machine = self._swapped_machines.get(entry["uid"], str(entry.get("machine", "")))
+            targets.append({**entry, "endpoint": addresses.get(machine, "")})
+        loss = self._active_losses[-1].end if self._active_losses else ""
+        silence_fields = {"heard": round(call.last_sent_at, 3)} if loss == "silence" else {}
         self.worker.row(
             "told",
             b=call.balancer,
-            rev=rev,
+            rev=version,
             whole=whole,
             lost=loss,
-            **silent,
-            states=[(e["uid"], e["state"]) for e in told],
+            **silence_fields,
+            states=[(e["uid"], e["state"]) for e in targets],
         )
-        return msgspec.json.encode({"rev": rev, "all": whole, "targets": told}) + b"\n"
+        return msgspec.json.encode({"rev": version, "all": whole, "targets": targets}) + b"\n"
 
-    def _empty_lines(self) -> None:
-        self.worker.clock.after(EMPTY_LINE, self._empty_lines)
-        for call in self.open:
+    def _send_keepalives(self) -> None:
+        self.worker.clock.after(KEEPALIVE_INTERVAL_MS, self._send_keepalives)
+        for call in self.open_calls:
             if call.watching:
-                call.chunk(b"\n")
+                call.send_chunk(b"\n")
 
-    # what happens
+    # changes and faults
 
-    def _tell(self) -> None:
-        self._due = False
-        for call in list(self.open):
-            if call.watching and call.rev < self.listing.rev:
-                entries = self.listing.since(call.rev) or []
-                call.rev = self.listing.rev
-                self._write(call, self._line(call, False, entries))
+    def _notify_watches(self) -> None:
+        self._notify_scheduled = False
+        for call in list(self.open_calls):
+            if call.watching and call.version < self.upstream_list.version:
+                entries = self.upstream_list.changes_since(call.version) or []
+                call.version = self.upstream_list.version
+                self._write_line(call, self._list_line(call, False, entries))
 
     async def told(self, order: dict[str, Any]) -> None:
         if order["do"] == "change":
             for change in order["entries"]:
-                self.listing.change(**change)
-            if not self._due:
-                self._due = True
-                self.worker.clock.after(self._period, self._tell)
+                self.upstream_list.change(**change)
+            if not self._notify_scheduled:
+                self._notify_scheduled = True
+                self.worker.clock.after(self._period, self._notify_watches)
         elif order["do"] == "fault":
-            kind, on = order["kind"], order["on"]
-            self.faults[kind] = self.faults.get(kind, 0) + on
-            if kind.startswith(LOSES):
+            kind, active = order["kind"], order["on"]
+            self.faults[kind] = self.faults.get(kind, 0) + active
+            if kind.startswith(LOSS_PREFIX):
                 loss = Loss(
-                    kind.removeprefix(LOSES),
+                    kind.removeprefix(LOSS_PREFIX),
                     int(order["size"]),
                     1e3 * order["extra"],
-                    AWAY_WAIT if order["silent"] else 0.0,
+                    REFUSAL_DELAY_MS if order["silent"] else 0.0,
                 )
-                if on > 0:
-                    self._losses.append(loss)
+                if active > 0:
+                    self._active_losses.append(loss)
                 else:
-                    self._losses.remove(loss)
+                    self._active_losses.remove(loss)
             if kind == "registry-down":
-                await self._down(on > 0)
+                await self._set_down(active > 0)
             elif kind == "registry-swap":
                 uids, machines = order["uids"], [str(m) for m in order["machines"]]
-                self._swapped = dict(zip(uids, machines[1:] + machines[:1], strict=True)) if on > 0 else {}
-                self._retell(uids)
-            elif kind in ("registry-full", "registry-hang", "registry-half", "registry-back") and on > 0:
-                self._end_watches()
+                self._swapped_machines = (
+                    dict(zip(uids, machines[1:] + machines[:1], strict=True)) if active > 0 else {}
+                )
+                self._touch_entries(uids)
+            elif kind in ("registry-full", "registry-hang", "registry-half", "registry-back") and active > 0:
+                self._abort_calls()
         self.worker.say("done", order=order["order"])
 
-    def _retell(self, uids: list[str]) -> None:
+    def _touch_entries(self, uids: list[str]) -> None:
         for uid in uids:
-            if uid in self.listing.entries:
-                self.listing.change(uid)
-        self._tell()
+            if uid in self.upstream_list.entries:
+                self.upstream_list.change(uid)
+        self._notify_watches()
 
-    def _end_watches(self) -> None:
-        for call in list(self.open):
+    def _abort_calls(self) -> None:
+        for call in list(self.open_calls):
             if call.transport is not None:
                 call.transport.abort()
 
-    async def _down(self, down: bool) -> None:
-        if self._on("registry-down") and self._server is not None:
+    async def _set_down(self, down: bool) -> None:
+        if self._is_active("registry-down") and self._server is not None:
             self._server.close()
             self._server = None
-            self._end_watches()
-        elif not self._on("registry-down") and self._server is None:
+            self._abort_calls()
+        elif not self._is_active("registry-down") and self._server is None:
             await self._listen()
 
     async def end(self) -> None:
         self.worker.row(
             "turns", longest=self.turns.longest, calls=self.turns.calls, refused=self.turns.refused
         )
-        self._end_watches()
+        self._abort_calls()
 
 
 def make(worker: Worker, setup: dict[str, Any]) -> Service:
--- a/ospreyline/rig/relays.py
+++ b/ospreyline/rig/relays.py
@@ -1,9 +1,9 @@
-"""Links as relays: each passes what comes between two processes, and can be broken by itself.
+"""TCP relays that implement the links: each forwards between two processes and takes faults of its own.
 
-How a fault looks is that of a network. What a cut loses is sent again by TCP when the cut heals, so held
-bytes are passed on then, unless the connection is among those that are reset. While a link is cut, new
-connections never come up: its listener stands with a full backlog, which the relay fills itself. A link
-whose target is not there refuses as a machine without that process does.
+Faults look like those of a network. TCP resends what a cut loses once the cut heals, so buffered bytes are
+forwarded then, unless the connection is among those that are reset. While a link is cut, new connections
+never complete: the relay keeps the backlog of the link's listener full. A link without a target refuses
+connections, like a machine on which the process does not run.
 """
 
 from __future__ import annotations
@@ -19,479 +19,498 @@
 
 import msgspec
 
-from ospreyline.rig.wire import Asked, Reading
+from ospreyline.rig.wire import HttpObserver, ObservedRequest
 from ospreyline.rig.worker import Worker
 
-TO, FROM = 0, 1  # the two ways of a link: towards the server, and back
-WAYS = {"both": (TO, FROM), "to": (TO,), "from": (FROM,)}
-MOST_HELD = 1 << 18  # bytes held for one way of a connection, then it is read no more
+TO_SERVER, TO_CLIENT = 0, 1  # directions of a link
+DIRECTIONS = {"both": (TO_SERVER, TO_CLIENT), "to": (TO_SERVER,), "from": (TO_CLIENT,)}
+MAX_BUFFERED_BYTES = 1 << 18  # per direction of a connection; beyond it, reading pauses
 BACKLOG = 512
-LINGER = struct.pack("ii", 1, 0)  # a close is a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends RST
 
 
 class Watch(msgspec.Struct):
-    """A fault that waits for something on the wire."""
+    """A fault that waits for an event on the wire."""
 
     number: int
     seen: str
     link: str
     prefix: str
-    left: int  # how many more of them
+    remaining: int = msgspec.field(name="left")  # matching events until it triggers
 
 
 def _was_reset(transport: asyncio.Transport) -> bool:
-    """Whether an error is pending on a connection whose end has been read."""
-    look = select.poll()
-    look.register(transport.get_extra_info("socket").fileno(), 0)
-    return any(events & select.POLLERR for _, events in look.poll(0))
+    """Whether a connection that reported an end of file was in fact reset (an error is pending)."""
+    poller = select.poll()
+    poller.register(transport.get_extra_info("socket").fileno(), 0)
+    return any(events & select.POLLERR for _, events in poller.poll(0))
 
 
-class Side(asyncio.Protocol):
-    """One end of a connection through a link; `way` is where its bytes go."""
+class Endpoint(asyncio.Protocol):
+    """One end of a relayed connection; `direction` is that of the bytes read from it."""
 
-    def __init__(self, pair: Pair, way: int) -> None:
-        self.pair = pair
-        self.way = way
+    def __init__(self, connection: RelayedConnection, direction: int) -> None:
+        self.connection = connection
+        self.direction = direction
         self.transport: asyncio.Transport | None = None
-        self.reset = False  # by its other end, though that was told as an end in order
+        self.was_reset = False  # the peer reset it, though the event loop reported an end of file
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self.transport = transport  # type: ignore[assignment]
-        self.pair.up(self)
+        self.connection.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.pair.came(self.way, data)
+        self.connection.on_data(self.direction, data)
 
     def eof_received(self) -> bool:
-        # guards: the loop library takes a reset that comes right behind bytes for an end in order
-        self.reset = self.transport is not None and _was_reset(self.transport)
-        if self.reset:
+        # the event loop reports a reset that directly follows data as an end of file
+        self.was_reset = self.transport is not None and _was_reset(self.transport)
+        if self.was_reset:
             return False
-        self.pair.came(self.way, None)
-        return True  # the other way may go on
+        self.connection.on_data(self.direction, None)
+        return True  # keep the other direction open
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.pair.lost(self.way, exc is not None or self.reset)
+        self.connection.on_endpoint_closed(self.direction, exc is not None or self.was_reset)
 
     def pause_writing(self) -> None:
-        self.pair.pause(self.way, True)
+        self.connection.on_write_pause(self.direction, True)
 
     def resume_writing(self) -> None:
-        self.pair.pause(self.way, False)
+        self.connection.on_write_pause(self.direction, False)
 
 
-class Pair:
-    """One connection through a link."""
+class RelayedConnection:
+    """One connection through a link: client <-> relay <-> server."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.reading = Reading() if link.reads else None
-        self.near = Side(self, TO)  # of who connected; its bytes go to the server
-        self.far = Side(self, FROM)
-        self.held: tuple[deque[bytes | None], deque[bytes | None]] = (deque(), deque())
-        self.waits = [0, 0]  # bytes held
-        self.passed = [0, 0]  # bytes passed on
-        self.ended = [False, False]  # a side closed while that could not be told
-        self.eofs = [False, False]  # by way: the end of sending was passed on
-        self.stuck = [False, False]  # by way: a piece was too large for the link
-        self.late = [0, 0]  # by way: pieces on a slow link
-        self.ender = ""  # how the first side ended it
-        self._found: list[tuple[str, str]] = []
-        self.out: list[Asked] = []  # requests without an answer
-        self.over = False
-        link.pairs[self] = None
-
-    def up(self, side: Side) -> None:
-        if self.over:
-            self._reset(side)  # it was reset before this side had come up
-        elif side is self.far:
-            self.flush(TO)
-
-    def came(self, way: int, data: bytes | None) -> None:
-        """Bytes for the other side, or (None) the end of its sending."""
-        if self.over:
+        self.observer = HttpObserver() if link.observes_http else None
+        self.client_end = Endpoint(self, TO_SERVER)  # accepted from the client
+        self.server_end = Endpoint(self, TO_CLIENT)
+        self.buffered: tuple[deque[bytes | None], deque[bytes | None]] = (deque(), deque())
+        self.buffered_bytes = [0, 0]  # by direction
+        self.forwarded_bytes = [0, 0]  # by direction
+        self.closed = [False, False]  # by direction: its sender closed, not forwarded yet
+        self.eof_forwarded = [False, False]  # by direction: the end of file was forwarded
+        self.blocked = [False, False]  # by direction: a piece was too large for the link
+        self.delayed_pieces = [0, 0]  # by direction: pieces on their way through a slow link
+        self.end_reason = ""  # how the first end closed it: gone, closed or broken
+        self._observed: list[tuple[str, str]] = []
+        self.unanswered: list[ObservedRequest] = []  # requests without a response
+        self.finished = False
+        link.connections[self] = None
+
+    def on_connected(self, endpoint: Endpoint) -> None:
+        if self.finished:
+            self._reset_endpoint(endpoint)  # it was reset before this end was connected
+        elif endpoint is self.server_end:
+            self.flush(TO_SERVER)
+
+    def on_data(self, direction: int, data: bytes | None) -> None:
+        """Handle bytes for the other end, or (None) an end of file."""
+        if self.finished:
             return
         link = self.link
-        link.owner.worker.clock.tick()
+        link.relays.worker.clock.tick()
         if data is not None:
-            self._read(way, data)
+            self._observe(direction, data)
         else:
-            self._ends("gone" if way == TO else "closed")
-        if data is not None and 0 < link.narrow < len(data):
-            self.stuck[way] = True
-        if not link.passes(way) or self.held[way] or not self._there(way) or self.stuck[way]:
-            self.held[way].append(data)
-            self.waits[way] += len(data or b"")
-            if self.waits[way] > MOST_HELD:
-                self._pause(way, True)
+            self._record_end("gone" if direction == TO_SERVER else "closed")
+        if data is not None and 0 < link.max_piece_bytes < len(data):
+            self.blocked[direction] = True
+        if (
+            not link.is_open(direction)
+            or self.buffered[direction]
+            or not self._is_connected(direction)
+            or self.blocked[direction]
+        ):
+            self.buffered[direction].append(data)
+            self.buffered_bytes[direction] += len(data or b"")
+            if self.buffered_bytes[direction] > MAX_BUFFERED_BYTES:
+                self._pause_reading(direction, True)
         else:
-            self._pass(way, data)
-        self._seen(way)
+            self._forward(direction, data)
+        self._notify_watches(direction)
 
-    def _read(self, way: int, data: bytes) -> None:
-        if self.reading is None:
+    def _observe(self, direction: int, data: bytes) -> None:
+        if self.observer is None:
             return
-        now, link = self.link.owner.worker.clock.now, self.link
-        if way == TO:
-            for asked in self.reading.sent(now, data):
-                self.out.append(asked)
-                self._found.append(("request", asked.prefix))
-                link.row("asked", id=asked.id, prefix=asked.prefix, first=round(asked.first, 3))
+        now, link = self.link.relays.worker.clock.now, self.link
+        if direction == TO_SERVER:
+            for request in self.observer.on_request_bytes(now, data):
+                self.unanswered.append(request)
+                self._observed.append(("request", request.prefix))
+                link.row("asked", id=request.id, prefix=request.prefix, first=round(request.first_byte_at, 3))
         else:
-            for answered in self.reading.came(now, data):
-                if self.out:
-                    asked = self.out.pop(0)
-                    self._found.append(("answer", asked.prefix))
-                    link.row("answered", id=asked.id, status=answered.status, never=answered.never_ran)
-
-    def _seen(self, way: int) -> None:
-        """Whatever a fault waits for may just have been passed on."""
-        if self.reading is not None and self.link.owner.watches:
-            for what, prefix in self._found:
-                self.link.owner.seen(self.link, what, prefix)
-            self._found = []
-
-    def _there(self, way: int) -> bool:
-        side = self.far if way == TO else self.near
-        return side.transport is not None
-
-    def _pass(self, way: int, data: bytes | None) -> None:
+            for response in self.observer.on_response_bytes(now, data):
+                if self.unanswered:
+                    request = self.unanswered.pop(0)
+                    self._observed.append(("answer", request.prefix))
+                    link.row("answered", id=request.id, status=response.status, never=response.never_ran)
+
+    def _notify_watches(self, direction: int) -> None:
+        """Report what has just been forwarded to the faults that wait for it."""
+        if self.observer is not None and self.link.relays.watches:
+            for what, prefix in self._observed:
+                self.link.relays.on_observed(self.link, what, prefix)
+            self._observed = []
+
+    def _is_connected(self, direction: int) -> bool:
+        endpoint = self.server_end if direction == TO_SERVER else self.client_end
+        return endpoint.transport is not None
+
+    def _forward(self, direction: int, data: bytes | None) -> None:
         link = self.link
-        if link.delay or self.late[way]:
-            self.late[way] += 1
-            link.owner.worker.clock.after(link.delay, self._arrive, way, data)
+        if link.delay_ms or self.delayed_pieces[direction]:
+            self.delayed_pieces[direction] += 1
+            link.relays.worker.clock.after(link.delay_ms, self._deliver_delayed, direction, data)
             return
-        self._write(way, data)
+        self._write(direction, data)
 
-    def _arrive(self, way: int, data: bytes | None) -> None:
-        self.late[way] -= 1
-        self._write(way, data)
+    def _deliver_delayed(self, direction: int, data: bytes | None) -> None:
+        self.delayed_pieces[direction] -= 1
+        self._write(direction, data)
 
-    def _write(self, way: int, data: bytes | None) -> None:
-        side = self.far if way == TO else self.near
-        if self.over or side.transport is None:
+    def _write(self, direction: int, data: bytes | None) -> None:
+        endpoint = self.server_end if direction == TO_SERVER else self.client_end
+        if self.finished or endpoint.transport is None:
             return
         if data is None:
-            self.eofs[way] = True
-            if self.eofs[1 - way]:
-                self._close()
+            self.eof_forwarded[direction] = True
+            if self.eof_forwarded[1 - direction]:
+                self._close_both()
             else:
-                side.transport.write_eof()
+                endpoint.transport.write_eof()
             return
-        cut = self.link.cut_at[way]
-        if cut and self.passed[way] + len(data) >= cut:
-            # what comes before the byte is on the wire before the reset
-            side.transport.write(data[: cut - self.passed[way]])
-            self.passed[way] = cut
-            self.link.owner.worker.clock.after(2.0, self.reset)
+        reset_at = self.link.reset_at_bytes[direction]
+        if reset_at and self.forwarded_bytes[direction] + len(data) >= reset_at:
+            # delay the reset so that the bytes before it are sent first
+            endpoint.transport.write(data[: reset_at - self.forwarded_bytes[direction]])
+            self.forwarded_bytes[direction] = reset_at
+            self.link.relays.worker.clock.after(2.0, self.reset_both)
             return
-        self.passed[way] += len(data)
-        side.transport.write(data)
+        self.forwarded_bytes[direction] += len(data)
+        endpoint.transport.write(data)
 
-    def flush(self, way: int) -> None:
-        """What was held goes on, if the link passes it."""
-        held = self.held[way]
-        if self.stuck[way]:
+    def flush(self, direction: int) -> None:
+        """Forward what is buffered, as far as the link is open."""
+        buffered = self.buffered[direction]
+        if self.blocked[direction]:
             return
-        while held and self.link.passes(way) and self._there(way):
-            data = held.popleft()
-            self.waits[way] -= len(data or b"")
-            self._pass(way, data)
-        if not held:
-            self._pause(way, False)
-            if self.ended[way] and self.link.passes(way):
-                self._close()
-
-    def pause(self, way: int, on: bool) -> None:
-        """The side that `way` comes from cannot be written: what goes to it is read no more."""
-        self._pause(FROM if way == TO else TO, on)
-
-    def _pause(self, way: int, on: bool) -> None:
-        side = self.near if way == TO else self.far
-        if side.transport is not None and not side.transport.is_closing():
-            if on:
-                side.transport.pause_reading()
+        while buffered and self.link.is_open(direction) and self._is_connected(direction):
+            data = buffered.popleft()
+            self.buffered_bytes[direction] -= len(data or b"")
+            self._forward(direction, data)
+        if not buffered:
+            self._pause_reading(direction, False)
+            if self.closed[direction] and self.link.is_open(direction):
+                self._close_both()
+
+    def on_write_pause(self, direction: int, paused: bool) -> None:
+        """An end's write buffer is full (or drained): pause (or resume) reading what is sent to it."""
+        self._pause_reading(TO_CLIENT if direction == TO_SERVER else TO_SERVER, paused)
+
+    def _pause_reading(self, direction: int, paused: bool) -> None:
+        endpoint = self.client_end if direction == TO_SERVER else self.server_end
+        if endpoint.transport is not None and not endpoint.transport.is_closing():
+            if paused:
+                endpoint.transport.pause_reading()
             else:
-                side.transport.resume_reading()
+                endpoint.transport.resume_reading()
 
-    def lost(self, way: int, broken: bool) -> None:
-        """A side has closed; the other one is told if the link passes that, and when."""
-        if self.over:
+    def on_endpoint_closed(self, direction: int, reset: bool) -> None:
+        """One end has closed: close the other one when the link lets that through."""
+        if self.finished:
             return
-        self._ends("gone" if way == TO else "broken" if broken else "closed")
-        if not self.link.passes(way) or self.held[way] or self.stuck[way]:
-            self.ended[way] = True
-        elif self.link.delay or self.late[way]:
-            self.link.owner.worker.clock.after(self.link.delay, self._close)
+        self._record_end("gone" if direction == TO_SERVER else "broken" if reset else "closed")
+        if not self.link.is_open(direction) or self.buffered[direction] or self.blocked[direction]:
+            self.closed[direction] = True
+        elif self.link.delay_ms or self.delayed_pieces[direction]:
+            self.link.relays.worker.clock.after(self.link.delay_ms, self._close_both)
         else:
-            self._close()
-
-    def _ends(self, how: str) -> None:
-        """A side has ended it: what who asked gave up is over, even while the other side cannot be told."""
-        self.ender = self.ender or how
-        if how == "gone":
-            self._give_up(how)
-
-    def _give_up(self, how: str) -> None:
-        for asked in self.out:
-            self.link.row("unanswered", id=asked.id, how=how)
-        self.out.clear()
-
-    def _close(self) -> None:
-        """Both sides end: in order, or by a reset where the server reset it and the link passes that on."""
-        self._over(self.ender)
-        if self.ender == "broken" and not self.link.resets_end_in_order:
-            # guards: passed on as an end in order, a reset would hide that something can be lost
-            self._reset(self.near)
-        for side in (self.near, self.far):
-            if side.transport is not None:
-                side.transport.close()
-
-    def reset(self) -> None:
-        """Both sides get a reset."""
-        self._over("reset")
-        for side in (self.near, self.far):
-            self._reset(side)
-
-    def _reset(self, side: Side) -> None:
-        if side.transport is not None:
-            sock = side.transport.get_extra_info("socket")
+            self._close_both()
+
+    def _record_end(self, reason: str) -> None:
+        """Note which end closed first; if the client did, its requests end now, even on a blocked link."""
+        self.end_reason = self.end_reason or reason
+        if reason == "gone":
+            self._report_unanswered(reason)
+
+    def _report_unanswered(self, reason: str) -> None:
+        for request in self.unanswered:
+            self.link.row("unanswered", id=request.id, how=reason)
+        self.unanswered.clear()
+
+    def _close_both(self) -> None:
+        """Close both ends; the client's by a reset if the server sent one and the link forwards resets."""
+        self._finish(self.end_reason)
+        if self.end_reason == "broken" and not self.link.fin_for_reset_faults:
+            # an orderly close in place of a reset would hide that data can be lost
+            self._reset_endpoint(self.client_end)
+        for endpoint in (self.client_end, self.server_end):
+            if endpoint.transport is not None:
+                endpoint.transport.close()
+
+    def reset_both(self) -> None:
+        """Reset both ends."""
+        self._finish("reset")
+        for endpoint in (self.client_end, self.server_end):
+            self._reset_endpoint(endpoint)
+
+    def _reset_endpoint(self, endpoint: Endpoint) -> None:
+        if endpoint.transport is not None:
+            sock = endpoint.transport.get_extra_info("socket")
             if sock is not None:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
-            side.transport.abort()
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            endpoint.transport.abort()
 
-    def _over(self, how: str) -> None:
-        if self.over:
+    def _finish(self, reason: str) -> None:
+        if self.finished:
             return
-        self.over = True
-        self.link.pairs.pop(self, None)
-        self._give_up(how)
-        self.held[0].clear()
-        self.held[1].clear()
+        self.finished = True
+        self.link.connections.pop(self, None)
+        self._report_unanswered(reason)
+        self.buffered[0].clear()
+        self.buffered[1].clear()
 
-    def half_close(self, way: int) -> None:
-        side = self.far if way == TO else self.near
-        if side.transport is not None and not side.transport.is_closing():
-            side.transport.write_eof()
+    def half_close(self, direction: int) -> None:
+        endpoint = self.server_end if direction == TO_SERVER else self.client_end
+        if endpoint.transport is not None and not endpoint.transport.is_closing():
+            endpoint.transport.write_eof()
 
 
 class Link:
-    """One link: a listener, where it leads, and how it is broken."""
+    """One link: its listener, its target and its active faults."""
 
     def __init__(
-        self, owner: Relays, name: str, listen: str, source: str, reads: bool, hub: Hub | None = None
+        self,
+        relays: Relays,
+        name: str,
+        listen: str,
+        source: str,
+        observes_http: bool,
+        shared_listener: SharedListener | None = None,
     ) -> None:
-        self.owner = owner
-        self.hub = hub  # whose listener it shares
+        self.relays = relays
+        self.shared_listener = shared_listener  # in place of a listener of its own
         self.name = name
-        self.source = source  # the address that the server sees
+        self.source = source  # local address of connections to the target
         self.target: tuple[str, int] | None = None
-        self.reads = reads
-        self.pairs: dict[Pair, None] = {}
-        self.holds = [0, 0]  # by way: faults that hold it
-        self.delay = 0.0
-        self.narrow = 0
-        self.cut_at = [0, 0]
-        self.resets = self.refuses = self.vanished = 0  # faults that do
-        self.resets_end_in_order = 0  # likewise
-        self._state = ""
+        self.observes_http = observes_http
+        self.connections: dict[RelayedConnection, None] = {}
+        self.hold_counts = [0, 0]  # by direction: active faults that block it
+        self.delay_ms = 0.0
+        self.max_piece_bytes = 0
+        self.reset_at_bytes = [0, 0]
+        self.reset_faults = self.refuse_faults = self.vanish_faults = 0  # active faults of each kind
+        self.fin_for_reset_faults = 0
+        self._listener_state = ""
         self._socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
-        self._fillers: list[socket.socket] = []
+        self._backlog_fillers: list[socket.socket] = []
         self.at = (listen, 0)
 
     def row(self, kind: str, /, **values: Any) -> None:
-        self.owner.worker.row(kind, link=self.name, **values)
+        self.relays.worker.row(kind, link=self.name, **values)
 
-    def passes(self, way: int) -> bool:
-        return not self.holds[way]
+    def is_open(self, direction: int) -> bool:
+        return not self.hold_counts[direction]
 
-    async def stand(self) -> None:
-        """Make the listener what the faults that are on ask for."""
-        if self.hub is not None:
+    async def update_listener(self) -> None:
+        """Set the listener's state (listen, refuse, vanish) as the active faults require."""
+        if self.shared_listener is not None:
             return
-        wanted = "refuse" if self.refuses or self.target is None else "vanish" if self.vanished else "listen"
-        if wanted == self._state:
+        state = (
+            "refuse"
+            if self.refuse_faults or self.target is None
+            else "vanish"
+            if self.vanish_faults
+            else "listen"
+        )
+        if state == self._listener_state:
             return
-        self._state = wanted
-        await self._unbind()
-        if self._state != wanted:
-            return  # changed meanwhile
+        self._listener_state = state
+        await self._close_listener()
+        if self._listener_state != state:
+            return  # changed in the meantime
         self._socket = socket.socket()
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
         self._socket.bind(self.at)
         self.at = self._socket.getsockname()
-        if wanted == "listen":
-            self._server = await self.owner.worker.loop.create_server(
-                self._accepted, sock=self._socket, backlog=BACKLOG
+        if state == "listen":
+            self._server = await self.relays.worker.loop.create_server(
+                self._new_endpoint, sock=self._socket, backlog=BACKLOG
             )
-        elif wanted == "vanish":
-            # guards: a listener that accepts and says nothing is no vanished machine. With its backlog full
-            # a new connection stays in its first step
+        elif state == "vanish":
+            # connections to a vanished machine must not complete, so accepting and staying silent is wrong;
+            # with a full backlog new connections stay in SYN_SENT
             self._socket.listen(0)
             for _ in range(2):
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(self.at)
-                self._fillers.append(filler)
+                self._backlog_fillers.append(filler)
 
-    async def _unbind(self) -> None:
-        for filler in self._fillers:
-            filler.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+    async def _close_listener(self) -> None:
+        for filler in self._backlog_fillers:
+            filler.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             filler.close()
-        self._fillers.clear()
+        self._backlog_fillers.clear()
         if self._server is not None:
             self._server.close()
             self._server = None
         if self._socket is not None:
             self._socket.close()
             self._socket = None
-            await asyncio.sleep(0)  # the loop closes a listener in its next pass
+            await asyncio.sleep(0)  # the loop closes a listener in its next iteration
 
-    def _accepted(self) -> asyncio.Protocol:
-        return self.accept().near
+    def _new_endpoint(self) -> asyncio.Protocol:
+        return self.accept().client_end
 
-    def accept(self) -> Pair:
-        """A new connection through this link."""
-        pair = Pair(self)
-        self.owner.worker.clock.tick()
+    def accept(self) -> RelayedConnection:
+        """Relay a new connection through this link."""
+        connection = RelayedConnection(self)
+        self.relays.worker.clock.tick()
         self.row("opened")
-        if self.resets or (self.hub is not None and self.refuses):
-            self.owner.worker.loop.call_soon(pair.reset)
+        if self.reset_faults or (self.shared_listener is not None and self.refuse_faults):
+            self.relays.worker.loop.call_soon(connection.reset_both)
         else:
-            self.owner.opening.add(task := self.owner.worker.loop.create_task(self._reach(pair)))
-            task.add_done_callback(self.owner.opening.discard)
-        return pair
+            self.relays.connecting.add(
+                task := self.relays.worker.loop.create_task(self._connect_target(connection))
+            )
+            task.add_done_callback(self.relays.connecting.discard)
+        return connection
 
-    async def _reach(self, pair: Pair) -> None:
-        target = self.hub.target if self.hub is not None else self.target
+    async def _connect_target(self, connection: RelayedConnection) -> None:
+        target = self.shared_listener.target if self.shared_listener is not None else self.target
         if target is None:
-            return pair.reset()
+            return connection.reset_both()
         try:
-            await self.owner.worker.loop.create_connection(
-                lambda: pair.far, *target, local_addr=(self.source, 0)
+            await self.relays.worker.loop.create_connection(
+                lambda: connection.server_end, *target, local_addr=(self.source, 0)
             )
         except OSError:
-            pair.reset()
+            connection.reset_both()
         else:
-            self.owner.worker.clock.tick()
+            self.relays.worker.clock.tick()
             self.row("reached")
-            self.owner.seen(self, "connection", "")
+            self.relays.on_observed(self, "connection", "")
 
-    async def fault(self, order: dict[str, Any], draw: Random) -> None:
-        """Put a fault on the link or take it off (`on` is 1 or -1)."""
-        kind, on, ways = order["kind"], order["on"], WAYS[order["way"]]
+    async def apply_fault(self, order: dict[str, Any], draw: Random) -> None:
+        """Start (`on` is 1) or end (-1) a fault on this link."""
+        kind, active, directions = order["kind"], order["on"], DIRECTIONS[order["way"]]
         if kind in ("drop", "stall", "vanish"):
-            for way in (TO, FROM) if kind == "vanish" else ways:
-                self.holds[way] += on
+            for direction in (TO_SERVER, TO_CLIENT) if kind == "vanish" else directions:
+                self.hold_counts[direction] += active
             if kind != "stall":
-                self.vanished += on
-            if on < 0:
-                share = 1.0 if kind == "vanish" else order["extra"] if kind == "drop" else 0.0
-                for pair in list(self.pairs):
-                    if share and draw.random() < share:
-                        pair.reset()
+                self.vanish_faults += active
+            if active < 0:
+                reset_share = 1.0 if kind == "vanish" else order["extra"] if kind == "drop" else 0.0
+                for connection in list(self.connections):
+                    if reset_share and draw.random() < reset_share:
+                        connection.reset_both()
                     else:
-                        pair.flush(TO)
-                        pair.flush(FROM)
+                        connection.flush(TO_SERVER)
+                        connection.flush(TO_CLIENT)
         elif kind == "narrow":
-            self.narrow = int(order["size"]) if on > 0 else 0
-            for pair in list(self.pairs) if on < 0 else ():
-                pair.stuck = [False, False]
-                pair.flush(TO)
-                pair.flush(FROM)
+            self.max_piece_bytes = int(order["size"]) if active > 0 else 0
+            for connection in list(self.connections) if active < 0 else ():
+                connection.blocked = [False, False]
+                connection.flush(TO_SERVER)
+                connection.flush(TO_CLIENT)
         elif kind == "slow-link":
-            self.delay = max(0.0, self.delay + on * order["size"])
+            self.delay_ms = max(0.0, self.delay_ms + active * order["size"])
         elif kind == "cut-at":
-            for way in ways:
-                self.cut_at[way] = int(order["size"]) if on > 0 else 0
+            for direction in directions:
+                self.reset_at_bytes[direction] = int(order["size"]) if active > 0 else 0
         elif kind == "reset":
-            self.resets += on
-            if on > 0:
-                for pair in list(self.pairs):
-                    pair.reset()
+            self.reset_faults += active
+            if active > 0:
+                for connection in list(self.connections):
+                    connection.reset_both()
         elif kind == "refuse":
-            self.refuses += on
+            self.refuse_faults += active
         elif kind == "fin-for-reset":
-            self.resets_end_in_order += on
-        elif kind == "half-close" and on > 0:
-            for pair in list(self.pairs):
-                for way in ways:
-                    pair.half_close(way)
-        await self.stand()
+            self.fin_for_reset_faults += active
+        elif kind == "half-close" and active > 0:
+            for connection in list(self.connections):
+                for direction in directions:
+                    connection.half_close(direction)
+        await self.update_listener()
 
 
-class Hub:
-    """The address at which others reach one balancer: a listener for the links of all who dial it."""
+class SharedListener:
+    """The address at which other balancers dial one balancer: the listener of all links to it."""
 
-    def __init__(self, owner: Relays, name: str, listen: str, sources: dict[str, str]) -> None:
-        self.owner = owner
+    def __init__(self, relays: Relays, name: str, listen: str, sources: dict[str, str]) -> None:
+        self.relays = relays
         self.name = name
         self.target: tuple[str, int] | None = None
         self.at = (listen, 0)
-        self._sources = sources  # link by the address that is dialled from
+        self._link_names = sources  # link names by the dialling balancer's address
         self._server: asyncio.Server | None = None
         for source, link in sources.items():
-            owner.links[link] = Link(owner, link, "", source, False, self)
+            relays.links[link] = Link(relays, link, "", source, False, self)
 
-    async def stand(self) -> None:
+    async def update_listener(self) -> None:
         if self._server is None:
-            self._server = await self.owner.worker.loop.create_server(
-                lambda: Knock(self), *self.at, backlog=BACKLOG
+            self._server = await self.relays.worker.loop.create_server(
+                lambda: UnassignedConnection(self), *self.at, backlog=BACKLOG
             )
             self.at = self._server.sockets[0].getsockname()
 
-    def link(self, source: str) -> Link | None:
-        name = self._sources.get(source)
-        return self.owner.links[name] if name else None
+    def link_from(self, source: str) -> Link | None:
+        name = self._link_names.get(source)
+        return self.relays.links[name] if name else None
 
 
-class Knock(asyncio.Protocol):
-    """A connection to a hub, until it is known whose it is."""
+class UnassignedConnection(asyncio.Protocol):
+    """A connection to a shared listener, until its link is known from the peer's address."""
 
-    def __init__(self, hub: Hub) -> None:
-        self._hub = hub
+    def __init__(self, shared_listener: SharedListener) -> None:
+        self._listener = shared_listener
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        link = self._hub.link(transport.get_extra_info("peername")[0])
+        link = self._listener.link_from(transport.get_extra_info("peername")[0])
         if link is None:
             transport.close()
             return
-        pair = link.accept()
-        transport.set_protocol(pair.near)
-        pair.near.connection_made(transport)
+        connection = link.accept()
+        transport.set_protocol(connection.client_end)
+        connection.client_end.connection_made(transport)
 
 
 class Relays:
-    """All links of one process."""
+    """All links of one relay process."""
 
     def __init__(self, worker: Worker, setup: dict[str, Any]) -> None:
         self.worker = worker
-        self.opening: set[asyncio.Task[None]] = set()
+        self.connecting: set[asyncio.Task[None]] = set()
         self.watches: list[Watch] = []
         self.links = {
-            one["name"]: Link(self, one["name"], one["listen"], one["source"], one["reads"])
-            for one in setup["links"]
+            spec["name"]: Link(self, spec["name"], spec["listen"], spec["source"], spec["reads"])
+            for spec in setup["links"]
         }
         self.hubs = {
-            one["name"]: Hub(self, one["name"], one["listen"], one["sources"])
-            for one in setup.get("hubs", ())
+            spec["name"]: SharedListener(self, spec["name"], spec["listen"], spec["sources"])
+            for spec in setup.get("hubs", ())
         }
         self._draw = Random(worker.seed)
-        self._stopped: dict[int, Link] = {}
+        self._paused_links: dict[int, Link] = {}
 
     async def begin(self) -> None:
         for link in self.links.values():
-            await link.stand()
-        for hub in self.hubs.values():
-            await hub.stand()
+            await link.update_listener()
+        for shared_listener in self.hubs.values():
+            await shared_listener.update_listener()
         self.worker.say(
             "linked",
-            at={name: link.at for name, link in self.links.items() if not link.hub},
-            hubs={name: hub.at for name, hub in self.hubs.items()},
+            at={name: link.at for name, link in self.links.items() if not link.shared_listener},
+            hubs={name: shared_listener.at for name, shared_listener in self.hubs.items()},
         )
 
     async def told(self, order: dict[str, Any]) -> None:
@@ -503,39 +522,39 @@
                     continue
                 link = self.links[name]
                 link.target = tuple(at) if at else None
-                await link.stand()
+                await link.update_listener()
             self.worker.say("done", order=order["order"])
         elif do == "fault":
             for name in order["links"]:
-                await self.links[name].fault(order, self._draw)
+                await self.links[name].apply_fault(order, self._draw)
             self.worker.say("done", order=order["order"])
         elif do == "watch":
             self.watches.append(msgspec.convert(order["watch"], Watch))
         elif do == "go":
-            link = self._stopped.pop(order["number"])
-            for way in (TO, FROM):
-                link.holds[way] -= 1
-            for pair in list(link.pairs):
-                pair.flush(TO)
-                pair.flush(FROM)
-
-    def seen(self, link: Link, what: str, prefix: str) -> None:
-        """Something has just been passed on: the link stands still until the fault is carried out."""
+            link = self._paused_links.pop(order["number"])
+            for direction in (TO_SERVER, TO_CLIENT):
+                link.hold_counts[direction] -= 1
+            for connection in list(link.connections):
+                connection.flush(TO_SERVER)
+                connection.flush(TO_CLIENT)
+
+    def on_observed(self, link: Link, what: str, prefix: str) -> None:
+        """Count an event for the watches; when one triggers, hold the link until its fault has started."""
         for watch in self.watches:
             if watch.seen == what and fnmatchcase(link.name, watch.link) and watch.prefix in ("", prefix):
-                watch.left -= 1
-                if not watch.left:
+                watch.remaining -= 1
+                if not watch.remaining:
                     self.watches.remove(watch)
-                    self._stopped[watch.number] = link
-                    for way in (TO, FROM):
-                        link.holds[way] += 1
+                    self._paused_links[watch.number] = link
+                    for direction in (TO_SERVER, TO_CLIENT):
+                        link.hold_counts[direction] += 1
                     self.worker.say("seen", number=watch.number, link=link.name, at=self.worker.clock.now)
                     return
 
     async def end(self) -> None:
         for link in self.links.values():
-            for pair in list(link.pairs):
-                pair.reset()
+            for connection in list(link.connections):
+                connection.reset_both()
 
 
 def make(worker: Worker, setup: dict[str, Any]) -> Relays:
--- a/ospreyline/rig/worker.py
+++ b/ospreyline/rig/worker.py
@@ -1,7 +1,7 @@
-"""A process of the rig: orders come on standard input, news goes to standard output, rows to a file.
+"""A worker process of the rig: commands on standard input, messages on standard output, rows to a file.
 
 Each is a line of JSON. The end of standard input ends the process, so none outlives the rig, however that
-ends. `python -m ospreyline.rig.worker KIND` is how the rig starts one; the first line is its set-up.
+ends. The rig starts one with `python -m ospreyline.rig.worker KIND`; the first input line is its set-up.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 from ospreyline.lab.world import Due, World
 
-FLUSH = 0.2  # s between two writes of rows
-LOOK = 0.02  # s between two looks at how late the loop is: of a stop as much as this may go unseen
+FLUSH_INTERVAL_S = 0.2  # between two writes of rows to the file
+LAG_CHECK_INTERVAL_S = 0.02  # of the event loop's delay; stalls up to that long may go unnoticed
 _JSON = msgspec.json.Encoder()
 
 
 class Part(Protocol):
-    """What a worker does; a module of this package has `make(worker, setup)`."""
+    """What a worker runs: the object that `make(worker, setup)` of a module of this package returns."""
 
     async def begin(self) -> None: ...
     async def told(self, order: dict[str, Any]) -> None: ...
@@ -35,18 +35,18 @@
 
 
 class Clock(World):
-    """The laboratory's world on the real clock: ms since the rig's origin, read once a turn by `tick`."""
+    """The simulator's world on the real clock: ms since the rig's origin, updated only by `tick`."""
 
     __slots__ = ("_loop", "_origin")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, origin: float) -> None:
         super().__init__()
         self._loop = loop
-        self._origin = origin  # ms on the machine's monotonic clock, which all processes share
+        self._origin = origin  # ms on the monotonic clock, which all processes share
         self.tick()
 
     def tick(self) -> float:
-        """Read the clock; whatever comes from outside begins with it."""
+        """Read the clock; every handler of an outside event calls it first."""
         self.now = monotonic() * 1e3 - self._origin
         return self.now
 
@@ -65,42 +65,45 @@
 
 
 class Worker:
-    """What every part has: a clock, rows, and a way to tell the rig something."""
+    """What every worker process has: a clock, a file of rows, and messages to the rig."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, setup: dict[str, Any]) -> None:
         self.loop = loop
         self.clock = Clock(loop, setup["origin"])
         self.seed = int(setup["seed"])
-        self.lag = 0.0  # ms, the most that the loop came late
+        self.lag = 0.0  # ms, the longest delay of the event loop
         self._rows: BinaryIO = open(setup["rows"], "ab", buffering=1 << 16)  # noqa: SIM115 - ends with us
-        self._looked = self._flushed = loop.time()
+        self._checked_at = self._flushed_at = loop.time()
 
     def row(self, kind: str, /, **values: Any) -> None:
+        """Write a row for the referee."""
         self._rows.write(_JSON.encode({"k": kind, "t": round(self.clock.now, 3), **values}) + b"\n")
 
     def say(self, news: str, **values: Any) -> None:
+        """Send a message to the rig."""
         line = _JSON.encode({"news": news, **values}) + b"\n"
         while line:
             line = line[os.write(1, line) :]
 
-    def look(self) -> None:
+    def check_lag(self) -> None:
+        """Measure how late the event loop is, flush the rows when due, and schedule the next check."""
         now = self.loop.time()
-        late = 1e3 * (now - self._looked - LOOK)
-        if late > 50:
+        late_ms = 1e3 * (now - self._checked_at - LAG_CHECK_INTERVAL_S)
+        if late_ms > 50:
             self.clock.tick()
-            self.row("lag", ms=round(late, 1))
-        self.lag = max(self.lag, late)
-        self._looked = now
-        if now - self._flushed >= FLUSH:
-            self._flushed = now
+            self.row("lag", ms=round(late_ms, 1))
+        self.lag = max(self.lag, late_ms)
+        self._checked_at = now
+        if now - self._flushed_at >= FLUSH_INTERVAL_S:
+            self._flushed_at = now
             self._rows.flush()
-        self.loop.call_later(LOOK, self.look)
+        self.loop.call_later(LAG_CHECK_INTERVAL_S, self.check_lag)
 
     def close(self) -> None:
         self._rows.close()
 
 
-async def _lines() -> asyncio.StreamReader:
+async def _open_stdin() -> asyncio.StreamReader:
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 26)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -108,8 +111,8 @@
 
 
 async def serve(kind: str) -> None:
-    """Carry out orders until their end."""
-    orders = await _lines()
+    """Run one worker: set it up, then execute commands until standard input ends."""
+    orders = await _open_stdin()
     setup = msgspec.json.decode(await orders.readline() or b"{}")
     if not setup:
         return
@@ -118,9 +121,9 @@
     try:
         await part.begin()
         gc.collect()
-        gc.freeze()  # guards: a long collection is lateness that the rig itself brings in
-        worker._looked = worker.loop.time()
-        worker.look()
+        gc.freeze()  # a long garbage collection would make the rig itself late
+        worker._checked_at = worker.loop.time()
+        worker.check_lag()
         while line := await orders.readline():
             order = msgspec.json.decode(line)
             worker.clock.tick()
@@ -137,7 +140,7 @@
     import uvloop
 
     os.environ.setdefault("UV_USE_IO_URING", "0")
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the rig's, which then ends us
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the rig, which then ends this process
     with suppress(BrokenPipeError):
         uvloop.run(serve(sys.argv[1]))
 
--- a/tests/test_late_rig.py
+++ b/tests/test_late_rig.py
@@ -1,4 +1,4 @@
-"""Stories whose day was void, as the rig itself came late: played again, said, and never let pass for it."""
+"""Test cases whose run is void because the rig was late: run again, reported, never passed for that."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def test_a_story_fails_at_once_unless_the_rig_came_late(days, status, said, how, tmp_path):
     got, text = run(tmp_path, SUITE.format(days=days), None, *how)
     assert got == status, text
-    # each play is in a folder of its own
+    # each run has a folder of its own
     assert (tmp_path / "tests" / "played").read_text() == "7\n" * min(3, len(days))
     assert all(one in text for one in said), text
     assert said or "came 312 ms late" not in text
@@ -71,19 +71,19 @@
 
 @pytest.mark.parametrize("after", [0, 1, 5])
 def test_a_stop_of_the_rig_is_seen_whenever_it_begins(after, tmp_path):
-    # looked at every 200 ms, one of 130 ms was not seen at all if it began right behind a look
-    async def story() -> float:
+    # with checks every 200 ms, a stall of 130 ms right after a check went unnoticed
+    async def scenario() -> float:
         worker = Worker(asyncio.get_running_loop(), {"origin": 0.0, "seed": 1, "rows": tmp_path / "rows"})
-        worker.look()
+        worker.check_lag()
         for _ in range(after):
-            looked = worker._looked
-            while worker._looked == looked:
+            checked_at = worker._checked_at
+            while worker._checked_at == checked_at:
                 await asyncio.sleep(0.001)
-        time.sleep(0.13)  # the loop itself stands still
-        looked = worker._looked
-        while worker._looked == looked:
+        time.sleep(0.13)  # stalls the event loop
+        checked_at = worker._checked_at
+        while worker._checked_at == checked_at:
             await asyncio.sleep(0.001)
         worker.close()
         return worker.lag
 
-    assert asyncio.run(story()) >= 100.0
+    assert asyncio.run(scenario()) >= 100.0
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig's parts without processes: what it reads on the wire, the list service's turns, scenarios."""
+"""The rig without processes: observed HTTP traffic, the queue of the list service, scenario files."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ospreyline.lab.turns import Turns
 from ospreyline.lab.words import ScenarioError
 from ospreyline.rig import results, scenario
-from ospreyline.rig.registry import Listing
-from ospreyline.rig.wire import Reading
+from ospreyline.rig.registry import UpstreamList
+from ospreyline.rig.wire import HttpObserver
 
 REQUEST = (
     b"POST /change/x?y=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: 7a\r\nContent-Length: 4\r\n\r\nbody"
@@ -27,18 +27,26 @@
 
 @pytest.mark.parametrize("piece", [1, 3, 1_000])
 def test_whole_requests_and_answers_are_read_however_they_are_split(piece):
-    reading = Reading()
-    asked = [a for i in range(0, len(REQUEST), piece) for a in reading.sent(float(i), REQUEST[i : i + piece])]
-    assert [(a.id, a.prefix, a.method) for a in asked] == [("7a", "change", "POST"), ("7b", "read", "GET")]
-    assert asked[0].first == 0.0 and asked[0].last >= asked[0].first
-    said = [a for i in range(0, len(ANSWER), piece) for a in reading.came(float(i), ANSWER[i : i + piece])]
-    assert [(a.status, a.never_ran) for a in said] == [(503, True), (200, False)]
+    observer = HttpObserver()
+    requests = [
+        a
+        for i in range(0, len(REQUEST), piece)
+        for a in observer.on_request_bytes(float(i), REQUEST[i : i + piece])
+    ]
+    assert [(a.id, a.prefix, a.method) for a in requests] == [("7a", "change", "POST"), ("7b", "read", "GET")]
+    assert requests[0].first_byte_at == 0.0 and requests[0].last_byte_at >= requests[0].first_byte_at
+    responses = [
+        a
+        for i in range(0, len(ANSWER), piece)
+        for a in observer.on_response_bytes(float(i), ANSWER[i : i + piece])
+    ]
+    assert [(a.status, a.never_ran) for a in responses] == [(503, True), (200, False)]
 
 
 def test_what_cannot_be_read_ends_the_reading_and_nothing_else():
-    reading = Reading()
-    assert reading.sent(0.0, b"\0\1\2 nonsense\r\n\r\n") == [] and reading.broken
-    assert reading.sent(1.0, REQUEST) == []
+    observer = HttpObserver()
+    assert observer.on_request_bytes(0.0, b"\0\1\2 nonsense\r\n\r\n") == [] and observer.failed
+    assert observer.on_request_bytes(1.0, REQUEST) == []
 
 
 def test_calls_are_served_in_turn_and_refused_beyond_the_queue():
@@ -50,12 +58,19 @@
 
 
 def test_the_list_tells_what_changed_and_knows_no_version_of_the_future():
-    listing = Listing([{"uid": "s-0-1", "state": "active"}, {"uid": "s-1-1", "state": "active"}])
-    listing.change("s-0-1", state="leaving")
-    listing.change("s-1-1", state="left")
-    assert [(e["uid"], e["state"]) for e in listing.since(1)] == [("s-0-1", "leaving"), ("s-1-1", "left")]
-    assert listing.since(3) == [] and listing.since(4) is None and listing.since(0) is None
-    assert [e["uid"] for e in listing.whole()] == ["s-0-1"]
+    upstreams = UpstreamList([{"uid": "s-0-1", "state": "active"}, {"uid": "s-1-1", "state": "active"}])
+    upstreams.change("s-0-1", state="leaving")
+    upstreams.change("s-1-1", state="left")
+    assert [(e["uid"], e["state"]) for e in upstreams.changes_since(1)] == [
+        ("s-0-1", "leaving"),
+        ("s-1-1", "left"),
+    ]
+    assert (
+        upstreams.changes_since(3) == []
+        and upstreams.changes_since(4) is None
+        and upstreams.changes_since(0) is None
+    )
+    assert [e["uid"] for e in upstreams.all_entries()] == ["s-0-1"]
 
 
 def test_the_busiest_span_is_counted_wherever_it_lies():
@@ -74,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tree", "said"),
+    ("tree", "message"),
     [
         (fault(kind="stopp"), "faults[0].kind: unknown 'stopp', 'stop'?"),
         (fault(kind="drop", link="b9>u0"), "faults[0].link: no link is called 'b9>u0'"),
@@ -92,10 +107,10 @@
         ({"load": {"rate": 5.0}, "bank": {"count": 4_000}}, "bank.count: 4000 is more than"),
     ],
 )
-def test_what_is_wrong_with_a_scenario_is_one_line_that_names_it(tree, said):
+def test_what_is_wrong_with_a_scenario_is_one_line_that_names_it(tree, message):
     with pytest.raises(ScenarioError) as error:
         scenario.build(tree)
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
