--- a/ospreyline/rig/command.py
+++ b/ospreyline/rig/command.py
@@ -21,8 +21,8 @@
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
 
-def _told(call: Callable[..., None]) -> Callable[..., None]:
-    """What is wrong with the input comes out as one line, and status 2."""
+def _report_errors(call: Callable[..., None]) -> Callable[..., None]:
+    """Report errors in one line: status 2 for bad input, 3 for a run that failed, 130 if interrupted."""
 
     @wraps(call)
     def wrapped(*args: Any, **kwargs: Any) -> None:
@@ -33,36 +33,38 @@
         except (ScenarioError, OSError) as error:
             click.echo(f"ospreyline: {error}", err=True)
             sys.exit(2)
-        except RigError as error:  # the run itself could not be carried out
+        except RigError as error:  # the run could not be completed
             click.echo(f"ospreyline: {error}", err=True)
             sys.exit(3)
         except (KeyboardInterrupt, asyncio.CancelledError):
-            click.echo("ospreyline: stopped; what it had started has ended", err=True)
+            click.echo("ospreyline: interrupted; all processes that it started have ended", err=True)
             sys.exit(130)
 
     return wrapped
 
 
-def played(
-    found: Scenario,
+def run_and_judge(
+    scenario: Scenario,
     seed: int,
     out: Path,
     say: Callable[[str], None],
     live: Callable[[float, list[dict[str, int]]], None] | None = None,
 ) -> dict[str, Any]:
-    """Play a scenario, judge it and write its records; its figures."""
+    """Run a scenario, judge it and write its records; returns its summary."""
     from ospreyline.rig import results
     from ospreyline.rig.referee import Referee
     from ospreyline.rig.run import RigRun, prepare, run_interruptible
 
     prepare(out)
-    day = RigRun(found, seed, out, say, live)
-    rows = asyncio.run(run_interruptible(day))
-    referee = Referee(found, day.speeds)
+    rig_run = RigRun(scenario, seed, out, say, live)
+    rows = asyncio.run(run_interruptible(rig_run))
+    referee = Referee(scenario, rig_run.speeds)
     breaches = referee.judge(rows)
-    figures = results.summary(found, rows, breaches, referee.pushed, seed, day.lag, day.resource_usage)
-    results.write(out, found, rows, breaches, figures, day.injector.log, day.start_ms)
-    for problem in day.problems:
+    summary = results.summary(
+        scenario, rows, breaches, referee.pushed, seed, rig_run.lag, rig_run.resource_usage
+    )
+    results.write(out, scenario, rows, breaches, summary, rig_run.injector.log, rig_run.start_ms)
+    for problem in rig_run.problems:
         say(problem)
     for breach in breaches[:10]:
         say(
@@ -71,19 +73,19 @@
         )
     if len(breaches) > 10:
         say(f"{len(breaches) - 10} further breaches in {out / 'breaches.jsonl'}")
-    return figures
+    return summary
 
 
 @click.group()
 def rig() -> None:
-    """Run many processes on loopback, break what lies between them, and judge what was on the wire."""
+    """Run many balancer processes on loopback, inject faults, and judge by the traffic on the wire."""
 
 
 @rig.command(name="list")
-@_told
-def list_them() -> None:
-    """Name the scenarios that come with it, and the words for faults."""
-    for name in scenarios.shipped():
+@_report_errors
+def list_scenarios() -> None:
+    """List the shipped scenarios and the kinds of faults."""
+    for name in scenarios.shipped_scenarios():
         found = scenarios.load(name)
         click.echo(
             f"{name:20} {found.bank.count:4} balancers {found.upstreams():3} upstreams "
@@ -96,56 +98,58 @@
 
 @rig.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, help="Of all chance in the stand-ins and the script.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random choices.")
 @click.option("--out", type=FOLDER, help="Folder for rows, logs and records; else a new temporary one.")
-@_told
+@_report_errors
 def run(scenario: str, seed: int, out: Path | None) -> None:
-    """Play one day of SCENARIO, a file or the name of a shipped one; status 1 if a rule was broken."""
+    """Run SCENARIO, a file or the name of a shipped one; status 1 if a rule was broken."""
     from ospreyline.rig import results
 
     found = scenarios.load(scenario)
     folder = out or Path(tempfile.mkdtemp(prefix="ospreyline-rig-"))
-    begun = monotonic()
-    figures = played(found, seed, folder, lambda text: click.echo(text, err=True))
+    started = monotonic()
+    figures = run_and_judge(found, seed, folder, lambda text: click.echo(text, err=True))
     click.echo(results.table(figures))
-    click.echo(f"  {monotonic() - begun:.1f} s; records in {folder}")
+    click.echo(f"  {monotonic() - started:.1f} s; records in {folder}")
     sys.exit(1 if any(figures["breaches"].values()) else 0)
 
 
 @rig.command()
-@click.option("--seeds", default="1:3", show_default=True, help="FIRST:LAST, both are played.")
-@click.option("--ends", is_flag=True, help="Days on which what the list service writes is lost in all ways.")
+@click.option("--seeds", default="1:3", show_default=True, help="FIRST:LAST, both included.")
+@click.option(
+    "--ends", is_flag=True, help="Scenarios in which writes of the list service are lost in all ways."
+)
 @click.option("--out", type=FOLDER, help="Folder for rows, logs and records; else a new temporary one.")
-@_told
+@_report_errors
 def soak(seeds: str, ends: bool, out: Path | None) -> None:
-    """Play days that are drawn by seed, with a release and faults that overlap; status 1 if one is red."""
-    from ospreyline.rig import soak as soaks
+    """Run random scenarios, each with a rolling release and overlapping faults; status 1 if one fails."""
+    from ospreyline.rig import soak as soak_test
 
     first, _, last = seeds.partition(":")
     if not (first.isdigit() and (last or first).isdigit()):
         raise ScenarioError(f"--seeds: {seeds!r} is not FIRST:LAST")
-    red = void = 0
+    failed = void = 0
     for seed in range(int(first), int(last or first) + 1):
         folder = out / str(seed) if out else Path(tempfile.mkdtemp(prefix="ospreyline-soak-"))
-        found = soaks.planned_ends(seed) if ends else soaks.planned(seed)
-        said: list[str] = []
-        day = soaks.outcome(seed, found, played(found, seed, folder, said.append))
-        red, void = red + day.red, void + day.void
-        how = "void" if day.void else "RED" if day.red else "kept"
+        found = soak_test.random_loss_scenario(seed) if ends else soak_test.random_scenario(seed)
+        reports: list[str] = []
+        outcome = soak_test.judge_outcome(seed, found, run_and_judge(found, seed, folder, reports.append))
+        failed, void = failed + outcome.failed, void + outcome.void
+        verdict = "void" if outcome.void else "RED" if outcome.failed else "kept"
         click.echo(
-            f"seed {seed:4} {how:4} {found.bank.count} balancers, {len(day.plan)} faults, "
-            f"rig late {day.lag:.0f} ms {day.breaches or ''}"
+            f"seed {seed:4} {verdict:4} {found.bank.count} balancers, {len(outcome.plan)} faults, "
+            f"rig late {outcome.lag:.0f} ms {outcome.breaches or ''}"
         )
-        if day.red:
-            click.echo("\n".join(["  " + line for line in (*day.plan, *said)]))
+        if outcome.failed:
+            click.echo("\n".join(["  " + line for line in (*outcome.plan, *reports)]))
             command = f"ospreyline rig soak{' --ends' if ends else ''} --seeds {seed}:{seed}"
-            click.echo(f"  again: {command}; records in {folder}")
-    click.echo(f"{red} red, {void} void")
-    sys.exit(1 if red else 0)
+            click.echo(f"  repeat: {command}; records in {folder}")
+    click.echo(f"{failed} red, {void} void")
+    sys.exit(1 if failed else 0)
 
 
 @rig.command()
-@click.option("--count", default=3, show_default=True, help="Processes that start at once.")
+@click.option("--count", default=3, show_default=True, help="Processes to start at once.")
 @click.option(
     "--list",
     "state",
@@ -154,13 +158,13 @@
     help="State of the list service.",
     type=click.Choice(("up", "slow", "hang", "down", "back", "each")),
 )
-@click.option("--known/--no-known", default=True, show_default=True, help="Start with a list, or without.")
+@click.option("--known/--no-known", default=True, show_default=True, help="Start with or without a list.")
 @click.option("--pushed", is_flag=True, help="The settings say that the list is pushed.")
 @click.option("--must-ask-s", default=10.0, show_default=True)
-@click.option("--within", default=10.0, show_default=True, help="s in which nine in ten have to be ready.")
-@click.option("--seconds", default=30.0, show_default=True, help="The most that is waited.")
+@click.option("--within", default=10.0, show_default=True, help="s within which nine in ten must be ready.")
+@click.option("--seconds", default=30.0, show_default=True, help="s to wait at most.")
 @click.option("--seed", default=1, show_default=True)
-@_told
+@_report_errors
 def ready(
     count: int,
     state: str,
@@ -171,7 +175,7 @@
     seconds: float,
     seed: int,
 ) -> None:
-    """Time from exec to ready of processes that start at once; status 1 if over one in ten are late."""
+    """Measure the time from exec to ready of processes started at once; status 1 if over 10 % are late."""
     from ospreyline.rig import ready as starts
 
     late = False
@@ -189,9 +193,9 @@
 
 @rig.command()
 @click.argument("folder", type=FOLDER)
-@_told
+@_report_errors
 def members(folder: Path) -> None:
-    """What the balancers of a run with links noticed of one another; status 1 at a wrong death."""
+    """Summarise how the balancers of a run saw each other; status 1 if a live one was declared dead."""
     from ospreyline.rig.fleetlog import report
 
     found = report(folder)
@@ -201,9 +205,9 @@
 
 @rig.command()
 @click.argument("folder", type=FOLDER)
-@_told
+@_report_errors
 def news(folder: Path) -> None:
-    """How long changes of the list took to be in force at all balancers; status 1 if one never was."""
+    """Summarise how long list changes took to reach all balancers; status 1 if one never did."""
     from ospreyline.rig.fleetlog import news as report
 
     found = report(folder)
@@ -214,9 +218,9 @@
 @rig.command()
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", type=FOLDER, help="Folder for rows, logs and records; else a new temporary one.")
-@_told
+@_report_errors
 def demo(seed: int, out: Path | None) -> None:
-    """Three zones, a list service, three balancers, clients: a zone is lost and comes back, as you watch."""
+    """Show a live run in which one of three zones is lost and comes back."""
     from rich.console import Console
     from rich.live import Live
     from rich.table import Table
@@ -244,14 +248,14 @@
         return table
 
     console = Console()
-    with Live(drawn(), console=console, refresh_per_second=4) as shown:
+    with Live(drawn(), console=console, refresh_per_second=4) as display:
 
         def live(at: float, zones: list[dict[str, int]]) -> None:
             cells = [f"{z.get('in time', 0)} / {z.get('late', 0)} / {z.get('failed', 0)}" for z in zones]
             rows.append([f"{at:.1f}", state(at), *cells, str(sum(z.get("bounced", 0) for z in zones))])
-            shown.update(drawn())
+            display.update(drawn())
 
-        figures = played(found, seed, folder, lambda text: console.print(text, highlight=False), live)
+        figures = run_and_judge(found, seed, folder, lambda text: console.print(text, highlight=False), live)
     click.echo(results.table(figures))
     click.echo(f"  records in {folder}; draw them with: lab plot {folder}")
     sys.exit(1 if any(figures["breaches"].values()) else 0)
@@ -259,14 +263,14 @@
 
 @rig.group()
 def scale() -> None:
-    """What size costs."""
+    """Measure how costs grow with size."""
 
 
 PARTS = ("rank", "upstreams", "whole", "routes", "members", "calls", "pass")
 
 
 @scale.command()
-@click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this; several times.")
+@click.option("--part", "parts", multiple=True, type=click.Choice(PARTS), help="Only this part; repeatable.")
 @click.option(
     "--upstreams",
     multiple=True,
@@ -294,16 +298,20 @@
 @click.option(
     "--listeners", multiple=True, type=click.IntRange(1, 512), default=(10, 100, 350, 512), show_default=True
 )
-@click.option("--seconds", default=8.0, show_default=True, help="Of each look at a process at rest.")
+@click.option(
+    "--seconds", default=8.0, show_default=True, help="Duration of each measurement of an idle process."
+)
 @click.option("--rate", default=171.0, show_default=True, help="Requests a second; 0: none.")
-@click.option("--calls-per-s", default=200.0, show_default=True, help="What the list service can do.")
+@click.option("--calls-per-s", default=200.0, show_default=True, help="Capacity of the list service.")
 @click.option(
     "--data",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Data file that the slopes are written into; what is not measured stays in it.",
+    help="Data file to write the slopes into; values that are not measured stay.",
+)
+@click.option(
+    "--plot", "drawn", type=click.Path(dir_okay=False, path_type=Path), help="Picture file to draw."
 )
-@click.option("--plot", "drawn", type=click.Path(dir_okay=False, path_type=Path), help="Picture to draw.")
-@_told
+@_report_errors
 def slopes(
     parts: tuple[str, ...],
     upstreams: tuple[int, ...],
@@ -317,7 +325,7 @@
     data: Path | None,
     drawn: Path | None,
 ) -> None:
-    """Measure what one balancer spends, by the size of what it is told; docs/CAPACITY.md reads the file."""
+    """Measure what one balancer uses, by the size of its list and bank; docs/CAPACITY.md uses the file."""
     import tomllib
     from datetime import date
 
@@ -376,7 +384,7 @@
 @scale.command()
 @click.argument("data", type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @click.argument("picture", type=click.Path(dir_okay=False, path_type=Path))
-@_told
+@_report_errors
 def plot(data: Path, picture: Path) -> None:
     """Draw the slopes of a data file."""
     import tomllib
@@ -389,11 +397,11 @@
 @scale.command(name="scoped")
 @click.argument("data", type=click.Path(dir_okay=False, exists=True, path_type=Path))
 @click.argument("runs", nargs=-1, required=True, type=click.Path(dir_okay=False, exists=True, path_type=Path))
-@click.option("--command", "made_by", required=True, help="What made the runs, for the file.")
+@click.option("--command", "made_by", required=True, help="Command that made the runs, noted in the file.")
 @click.option("--machine", "made_on", help="Class of machine of the runs; else this one.")
-@_told
+@_report_errors
 def scoped(data: Path, runs: tuple[Path, ...], made_by: str, made_on: str | None) -> None:
-    """Write the slopes of scoped subscriptions into DATA, from the figures (JSON) of hollow RUNS."""
+    """Write the slopes of scoped subscriptions into DATA, from the results (JSON) of hollow RUNS."""
     import json
     import tomllib
     from datetime import date
@@ -417,10 +425,10 @@
 
 @rig.command()
 @click.argument("listen", default="127.0.0.1:9001")
-@click.option("--work", default=5.0, show_default=True, help="ms of a core that a request costs.")
-@_told
+@click.option("--work", default=5.0, show_default=True, help="CPU time of a request in ms.")
+@_report_errors
 def upstream(listen: str, work: float) -> None:
-    """One stand-in upstream at LISTEN until Ctrl-C, to try a balancer by hand."""
+    """Run one stand-in upstream at LISTEN until Ctrl-C, to try a balancer by hand."""
     from ospreyline import facts
     from ospreyline.rig.upstreams import alone
 
--- a/ospreyline/rig/run.py
+++ b/ospreyline/rig/run.py
@@ -24,7 +24,7 @@
 from ospreyline.lab.scenario import Group, middle
 from ospreyline.lab.words import ScenarioError
 from ospreyline.lab.world import Streams
-from ospreyline.rig.scenario import MOVED, Fault, Scenario, draw_faults
+from ospreyline.rig.scenario import LIST_MOVED, Fault, Scenario, draw_faults
 from ospreyline.rig.script import FaultInjector
 
 START_BATCH = 25  # balancers started together on a warm start
@@ -521,14 +521,14 @@
                 }
             )
         fields = s.reports.fields if s.reports.via != "none" else []
-        found = await asyncio.gather(
+        started = await asyncio.gather(
             *(
                 self._start_worker("upstreams", i, "upstreams", "listening", upstreams=share, fields=fields)
                 for i, share in enumerate(setups)
             )
         )
-        self._upstreams = [worker for worker, _ in found]
-        at = {int(i): tuple(where) for _, message in found for i, where in message["at"].items()}
+        self._upstreams = [worker for worker, _ in started]
+        at = {int(i): tuple(where) for _, message in started for i, where in message["at"].items()}
         entries = [self.injector.list_entry(i, 0) for i in range(len(self.groups))]
         if s.rig.relays:
             await self._start_relays(at)
@@ -587,7 +587,7 @@
         process_count = s.rig.relay_processes
         shares: list[list[dict[str, Any]]] = [[] for _ in range(process_count)]
         of: dict[str, int] = {}
-        moved = any(f.kind == MOVED for f in self.injector.faults)
+        moved = any(f.kind == LIST_MOVED for f in self.injector.faults)
         clients = any(f.on is not None and f.on.link.startswith("c") for f in self.injector.faults)
 
         def add(name: str, share: int, listen: str, source: str, reads: bool) -> None:
@@ -615,15 +615,15 @@
             hubs[b % process_count].append(
                 {"name": f"b{b}", "listen": loopback_address(8, b), "sources": sources}
             )
-        found = await asyncio.gather(
+        started = await asyncio.gather(
             *(
                 self._start_worker("relays", i, "relays", "linked", links=share, hubs=hubs[i])
                 for i, share in enumerate(shares)
             )
         )
-        self._relays = [worker for worker, _ in found]
+        self._relays = [worker for worker, _ in started]
         self._relay_of = {name: self._relays[share] for name, share in of.items()}
-        for _, message in found:
+        for _, message in started:
             self._link_addresses.update(
                 {name: tuple(where) for name, where in (message["at"] | message["hubs"]).items()}
             )
@@ -646,7 +646,7 @@
         s = self.scenario
         process_count = s.rig.client_processes
         at = [self._link_addresses[f"c>b{b}"] for b in range(s.bank.count)]
-        found = await asyncio.gather(
+        started = await asyncio.gather(
             *(
                 self._start_worker(
                     "clients",
@@ -664,7 +664,7 @@
                 for i in range(process_count)
             )
         )
-        self._clients = [worker for worker, _ in found]
+        self._clients = [worker for worker, _ in started]
 
     async def _run_scenario(self) -> None:
         s = self.scenario
--- a/ospreyline/rig/scenario.py
+++ b/ospreyline/rig/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios of the rig: the laboratory's words, and what only real processes and links have.
+"""Scenario files of the rig: those of the simulator, extended by real processes and links.
 
-A `Scenario` is the laboratory's with a `[rig]` table; its faults may name links and processes, and may be
-bound to something seen on the wire (`on`) in place of a time. Errors are `ScenarioError`, one line.
+A `Scenario` is the simulator's with a `[rig]` table. Its faults may also name links and processes, and may
+wait for an event on the wire (`on`) instead of a time. Errors are `ScenarioError`, one line.
 """
 
 from __future__ import annotations
@@ -19,60 +19,64 @@
 from ospreyline.lab import words
 from ospreyline.lab.words import Part, ScenarioError
 
-MOST_BALANCERS, MOST_UPSTREAMS, MOST_SECONDS, MOST_RATE = 400, 120, 600.0, 4_000.0
+MAX_BALANCERS, MAX_UPSTREAMS, MAX_SECONDS, MAX_VISITS_PER_S = 400, 120, 600.0, 4_000.0
 
 
 Way = Literal["both", "to", "from"]
 WAYS: tuple[Way, ...] = ("both", "to", "from")
 
 
-class Mesh(Part):
-    """Links between the balancers, by the operator's file."""
+class FleetLinks(Part):
+    """Links between the balancers, set up in the operator file."""
 
     on: bool = False
-    seeds: int = 3  # balancers that all others are told of; the rest they hear from one another
-    lists: bool = False  # a few pass the list on; wants rig.pairs off: all are told the same addresses
+    seeds: int = 3  # balancers that all others are configured with; they learn of the rest by gossip
+    # a few relay the list to the others; needs rig.pairs off, so that all get the same addresses
+    lists: bool = False
 
 
 class Rig(Part):
-    """How the processes are started, and what the list service can do."""
+    """How the processes are started and linked, and the limits of the list service."""
 
-    # warm: the day begins when all are ready; in turn: the same, and each is older than the next
+    # warm: the day begins when all are ready; in turn: likewise, one by one, so that their ages differ
     start: Literal["warm", "in turn", "at once"] = "warm"
-    known: Literal["all", "none"] = "all"  # the list that a balancer starts with
-    fleet: Mesh = msgspec.field(default_factory=Mesh)
-    pairs: bool = True  # a relay between each balancer and each upstream; off: all share the upstreams' own
-    relays: bool = True  # without: processes are linked directly, to see what relays cost
+    known: Literal["all", "none"] = "all"  # the upstream list that a balancer starts with
+    fleet: FleetLinks = msgspec.field(default_factory=FleetLinks)
+    pairs: bool = True  # a relay per balancer and upstream; off: balancers connect to the upstreams directly
+    relays: bool = True  # off: no relays at all, to measure what they cost
     relay_processes: int = 2
     client_processes: int = 1
     upstream_processes: int = 2
-    queue: int = 50  # calls that wait at the list service; more are refused with 503
-    retry_after_s: float = 0.0  # said with its 503; 0: not said
-    ready_s: float = 30.0  # in which all processes have to be up
-    # the operator's file of each balancer, by tables; in texts {b} is its name and {out} the run's folder
+    queue: int = 50  # calls that may wait at the list service; further ones get 503
+    retry_after_s: float = 0.0  # Retry-After of its 503; 0: none
+    ready_s: float = 30.0  # within which all processes must be up
+    # operator file of each balancer, by table; in strings {b} is its name and {out} the run's folder
     operator: dict[str, dict[str, Any]] = msgspec.field(default_factory=dict)
-    program: str = ""  # folder of another checkout, whose balancers are played; empty: this one's
-    program_for: str = "b*"  # the balancers that are played from there
-    # clients whose connection ended under a visit ask for it again, under its id, at whichever balancer
+    program: str = ""  # folder of another checkout to run balancers from; empty: this one
+    program_for: str = "b*"  # pattern of the balancers that run from there
+    # clients whose connection ends during a visit repeat it, with its id, at any balancer
     asks_again: bool = False
-    must_ask_s: float = 10.0  # without a call after which a balancer counts as told of everything
-    lag_ms: float = 250.0  # that the rig's own processes may be late before a day is void
+    must_ask_s: float = 10.0  # without a list call, after which a balancer counts as notified of all changes
+    lag_ms: float = 250.0  # event loop delay of the rig's own processes from which a run is void
 
 
-class On(Part):
-    """What is seen on a link, after which a fault is carried out while that link is held."""
+class Trigger(Part):
+    """An event on a link that triggers a fault; the link is held until the fault has started."""
 
-    seen: Literal["request", "answer", "connection"] = "request"  # the last byte of one has been passed on
+    # what triggers it, once the last byte of one has been forwarded
+    seen: Literal["request", "answer", "connection"] = "request"
     link: str = "b*>u*"
     prefix: str = ""
     nth: int = 1
 
 
 class Fault(words.Fault):
-    link: str = ""  # links that it meets, such as `b0>u*`, `c>b2`, `b*>list`
-    who: str = ""  # processes that it meets, such as `b1`; with `part` left out
-    way: Way = "both"  # to: from the left of the link's name to the right
-    on: On | None = None
+    """A fault of the simulator, with links, processes and a trigger."""
+
+    link: str = ""  # pattern of links, such as `b0>u*`, `c>b2`, `b*>list`
+    who: str = ""  # pattern of processes, such as `b1`; in place of `part`
+    way: Way = "both"  # to: from the left of the link's name to its right
+    on: Trigger | None = None
 
 
 class Scenario(lab.Scenario):
@@ -83,8 +87,8 @@
         return sum(group.count for group in self.servers)
 
 
-# the laboratory's words that the rig carries out, too
-SHARED = (
+# fault kinds of the simulator that the rig injects, too
+SHARED_KINDS = (
     "slow",
     "pause",
     "crash",
@@ -101,41 +105,41 @@
     "registry-down",
     "registry-late",
 )
-# part of the balancers is told a new address of the list service (SIGHUP); the old one closes 1.5 s later
-MOVED = "registry-moved"
-# words of links and processes
-OWN = {
-    "drop": "what is sent on the links is lost unseen; at the end extra as a share of connections is reset",
-    "stall": "the links pass nothing and read nothing; all of it comes at the end",
-    "slow-link": "the links pass everything size ms later",
-    "reset": "the connections on the links are reset, new ones until the end, too",
+# balancers reload (SIGHUP) with a new address of the list service; the old one closes 1.5 s later
+LIST_MOVED = "registry-moved"
+# fault kinds of links, processes and the list service, with their help texts
+RIG_FAULTS = {
+    "drop": "the links silently drop all data; at the end a share extra of the connections is reset",
+    "stall": "the links neither read nor forward; all data arrives at the end",
+    "slow-link": "the links delay everything by size ms",
+    "reset": "the connections on the links are reset, also new ones until the end",
     "refuse": "new connections on the links are refused",
     "half-close": "the sending side of open connections is shut down, once",
-    "cut-at": "connections on the links are reset after size bytes that way",
-    "narrow": "what comes in pieces over size bytes is never passed, nor what follows it, until the end",
-    "fin-for-reset": "the links pass a reset by the server on as an end in order, as proxies do",
-    "vanish": "as if the machine were gone: open connections fall silent, new ones never come up",
+    "cut-at": "connections on the links are reset after size bytes in that direction",
+    "narrow": "pieces over size bytes, and all that follows them, are blocked until the end",
+    "fin-for-reset": "the links forward a reset by the server as an orderly close, as proxies do",
+    "vanish": "as if the machine were gone: open connections go silent, new ones never complete",
     "stop": "processes are stopped (SIGSTOP) and continued at the end",
     "starve": "processes are stopped for size ms, every extra ms",
-    "crash-loop": "processes are killed size ms after each time that they serve, and started again; each "
-    "begins at a moment of its own within extra ms",
+    "crash-loop": "processes are killed size ms after each start and started again; each loop begins at a "
+    "random time within extra ms",
     "hup": "processes get SIGHUP once",
     "registry-full": "the list service answers 503 to every call",
-    "registry-hang": "the list service sends a head and then nothing",
+    "registry-hang": "the list service sends a response head and then nothing",
     "registry-half": "the list service sends half a list and closes",
-    "registry-lost": "what the list service writes is lost: a reset takes it away, but for some bytes",
+    "registry-lost": "writes of the list service are lost by a reset, except for some bytes",
     **{
-        f"registry-lost-{end}": f"what the list service writes is lost but for size bytes, {how}; calls are "
-        "turned away for extra s after each, each after 2 s if silent"
+        f"registry-lost-{end}": f"writes of the list service are lost except for size bytes, {how}; calls "
+        "are refused for extra s after each, each of them after 2 s if silent"
         for end, how in (
-            ("last-chunk", "and the answer ends in form"),
-            ("fin", "and closed in order"),
-            ("reset", "by a reset"),
-            ("silence", "and nothing comes any more"),
+            ("last-chunk", "and the response ends with a last chunk"),
+            ("fin", "and the connection closes"),
+            ("reset", "and the connection is reset"),
+            ("silence", "and nothing more is sent"),
         )
     },
-    "registry-back": "the list service tells a list older than the one it told before",
-    "registry-swap": "the list names the address of another upstream for part of the upstreams",
+    "registry-back": "the list service sends an older list than before",
+    "registry-swap": "for part of the upstreams, the list has the address of another upstream",
 }
 LINK_KINDS = (
     "drop",
@@ -149,9 +153,9 @@
     "vanish",
     "fin-for-reset",
 )
-PROCESS_KINDS = ("stop", "starve", "crash-loop", "hup", "kill", "restart", MOVED)
-# ranges of those of them that are drawn, mildest end first: for_s, part of the balancers, size, extra
-DRAWN: dict[str, tuple[tuple[float, float], ...]] = {
+PROCESS_KINDS = ("stop", "starve", "crash-loop", "hup", "kill", "restart", LIST_MOVED)
+# ranges of the kinds that are drawn at random, mildest end first: for_s, part of the balancers, size, extra
+DRAWN_RANGES: dict[str, tuple[tuple[float, float], ...]] = {
     "drop": ((1, 8), (0, 0.2), (0, 0), (0, 1)),
     "stall": ((1, 8), (0, 0.2), (0, 0), (0, 0)),
     "slow-link": ((2, 10), (0, 0.3), (10, 300), (0, 0)),
@@ -169,14 +173,14 @@
     "registry-lost": ((0.5, 4), (0, 0), (0, 0), (0, 0)),
 }
 FAULTS = {
-    **{kind: words.FAULTS[kind] for kind in SHARED},
-    **OWN,
-    MOVED: "balancers get a new address of the list service by SIGHUP; the old one closes after 1.5 s",
+    **{kind: words.FAULTS[kind] for kind in SHARED_KINDS},
+    **RIG_FAULTS,
+    LIST_MOVED: "balancers reload (SIGHUP) with a new list service address; the old one closes after 1.5 s",
 }
 
 
-def shipped() -> dict[str, str]:
-    """The scenarios that come with the rig: their names and their text."""
+def shipped_scenarios() -> dict[str, str]:
+    """The scenarios shipped with the rig: TOML text by name."""
     folder = resources.files("ospreyline.rig") / "scenarios"
     return {
         entry.name.removesuffix(".toml"): entry.read_text("utf-8")
@@ -186,91 +190,104 @@
 
 
 def load(name: str) -> Scenario:
-    """A scenario by the path of its file, or by the name of a shipped one."""
+    """Load a scenario by the path of its file or the name of a shipped one."""
     path = Path(name)
     try:
-        text = path.read_text("utf-8") if path.suffix == ".toml" or path.exists() else shipped().get(name)
+        text = (
+            path.read_text("utf-8")
+            if path.suffix == ".toml" or path.exists()
+            else shipped_scenarios().get(name)
+        )
     except (OSError, UnicodeDecodeError) as error:
         raise ScenarioError(f"{name}: {getattr(error, 'strerror', None) or error}") from error
     if text is None:
-        raise ScenarioError(f"{name}: no such file or shipped scenario{words.nearest(name, shipped())}")
+        raise ScenarioError(
+            f"{name}: no such file or shipped scenario{words.nearest(name, shipped_scenarios())}"
+        )
     try:
-        return build(_whole(tomllib.loads(text)))
+        return build(_resolve_like(tomllib.loads(text)))
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(f"{name}: {error}") from error
     except ScenarioError as error:
         raise ScenarioError(f"{name}: {error}") from error
 
 
-def _whole(tree: dict[str, Any]) -> dict[str, Any]:
-    """A file that is `like` a shipped one has that one's keys where it has none of its own."""
-    like = tree.pop("like", None)
+def _resolve_like(tables: dict[str, Any]) -> dict[str, Any]:
+    """Fill in missing keys from the shipped scenario that the file names with `like`."""
+    like = tables.pop("like", None)
     if like is None:
-        return tree
-    if like not in shipped():
-        raise ScenarioError(f"like: no shipped scenario {like!r}{words.nearest(str(like), shipped())}")
-    return _over(_whole(tomllib.loads(shipped()[like])), tree)
+        return tables
+    if like not in shipped_scenarios():
+        raise ScenarioError(
+            f"like: no shipped scenario {like!r}{words.nearest(str(like), shipped_scenarios())}"
+        )
+    return _merge_tables(_resolve_like(tomllib.loads(shipped_scenarios()[like])), tables)
 
 
-def _over(base: dict[str, Any], top: Mapping[str, Any]) -> dict[str, Any]:
-    for key, value in top.items():
+def _merge_tables(base: dict[str, Any], overrides: Mapping[str, Any]) -> dict[str, Any]:
+    for key, value in overrides.items():
         base[key] = (
-            _over(base[key], value) if isinstance(value, dict) and isinstance(base.get(key), dict) else value
+            _merge_tables(base[key], value)
+            if isinstance(value, dict) and isinstance(base.get(key), dict)
+            else value
         )
     return base
 
 
-def build(tree: Mapping[str, Any]) -> Scenario:
-    """A checked scenario from plain tables."""
+def build(tables: Mapping[str, Any]) -> Scenario:
+    """Build and check a scenario from plain tables."""
     try:
-        found = msgspec.convert(tree, Scenario, strict=True)
+        scenario = msgspec.convert(tables, Scenario, strict=True)
     except msgspec.ValidationError as error:
-        known = [*lab.known_keys(), *(k for t in (Scenario, Rig, On, Fault) for k in t.__struct_fields__)]
+        known = [
+            *lab.known_keys(),
+            *(k for t in (Scenario, Rig, Trigger, Fault) for k in t.__struct_fields__),
+        ]
         raise ScenarioError(words.worded(str(error), known)) from error
-    for key, problem in (*lab.problems(found, FAULTS), *_problems(found)):
+    for key, problem in (*lab.problems(scenario, FAULTS), *_problems(scenario)):
         raise ScenarioError(f"{key}: {problem}")
-    return found
+    return scenario
 
 
 def links(s: Scenario) -> list[str]:
-    """The names of all links: clients to balancers, balancers to upstreams and to the list service."""
+    """The names of all links: clients, balancers, list service and upstreams, as FROM>TO."""
     balancers, upstreams = range(s.bank.count), range(s.upstreams())
-    between = balancers if s.rig.fleet.on else range(0)
-    moved = balancers if any(fault.kind == MOVED for fault in s.faults) else range(0)
+    linked_balancers = balancers if s.rig.fleet.on else range(0)
+    moved = balancers if any(fault.kind == LIST_MOVED for fault in s.faults) else range(0)
     return [
         *(f"c>b{b}" for b in balancers),
         *(f"b{b}>list" for b in balancers),
         *(f"b{b}>list2" for b in moved),
         *(f"b{b}>u{u}" for b in balancers for u in (upstreams if s.rig.pairs else ())),
-        *(f"b{a}>b{b}" for a in between for b in between if a != b),
+        *(f"b{a}>b{b}" for a in linked_balancers for b in linked_balancers if a != b),
     ]
 
 
 def draw_faults(s: Scenario, generator: Any) -> list[Fault]:
-    """The drawn faults of a day: those of the laboratory, and links and processes; one seed, one day."""
+    """Draw the random faults of `[chance]`; the same generator state gives the same faults."""
     chance, out = s.chance, list[Fault]()
-    kinds = list(chance.kinds) or [k for k in SHARED if k in words.RANGES]
+    kinds = list(chance.kinds) or [k for k in SHARED_KINDS if k in words.RANGES]
     zones, count = s.zones.names, s.bank.count
-    one = msgspec.structs.replace(chance, count=1)
+    single = msgspec.structs.replace(chance, count=1)
     for _ in range(chance.count):
         kind = kinds[int(generator.integers(len(kinds)))]
         if kind in words.RANGES:
-            (found,) = words.drawn(one, [kind], s.day.seconds, zones, generator)
-            out.append(Fault(**msgspec.structs.asdict(found)))
+            (fault,) = words.drawn(single, [kind], s.day.seconds, zones, generator)
+            out.append(Fault(**msgspec.structs.asdict(fault)))
             continue
         for_s, part, size, extra = (
             low + float(generator.random()) * (1 - chance.mildness) * (high - low)
-            for low, high in DRAWN[kind]
+            for low, high in DRAWN_RANGES[kind]
         )
         at_s = (0.1 + 0.75 * float(generator.random())) * s.day.seconds
         link = ""
         if kind in LINK_KINDS:
-            # all the links of one balancer of some sort, or one link between two balancers
+            # all links of one kind of one balancer, or one link between two balancers
             b, other = (int(i) for i in generator.integers(count, size=2))
-            sorts = [f"b{b}>list", f"c>b{b}"] + ([f"b{b}>u*"] if s.rig.pairs else [])
+            candidates = [f"b{b}>list", f"c>b{b}"] + ([f"b{b}>u*"] if s.rig.pairs else [])
             if s.rig.fleet.on and count > 1:
-                sorts += [f"b{b}>b*", f"b*>b{b}", f"b{b}>b{other if other != b else (b + 1) % count}"]
-            link = sorts[int(generator.integers(len(sorts)))]
+                candidates += [f"b{b}>b*", f"b*>b{b}", f"b{b}>b{other if other != b else (b + 1) % count}"]
+            link = candidates[int(generator.integers(len(candidates)))]
         part = 0.0 if link else round(max(part, 0.01), 3)
         out.append(
             Fault(
@@ -290,15 +307,15 @@
 
 
 def _problems(s: Scenario) -> Iterator[tuple[str, str]]:
-    """What only the rig asks of a scenario."""
-    for key, figure, most in (
-        ("bank.count", s.bank.count, MOST_BALANCERS),
-        ("servers", s.upstreams(), MOST_UPSTREAMS),
-        ("day.seconds", s.day.seconds, MOST_SECONDS),
-        ("load", s.rate(), MOST_RATE),
+    """The problems of a scenario that only the rig has, as (key, problem)."""
+    for key, value, limit in (
+        ("bank.count", s.bank.count, MAX_BALANCERS),
+        ("servers", s.upstreams(), MAX_UPSTREAMS),
+        ("day.seconds", s.day.seconds, MAX_SECONDS),
+        ("load", s.rate(), MAX_VISITS_PER_S),
     ):
-        if figure > most:
-            yield key, f"{figure:g} is more than the {most:g} that a machine can play"
+        if value > limit:
+            yield key, f"{value:g} is more than the {limit:g} that a machine can run"
     for key in ("relay_processes", "client_processes", "upstream_processes"):
         if not 1 <= getattr(s.rig, key) <= 16:
             yield f"rig.{key}", f"{getattr(s.rig, key)} is not between 1 and 16"
@@ -310,34 +327,37 @@
         yield "rig.program", f"{s.rig.program!r} holds no ospreyline/__main__.py"
     names: list[str] | None = None
     for i, fault in enumerate(s.faults):
-        at = f"faults[{i}]"
+        path = f"faults[{i}]"
         if fault.kind in LINK_KINDS:
             if not s.rig.relays:
-                yield f"{at}.kind", f"{fault.kind!r} needs relays (rig.relays)"
+                yield f"{path}.kind", f"{fault.kind!r} needs relays (rig.relays)"
             if not fault.link:
-                yield f"{at}.link", f"{fault.kind!r} needs links, such as 'b0>u*'"
-        if fault.kind == MOVED and not s.rig.relays:
-            yield f"{at}.kind", f"{fault.kind!r} needs relays (rig.relays)"
+                yield f"{path}.link", f"{fault.kind!r} needs links, such as 'b0>u*'"
+        if fault.kind == LIST_MOVED and not s.rig.relays:
+            yield f"{path}.kind", f"{fault.kind!r} needs relays (rig.relays)"
         if fault.kind in ("cut", "vanish") and not (s.rig.relays and s.rig.pairs):
-            yield f"{at}.kind", f"{fault.kind!r} needs relays of pairs (rig.relays, rig.pairs)"
+            yield f"{path}.kind", f"{fault.kind!r} needs relays of pairs (rig.relays, rig.pairs)"
         for key, pattern in (("link", fault.link), ("on.link", fault.on.link if fault.on else "")):
             names = names if names is not None else links(s)
             if pattern and not any(fnmatchcase(name, pattern) for name in names):
-                yield f"{at}.{key}", f"no link is called {pattern!r}{words.nearest(pattern, names)}"
+                yield f"{path}.{key}", f"no link is called {pattern!r}{words.nearest(pattern, names)}"
         if fault.kind in PROCESS_KINDS:
             balancers = [f"b{b}" for b in range(s.bank.count)]
             if fault.who and not any(fnmatchcase(b, fault.who) for b in balancers):
-                yield f"{at}.who", f"no balancer is called {fault.who!r}{words.nearest(fault.who, balancers)}"
+                yield (
+                    f"{path}.who",
+                    f"no balancer is called {fault.who!r}{words.nearest(fault.who, balancers)}",
+                )
             if not fault.who and not fault.part:
-                yield f"{at}.who", f"{fault.kind!r} needs who or part"
+                yield f"{path}.who", f"{fault.kind!r} needs who or part"
         if fault.on is not None:
             if not s.rig.relays:
-                yield f"{at}.on", "what is seen on the wire needs relays (rig.relays)"
+                yield f"{path}.on", "what is seen on the wire needs relays (rig.relays)"
             if fault.on.nth < 1:
-                yield f"{at}.on.nth", f"{fault.on.nth} is under 1"
+                yield f"{path}.on.nth", f"{fault.on.nth} is under 1"
             if fault.on.prefix and fault.on.prefix not in [p.name for p in s.prefixes]:
-                yield f"{at}.on.prefix", f"{fault.on.prefix!r} is not a prefix"
+                yield f"{path}.on.prefix", f"{fault.on.prefix!r} is not a prefix"
     if s.chance.count:
         for i, kind in enumerate(s.chance.kinds):
-            if kind not in (*(k for k in SHARED if k in words.RANGES), *DRAWN):
+            if kind not in (*(k for k in SHARED_KINDS if k in words.RANGES), *DRAWN_RANGES):
                 yield f"chance.kinds[{i}]", f"the rig draws none of {kind!r}"
--- a/ospreyline/rig/script.py
+++ b/ospreyline/rig/script.py
@@ -14,7 +14,7 @@
 from time import time
 from typing import Any, Protocol
 
-from ospreyline.rig.scenario import LINK_KINDS, MOVED, Fault, Scenario, links
+from ospreyline.rig.scenario import LINK_KINDS, LIST_MOVED, Fault, Scenario, links
 
 Undo = Callable[[], Awaitable[None]]
 
@@ -108,7 +108,7 @@
             start_fault = self._link_fault
         elif fault.kind in ("slow", "pause", "errors", "mute"):
             start_fault = self._upstream_fault
-        elif fault.kind.startswith("registry-") and fault.kind != MOVED:
+        elif fault.kind.startswith("registry-") and fault.kind != LIST_MOVED:
             start_fault = self._list_service_fault
         else:
             start_fault = getattr(self, "_" + fault.kind.replace("-", "_"))
@@ -133,15 +133,17 @@
         return sorted(self._random.sample(candidates, count))
 
     def _select_upstreams(self, fault: Fault, entry: dict[str, Any]) -> list[int]:
-        found = self._select(fault, [f"u{i}" for i in range(len(self._upstream_zones))], self._upstream_zones)
-        entry["servers"] = found
-        return found
+        indices = self._select(
+            fault, [f"u{i}" for i in range(len(self._upstream_zones))], self._upstream_zones
+        )
+        entry["servers"] = indices
+        return indices
 
     def _select_balancers(self, fault: Fault, entry: dict[str, Any]) -> list[int]:
         count = len(self._balancer_zones)
-        found = self._select(fault, [f"b{i}" for i in range(count)], self._balancer_zones)
-        entry["balancers"] = found
-        return found
+        indices = self._select(fault, [f"b{i}" for i in range(count)], self._balancer_zones)
+        entry["balancers"] = indices
+        return indices
 
     # links
 
--- a/ospreyline/rig/soak.py
+++ b/ospreyline/rig/soak.py
@@ -1,8 +1,8 @@
-"""The soak: days on the rig that are drawn by seed, each with a release and faults that overlap.
+"""The soak test: random scenarios on the rig, each with a rolling release and overlapping faults.
 
-One seed gives one plan: how many balancers there are, how long clients wait, how fast the list service is,
-and which faults meet whom and when. The referee judges each day by what was on the wire; it takes a drain for
-told when the list service has written it, arrived or not. A day on which the rig itself came late is void.
+A seed fixes the number of balancers, the clients' timeouts, the speed of the list service, and which faults
+hit what and when. The referee judges each run by the traffic on the wire; to it, the balancers know of a
+drain once the list service has written it, arrived or not. A run in which the rig itself was late is void.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ospreyline.rig import scenario as scenarios
 from ospreyline.rig.scenario import Fault, Scenario
 
-BALANCERS = (1, 2, 3, 3, 5, 8)  # drawn evenly
-CALLS_PER_S = (250.0, 40.0, 8.0, 3.0)  # of the list service; the last two are crowded
-TIME_OUTS = (0.5, 1.0, 2.0)  # of those in the scenario
-FAULTS = (3, 9)  # how many meet a day, beside its release
-# each drain is a chance to break the rule that this is about
+BALANCERS = (1, 2, 3, 3, 5, 8)  # drawn with equal probability
+CALLS_PER_S = (250.0, 40.0, 8.0, 3.0)  # of the list service; the last two overload it
+TIMEOUT_FACTORS = (0.5, 1.0, 2.0)  # times the timeouts in the base scenario
+FAULT_COUNT = (3, 9)  # range per run, without the release
+# faults of the list: every drain during one may break the drain rule
 LIST_FAULTS = (
     "registry-lost",
     "registry-lost",
@@ -32,42 +32,44 @@
 )
 OTHER_FAULTS = ("stop", "hup", "restart", "kill", "reset", "half-close", "drop", "starve", "pause", "crash")
 
-# days of lost writings: bytes of one that arrive (79 are an answer's head), s for which calls are turned away
-# after it, ends that take its place, and what else may happen
-ENDS = ("last-chunk", "fin", "reset", "silence")
-ARRIVES = (0, 0, 0, 0, 1, 4, 40, 79, 83)
-AWAY_S = (0.0, 1.5, 1.5, 3.0)
-LOSSES = (3, 6)  # a day
-FEW_BALANCERS = (1, 2, 3, 3)
-UNCROWDED = (250.0, 40.0, 8.0)  # calls a second
-BESIDE = ("", "", "kill", "restart", "hup", "stop", "registry-full", "registry-down")
+# runs with lost writes of the list service: how the connection ends, how many bytes arrive (79 are the
+# response head), how long calls are refused afterwards (s), and which other faults may occur
+LOSS_ENDS = ("last-chunk", "fin", "reset", "silence")
+ARRIVING_BYTES = (0, 0, 0, 0, 1, 4, 40, 79, 83)
+REFUSE_S = (0.0, 1.5, 1.5, 3.0)
+LOSS_COUNT = (3, 6)  # per run
+LOSS_BALANCERS = (1, 2, 3, 3)
+LOSS_CALLS_PER_S = (250.0, 40.0, 8.0)
+OTHER_LOSS_FAULTS = ("", "", "kill", "restart", "hup", "stop", "registry-full", "registry-down")
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How the day of a seed ended."""
+    """The result of the run of a seed."""
 
     seed: int
     breaches: dict[str, int]
-    lag: float  # ms, the most that a process of the rig came late
+    lag: float  # ms, the longest event loop delay of the rig's processes
     void: bool
     plan: list[str]
 
     @property
-    def red(self) -> bool:
+    def failed(self) -> bool:
         return any(self.breaches.values()) and not self.void
 
 
-def planned(seed: int) -> Scenario:
-    """The day of a seed."""
+def random_scenario(seed: int) -> Scenario:
+    """The random scenario of a seed."""
     generator = np.random.default_rng([seed, 0x50AC])
     base = scenarios.load("soak")
-    longer = float(generator.choice(TIME_OUTS))
+    timeout_factor = float(generator.choice(TIMEOUT_FACTORS))
     prefixes = [
-        msgspec.structs.replace(p, timeout_ms=p.timeout_ms * longer, target_ms=p.target_ms * longer)
+        msgspec.structs.replace(
+            p, timeout_ms=p.timeout_ms * timeout_factor, target_ms=p.target_ms * timeout_factor
+        )
         for p in base.prefixes
     ]
-    found = msgspec.structs.replace(
+    scenario = msgspec.structs.replace(
         base,
         bank=msgspec.structs.replace(base.bank, count=int(generator.choice(BALANCERS))),
         registry=msgspec.structs.replace(base.registry, calls_per_s=float(generator.choice(CALLS_PER_S))),
@@ -77,82 +79,87 @@
     faults = [release]
     for kinds in (LIST_FAULTS, OTHER_FAULTS):
         chance = msgspec.structs.replace(
-            found.chance, kinds=list(kinds), mildness=0.3, count=int(generator.integers(*FAULTS)) // 2 + 1
+            scenario.chance,
+            kinds=list(kinds),
+            mildness=0.3,
+            count=int(generator.integers(*FAULT_COUNT)) // 2 + 1,
         )
-        faults += scenarios.draw_faults(msgspec.structs.replace(found, chance=chance), generator)
-    faults = [_met(fault, found.bank.count, generator) for fault in faults]
-    found.faults = sorted(faults, key=lambda fault: fault.at_s)
-    return found
+        faults += scenarios.draw_faults(msgspec.structs.replace(scenario, chance=chance), generator)
+    faults = [_with_one_balancer(fault, scenario.bank.count, generator) for fault in faults]
+    scenario.faults = sorted(faults, key=lambda fault: fault.at_s)
+    return scenario
 
 
-def planned_ends(seed: int) -> Scenario:
-    """The day of a seed on which writings of the list service are lost under every kind of end."""
+def random_loss_scenario(seed: int) -> Scenario:
+    """The random scenario of a seed in which writes of the list service are lost in all ways."""
     generator = np.random.default_rng([seed, 0xE2D5])
     base = scenarios.load("soak")
-    found = msgspec.structs.replace(
+    scenario = msgspec.structs.replace(
         base,
-        bank=msgspec.structs.replace(base.bank, count=int(generator.choice(FEW_BALANCERS))),
-        registry=msgspec.structs.replace(base.registry, calls_per_s=float(generator.choice(UNCROWDED))),
+        bank=msgspec.structs.replace(base.bank, count=int(generator.choice(LOSS_BALANCERS))),
+        registry=msgspec.structs.replace(
+            base.registry, calls_per_s=float(generator.choice(LOSS_CALLS_PER_S))
+        ),
     )
 
-    def drawn(low: float, high: float) -> float:
+    def uniform(low: float, high: float) -> float:
         return round(low + (high - low) * float(generator.random()), 2)
 
-    release = Fault("roll", drawn(1.0, 2.0), 9.0, 0.9, size=0.17, extra=drawn(1.5, 3.0))
-    steps, faults = round(0.9 * found.upstreams()), [release]
+    release = Fault("roll", uniform(1.0, 2.0), 9.0, 0.9, size=0.17, extra=uniform(1.5, 3.0))
+    steps, faults = round(0.9 * scenario.upstreams()), [release]
     if generator.random() < 0.5:
         faults.append(Fault("fin-for-reset", 0.0, base.day.seconds, link="b*>list"))
-    for step in generator.permutation(steps)[: int(generator.integers(*LOSSES))]:
-        begins = release.at_s + release.for_s * int(step) / steps  # a server begins to drain then
+    for step in generator.permutation(steps)[: int(generator.integers(*LOSS_COUNT))]:
+        drain_at = release.at_s + release.for_s * int(step) / steps  # when an upstream starts to drain
         faults.append(
             Fault(
-                f"registry-lost-{ENDS[int(generator.integers(len(ENDS)))]}",
-                round(max(0.0, begins + drawn(-0.6, 0.1)), 2),
-                drawn(0.6, 1.8),
-                size=int(generator.choice(ARRIVES)),
-                extra=float(generator.choice(AWAY_S)),
+                f"registry-lost-{LOSS_ENDS[int(generator.integers(len(LOSS_ENDS)))]}",
+                round(max(0.0, drain_at + uniform(-0.6, 0.1)), 2),
+                uniform(0.6, 1.8),
+                size=int(generator.choice(ARRIVING_BYTES)),
+                extra=float(generator.choice(REFUSE_S)),
                 silent=bool(generator.random() < 0.5),
             )
         )
     for _ in range(2):
-        if kind := BESIDE[int(generator.integers(len(BESIDE)))]:
-            who = f"b{int(generator.integers(found.bank.count))}"
+        if kind := OTHER_LOSS_FAULTS[int(generator.integers(len(OTHER_LOSS_FAULTS)))]:
+            who = f"b{int(generator.integers(scenario.bank.count))}"
             faults.append(
                 Fault(
                     kind,
-                    drawn(1.5, 11.0),
-                    drawn(0.3, 2.0),
+                    uniform(1.5, 11.0),
+                    uniform(0.3, 2.0),
                     link="",
                     who=who if kind in scenarios.PROCESS_KINDS else "",
                 )
             )
-    found.faults = sorted(faults, key=lambda fault: fault.at_s)
-    return found
+    scenario.faults = sorted(faults, key=lambda fault: fault.at_s)
+    return scenario
 
 
-def _met(fault: Fault, balancers: int, generator: Any) -> Fault:
-    """A fault of processes meets one balancer: a small part of a few would be none."""
+def _with_one_balancer(fault: Fault, balancers: int, generator: Any) -> Fault:
+    """Make a process fault hit one random balancer: a small `part` of a few would be none."""
     if fault.kind not in scenarios.PROCESS_KINDS or fault.who:
         return fault
     who = f"b{int(generator.integers(balancers))}"
     return msgspec.structs.replace(fault, who=who, part=0.0)
 
 
-def _figures(fault: Fault) -> str:
-    """The further figures of a lost writing."""
+def _loss_details(fault: Fault) -> str:
+    """The details of a lost write, for the plan."""
     if not fault.kind.startswith("registry-lost-"):
         return ""
-    after = f", calls turned away for {fault.extra:g} s{' after 2 s each' if fault.silent else ''}"
-    return f", {fault.size:g} bytes arrive{after if fault.extra else ''}"
+    refusal = f", calls refused for {fault.extra:g} s{' after 2 s each' if fault.silent else ''}"
+    return f", {fault.size:g} bytes arrive{refusal if fault.extra else ''}"
 
 
-def outcome(seed: int, found: Scenario, figures: dict[str, Any]) -> Outcome:
-    """What the figures of a day say."""
+def judge_outcome(seed: int, scenario: Scenario, summary: dict[str, Any]) -> Outcome:
+    """Judge a run by its summary (`rig.results.summary`)."""
     plan = [
         f"{fault.at_s:6.2f} s {fault.kind} for {fault.for_s:g} s {fault.who or fault.link}".rstrip()
-        + _figures(fault)
-        for fault in found.faults
+        + _loss_details(fault)
+        for fault in scenario.faults
     ]
-    void = figures["lag_ms"] > found.rig.lag_ms
-    breaches = {rule: n for rule, n in figures["breaches"].items() if n}
-    return Outcome(seed, breaches, figures["lag_ms"], void, plan)
+    void = summary["lag_ms"] > scenario.rig.lag_ms
+    breaches = {rule: n for rule, n in summary["breaches"].items() if n}
+    return Outcome(seed, breaches, summary["lag_ms"], void, plan)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 from ospreyline.host import End, Kind, Readiness
 from ospreyline.lab import cold
 from ospreyline.rig import scenario
-from ospreyline.rig.command import played
+from ospreyline.rig.command import run_and_judge
 
 TERMS = {"cold_from": 0.5, "overload_factor": 4.0, "tip_after": 2_000.0, "warm_within": 60_000.0}
 
@@ -249,6 +249,6 @@
         "rig": {"relay_processes": 1, "upstream_processes": 1},
     }
     said: list[str] = []
-    figures = played(scenario.build(tree), 1, tmp_path, said.append)
+    figures = run_and_judge(scenario.build(tree), 1, tmp_path, said.append)
     assert figures["wanted"] > 300 and not figures["breaches"]["cold"], said
     assert 0 < figures["pushed"] < 1, said
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -10,7 +10,7 @@
 
 import pytest
 from click.testing import CliRunner
-from test_rig_runs import Played
+from test_rig_runs import JudgedRun
 
 from ospreyline import operator
 from ospreyline.__main__ import main
@@ -239,32 +239,32 @@
 SIX = {"count": 6, "notice_ms": [300.0, 600.0]}
 
 
-def said(day: Played, balancer: int, event: str) -> list[dict[str, Any]]:
+def said(day: JudgedRun, balancer: int, event: str) -> list[dict[str, Any]]:
     """Lines of a log until the day ended, when everybody was told to stop and leaves."""
     zero = json.loads((day.out / "origin.json").read_text())["unix_ms"]
-    last = max(row["t"] for row in day.of("signal", what="term"))
-    ended = min(row["t"] for row in day.of("signal", what="term") if row["t"] > last - 500.0)
+    last = max(row["t"] for row in day.rows_of("signal", what="term"))
+    ended = min(row["t"] for row in day.rows_of("signal", what="term") if row["t"] > last - 500.0)
     return [
         line
-        for line in day.log(balancer)
+        for line in day.log_entries(balancer)
         if line["event"] == event
         and datetime.fromisoformat(line["timestamp"]).timestamp() * 1e3 < zero + ended
     ]
 
 
-def states(day: Played, balancer: int) -> dict[str, list[str]]:
+def states(day: JudgedRun, balancer: int) -> dict[str, list[str]]:
     found: dict[str, list[str]] = {}
     for line in said(day, balancer, "member"):
         found.setdefault(line["peer"], []).append(line["state"])
     return found
 
 
-def hears_all(day: Played, *balancers: int) -> bool:
+def hears_all(day: JudgedRun, *balancers: int) -> bool:
     return all(said(day, b, "fleet")[-1]["words"] == "hears all" for b in balancers)
 
 
 def test_one_that_is_stopped_is_noticed_and_one_that_restarts_is_not_suspected(tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=10.0,
         bank=SIX,
@@ -274,7 +274,7 @@
             {"kind": "restart", "who": "b5", "at_s": 2.0, "for_s": 0, "extra": 0.1},
         ],
     )
-    day.kept()
+    day.assert_rules_kept()
     for b in range(4):
         assert states(day, b)["b4"][:2] == ["suspected", "dead"] and states(day, b)["b4"][-1] == "alive"
         assert "left" in states(day, b)["b5"] and "suspected" not in states(day, b)["b5"]
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("way", ["both", "to"])
 def test_a_third_that_was_cut_off_from_the_others_is_found_again(way, tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=16.0,
         bank=SIX,
@@ -300,7 +300,7 @@
             ),
         ],
     )
-    day.kept()
+    day.assert_rules_kept()
     if way == "both":
         assert any("hears 2 of 6" in line["words"] for line in said(day, 0, "fleet"))
         assert any("hears 4 of 6" in line["words"] for line in said(day, 5, "fleet"))
@@ -313,7 +313,7 @@
     ids=lambda fault: str(fault["kind"]),
 )
 def test_one_broken_link_kills_nobody(fault, tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=8.0,
         bank=SIX,
@@ -324,13 +324,13 @@
             {**fault, "link": "b1>b0", "at_s": 1.0, "for_s": 6.0},
         ],
     )
-    day.kept()
+    day.assert_rules_kept()
     assert not any("dead" in got for b in range(6) for got in states(day, b).values())
 
 
 def test_those_that_pass_the_list_on_are_killed_at_the_moment_of_a_drain(tmp_path):
     assert lists.PASSERS == 2  # of zone a: b0 and b2, the oldest there
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=9.0,
         bank={"count": 8, "notice_ms": [300.0, 600.0]},
@@ -346,23 +346,26 @@
             "operator": {"list": {"calls_per_s": 250.0}},
         },
     )
-    day.kept()
+    day.assert_rules_kept()
     from_others = sum(
-        line.get("lists_from_others", 0) for b in range(8) for line in day.log(b) if line["event"] == "counts"
+        line.get("lists_from_others", 0)
+        for b in range(8)
+        for line in day.log_entries(b)
+        if line["event"] == "counts"
     )
-    assert from_others >= 2 and day.figures["start"]["calls_in_4_s"] <= 8
+    assert from_others >= 2 and day.summary["start"]["calls_in_4_s"] <= 8
     # everybody has the news of the drain within a moment of the service's
-    told = day.of("listed")[0]
+    told = day.rows_of("listed")[0]
     uid = told["entry"]["uid"]
     for b in range(8):
         assert any(
             line["event"] == "upstream" and line["uid"] == uid and line["state"] == "draining"
-            for line in day.log(b)
+            for line in day.log_entries(b)
         ), b
 
 
 def test_a_list_service_that_moves_at_half_of_the_bank_breaks_no_drain(tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=9.0,
         bank=SIX,
@@ -378,11 +381,11 @@
             "operator": {"list": {"calls_per_s": 250.0}},
         },
     )
-    day.kept()
+    day.assert_rules_kept()
     for b in range(6):
-        events = [line["event"] for line in day.log(b)]
+        events = [line["event"] for line in day.log_entries(b)]
         assert ("discovery has moved" in events) is (b in (0, 2, 4))
-        assert any(line["event"] == "upstream" and line["state"] == "draining" for line in day.log(b))
+        assert any(line["event"] == "upstream" and line["state"] == "draining" for line in day.log_entries(b))
 
 
 def test_a_bank_of_two_versions_speaks(tmp_path):
@@ -398,20 +401,20 @@
             "class Deaf(_Message", 'class Later(_Message, tag="later"):\n    pass\n\n\nclass Deaf(_Message'
         )
     )
-    day = Played(
+    day = JudgedRun(
         tmp_path / "out",
         seconds=5.0,
         bank=SIX,
         load={"rate": 40.0},
         rig={**MESH, "program": str(tmp_path / "next"), "program_for": "b[135]"},
     )
-    day.kept()
+    day.assert_rules_kept()
     assert hears_all(day, *range(6))
 
 
 def test_the_state_can_be_read_from_outside(tmp_path):
-    day = Played(tmp_path, seconds=5.0, bank=SIX, rig=MESH, load={"rate": 40.0})
-    day.kept()
+    day = JudgedRun(tmp_path, seconds=5.0, bank=SIX, rig=MESH, load={"rate": 40.0})
+    day.assert_rules_kept()
     files = sorted((tmp_path / "config").glob("b*.status"))
     assert len(files) == 6
     told = json.loads(files[0].read_text())
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -78,7 +78,7 @@
     assert results.busiest([], 100.0) == 0
 
 
-@pytest.mark.parametrize("name", sorted(scenario.shipped()))
+@pytest.mark.parametrize("name", sorted(scenario.shipped_scenarios()))
 def test_shipped_scenarios_can_be_read(name):
     found = scenario.load(name)
     assert found.name == name and found.about
--- a/tests/test_rig_losses.py
+++ b/tests/test_rig_losses.py
@@ -1,4 +1,4 @@
-"""The rig's list service and links lose writings under every kind of end, and say so to the referee."""
+"""The rig's list service and relays lose writes in every way, and record it for the referee."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 ENTRIES = [{"uid": f"s-{i}-1", "state": "active", "machine": i} for i in range(2)]
 
 
-class Worker:
-    """What the parts of the rig are given, in this process."""
+class FakeWorker:
+    """Stands in for the worker process of a rig part, in this process."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop, 0.0)
         self.seed = 1
         self.rows: list[dict[str, Any]] = []
-        self.said: dict[str, dict[str, Any]] = {}
+        self.messages: dict[str, dict[str, Any]] = {}
 
     def row(self, kind: str, /, **values: Any) -> None:
         self.rows.append({"k": kind, "t": self.clock.now, **values})
 
     def say(self, news: str, **values: Any) -> None:
-        self.said[news] = values
+        self.messages[news] = values
 
 
-async def service(worker: Worker) -> Service:
-    found = Service(
+async def start_service(worker: FakeWorker) -> Service:
+    service = Service(
         worker,
         {  # type: ignore[arg-type]
             "named": {"127.0.0.1": "b0"},
@@ -49,12 +49,14 @@
             "period_ms": 1.0,
         },
     )
-    await found.begin()
-    return found
+    await service.begin()
+    return service
 
 
-async def lose(found: Service, end: str, size: int, extra: float = 0.0, silent: bool = False) -> None:
-    await found.told(
+async def inject_loss(
+    service: Service, end: str, size: int, extra: float = 0.0, silent: bool = False
+) -> None:
+    await service.told(
         {
             "do": "fault",
             "kind": f"registry-lost-{end}",
@@ -67,62 +69,62 @@
     )
 
 
-async def drain(found: Service) -> None:
-    await found.told({"do": "change", "entries": [{"uid": "s-0-1", "state": "leaving"}], "order": 2})
+async def drain_upstream(service: Service) -> None:
+    await service.told({"do": "change", "entries": [{"uid": "s-0-1", "state": "leaving"}], "order": 2})
 
 
-async def read(reader: asyncio.StreamReader, silence: bool = False) -> tuple[bytes, str]:
-    """What comes, and how it ends."""
-    got = b""
+async def read_to_end(reader: asyncio.StreamReader, silence: bool = False) -> tuple[bytes, str]:
+    """All bytes received, and how the connection ends."""
+    received = b""
     try:
         while True:
             async with asyncio.timeout(0.2 if silence else PATIENT):
                 data = await reader.read(1 << 16)
             if not data:
-                return got, "last-chunk" if got.endswith(LAST_CHUNK) else "fin"
-            got += data
+                return received, "last-chunk" if received.endswith(LAST_CHUNK) else "fin"
+            received += data
     except ConnectionResetError:
-        return got, "reset"
+        return received, "reset"
     except TimeoutError:
-        return got, "silence"
+        return received, "silence"
 
 
-def play(story: Any) -> None:
-    asyncio.run(story())
+def run_case(case: Any) -> None:
+    asyncio.run(case())
 
 
 @pytest.mark.parametrize("size", [0, 1, 40, 79, 83])
-@pytest.mark.parametrize("stands", [True, False], ids=["a-watch-that-stands", "a-call-that-waits"])
+@pytest.mark.parametrize("established", [True, False], ids=["a-watch-that-stands", "a-call-that-waits"])
 @pytest.mark.parametrize("end", ["last-chunk", "fin", "reset", "silence"])
-def test_a_writing_is_lost_but_for_some_bytes_under_each_end(end, stands, size):
-    async def story() -> None:
-        worker = Worker()
-        found = await service(worker)
-        reader, writer = await asyncio.open_connection(*worker.said["listening"]["at"])
-        if stands:
+def test_a_writing_is_lost_but_for_some_bytes_under_each_end(end, established, size):
+    async def case() -> None:
+        worker = FakeWorker()
+        service = await start_service(worker)
+        reader, writer = await asyncio.open_connection(*worker.messages["listening"]["at"])
+        if established:
             writer.write(CALL)
             await first_chunk(reader)
-            await lose(found, end, size)
-            await drain(found)
+            await inject_loss(service, end, size)
+            await drain_upstream(service)
         else:
-            await lose(found, end, size)
-            await drain(found)
+            await inject_loss(service, end, size)
+            await drain_upstream(service)
             writer.write(CALL)
-        got, how = await read(reader, end == "silence")
-        assert how == end
-        told = [row for row in worker.rows if row["k"] == "told"][-1]
-        assert told["states"] == [("s-0-1", "leaving")] and told["lost"] == end
-        assert ("heard" in told) is (end == "silence")
-        if end == "last-chunk":  # the answer is in form: a head, a part of the line as a chunk, its end
-            head = b"" if stands else HEAD
-            body = got.removeprefix(head).removesuffix(LAST_CHUNK)
-            assert got.startswith(head) and (not body or body.startswith(b"%x\r\n" % size))
+        received, ending = await read_to_end(reader, end == "silence")
+        assert ending == end
+        row = [row for row in worker.rows if row["k"] == "told"][-1]
+        assert row["states"] == [("s-0-1", "leaving")] and row["lost"] == end
+        assert ("heard" in row) is (end == "silence")
+        if end == "last-chunk":  # a well-formed response: head, part of the line as a chunk, last chunk
+            head = b"" if established else HEAD
+            body = received.removeprefix(head).removesuffix(LAST_CHUNK)
+            assert received.startswith(head) and (not body or body.startswith(b"%x\r\n" % size))
         else:
-            assert len(got) == size and (stands or HEAD.startswith(got[: len(HEAD)]))
+            assert len(received) == size and (established or HEAD.startswith(received[: len(HEAD)]))
         writer.close()
-        await found.end()
+        await service.end()
 
-    play(story)
+    run_case(case)
 
 
 async def first_chunk(reader: asyncio.StreamReader) -> None:
@@ -133,16 +135,16 @@
 
 
 def test_calls_are_turned_away_after_a_loss_and_then_answered():
-    async def story() -> None:
-        worker = Worker()
-        found = await service(worker)
-        reader, writer = await asyncio.open_connection(*worker.said["listening"]["at"])
+    async def case() -> None:
+        worker = FakeWorker()
+        service = await start_service(worker)
+        reader, writer = await asyncio.open_connection(*worker.messages["listening"]["at"])
         writer.write(CALL)
         await first_chunk(reader)
-        await lose(found, "fin", 0, extra=0.3)
-        await drain(found)
-        assert await read(reader) == (b"", "fin")
-        await found.told(
+        await inject_loss(service, "fin", 0, extra=0.3)
+        await drain_upstream(service)
+        assert await read_to_end(reader) == (b"", "fin")
+        await service.told(
             {
                 "do": "fault",
                 "kind": "registry-lost-fin",
@@ -155,22 +157,22 @@
         )
         answers = []
         while not answers or answers[-1] == b"HTTP/1.1 503":
-            reader, writer = await asyncio.open_connection(*worker.said["listening"]["at"])
+            reader, writer = await asyncio.open_connection(*worker.messages["listening"]["at"])
             writer.write(CALL)
             async with asyncio.timeout(PATIENT):
                 answers.append((await reader.readuntil(b"\r\n"))[:12])
             writer.close()
         assert answers[0] == b"HTTP/1.1 503" and answers[-1] == b"HTTP/1.1 200"
-        await found.end()
+        await service.end()
 
-    play(story)
+    run_case(case)
 
 
 @pytest.mark.parametrize(("in_order", "end"), [(True, "fin"), (False, "reset")])
 def test_a_link_passes_a_reset_on_as_one_or_as_an_end_in_order(in_order, end):
-    async def story() -> None:
-        worker = Worker()
-        found = await service(worker)
+    async def case() -> None:
+        worker = FakeWorker()
+        service = await start_service(worker)
         relays = Relays(
             worker,
             {
@@ -180,7 +182,9 @@
             },
         )
         await relays.begin()
-        await relays.told({"do": "targets", "at": {"b0>list": worker.said["listening"]["at"]}, "order": 1})
+        await relays.told(
+            {"do": "targets", "at": {"b0>list": worker.messages["listening"]["at"]}, "order": 1}
+        )
         if in_order:
             await relays.told(
                 {
@@ -194,20 +198,22 @@
                     "order": 2,
                 }
             )
-        reader, writer = await asyncio.open_connection(*worker.said["linked"]["at"]["b0>list"])
+        reader, writer = await asyncio.open_connection(*worker.messages["linked"]["at"]["b0>list"])
         writer.write(CALL)
         await first_chunk(reader)
-        await lose(found, "reset", 0)
-        await drain(found)
-        assert await read(reader) == (b"", end)
-        await found.end()
+        await inject_loss(service, "reset", 0)
+        await drain_upstream(service)
+        assert await read_to_end(reader) == (b"", end)
+        await service.end()
 
-    play(story)
+    run_case(case)
 
 
-@pytest.mark.parametrize(("told", "late"), [({}, True), ({"heard": 400.0}, True), ({"heard": 800.0}, False)])
-def test_what_a_silent_call_misses_counts_six_seconds_after_its_last_word(told, late):
-    found = build(
+@pytest.mark.parametrize(
+    ("row", "is_breach"), [({}, True), ({"heard": 400.0}, True), ({"heard": 800.0}, False)]
+)
+def test_what_a_silent_call_misses_counts_six_seconds_after_its_last_word(row, is_breach):
+    scenario = build(
         {
             "bank": {"count": 1},
             "servers": [{"count": 2}],
@@ -226,10 +232,10 @@
             "rev": 2,
             "whole": False,
             "states": [("s-0-1", "leaving")],
-            **told,
+            **row,
         },
         {"k": "asked", "t": sent + 1, "link": "b0>u0", "id": "v", "prefix": "read", "first": sent},
         {"k": "answered", "t": sent + 50, "link": "b0>u0", "id": "v", "status": 200, "never": False},
     ]
-    breaches = Referee(found, [1.0, 1.0]).judge(rows)
-    assert any(b.rule == "drain" for b in breaches) is late
+    breaches = Referee(scenario, [1.0, 1.0]).judge(rows)
+    assert any(b.rule == "drain" for b in breaches) is is_breach
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -1,5 +1,5 @@
-"""Several processes of the program on the rig, with things between them broken; each fault is bound to what
-is seen, or lasts long enough that it meets every visit."""
+"""Balancer processes on the rig with faults between them; each fault waits for an event on the wire, or lasts
+long enough to affect every visit."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from ospreyline.lab.plot import plot
 from ospreyline.rig import scenario
-from ospreyline.rig.command import played
+from ospreyline.rig.command import run_and_judge
 from ospreyline.rig.run import ROOT
 
 READ = {"name": "read", "share": 0.5, "work_ms": 10.0, "target_ms": 400.0, "timeout_ms": 1_500.0}
@@ -38,7 +38,7 @@
     "silent_ms": [500.0, 800.0],
     "period_ms": 50.0,
 }
-SLOW = 6.0  # calls a second of a service that is crowded soon
+SLOW_CALLS_PER_S = 6.0  # a list service that is quickly overloaded
 
 
 def tree(seconds: float = 4.0, **more: Any) -> dict[str, Any]:
@@ -56,40 +56,40 @@
         "rules": {"overload_factor": 4.0, "slack_ms": 150.0},
         "goal": {"cross_fee": 0.2},
         **more,
-        # one of each: what a fault waits for is counted over all links. It may come as late as two thirds
-        # of the slack that its referee allows, or it would be judging itself
+        # one process of each kind, as the events that a fault waits for are counted per process. The rig may
+        # be late by up to two thirds of the referee's slack; beyond that the referee would judge the rig
         "rig": {"relay_processes": 1, "upstream_processes": 1, "lag_ms": 100.0, **more.get("rig", {})},
     }
 
 
-class Played:
-    """A day that was played: its figures, its rows, and the logs of what was judged."""
+class JudgedRun:
+    """Runs a scenario; has its summary, its rows and the balancers' logs."""
 
     def __init__(self, out: Path, **more: Any) -> None:
         self.out = out
-        self.said: list[str] = []
-        self.figures = played(scenario.build(tree(**more)), 1, out, self.said.append)
+        self.reports: list[str] = []
+        self.summary = run_and_judge(scenario.build(tree(**more)), 1, out, self.reports.append)
         self.rows = [
             json.loads(line)
             for path in sorted((out / "rows").glob("*.jsonl"))
             for line in path.read_text().splitlines()
         ]
 
-    def of(self, kind: str, **values: Any) -> list[dict[str, Any]]:
+    def rows_of(self, kind: str, **values: Any) -> list[dict[str, Any]]:
         return [r for r in self.rows if r["k"] == kind and all(r.get(k) == v for k, v in values.items())]
 
-    def log(self, balancer: int) -> list[dict[str, Any]]:
+    def log_entries(self, balancer: int) -> list[dict[str, Any]]:
         lines = (self.out / "logs" / f"b{balancer}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
-    def kept(self) -> None:
-        """No rule is broken, and nothing that was started is left."""
-        said = "\n".join(self.said) + str(self.figures)
-        assert not any(self.figures["breaches"].values()), said
-        assert self.figures["wanted"] > 50 and not self.left(), said
+    def assert_rules_kept(self) -> None:
+        """No rule is broken, and no balancer process is left."""
+        details = "\n".join(self.reports) + str(self.summary)
+        assert not any(self.summary["breaches"].values()), details
+        assert self.summary["wanted"] > 50 and not self.surviving_pids(), details
 
-    def left(self) -> list[int]:
-        return [row["pid"] for row in self.of("spawned") if alive(row["pid"])]
+    def surviving_pids(self) -> list[int]:
+        return [row["pid"] for row in self.rows_of("spawned") if alive(row["pid"])]
 
 
 def alive(pid: int) -> bool:
@@ -100,11 +100,11 @@
 
 
 def test_a_quiet_day_keeps_the_rules_and_leaves_nothing_behind(tmp_path):
-    day = Played(tmp_path)
-    day.kept()
-    assert day.figures["in_time"] > 0.95 and day.figures["fetches"] > 0.9 * day.figures["wanted"]
-    assert {row["name"] for row in day.of("ended", status=0)} == {"b0", "b1", "b2"}
-    assert all(len(day.of("arrived", u=u)) > 10 for u in range(4))
+    run = JudgedRun(tmp_path)
+    run.assert_rules_kept()
+    assert run.summary["in_time"] > 0.95 and run.summary["fetches"] > 0.9 * run.summary["wanted"]
+    assert {row["name"] for row in run.rows_of("ended", status=0)} == {"b0", "b1", "b2"}
+    assert all(len(run.rows_of("arrived", u=u)) > 10 for u in range(4))
     assert [path.name for path in plot(tmp_path)][-1] == "index.html"
 
 
@@ -123,18 +123,18 @@
 )
 def test_what_breaks_between_the_last_byte_of_a_mutating_request_and_its_answer_runs_it_once(fault, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 5}
-    day = Played(tmp_path, faults=[{**fault, "on": on}])
-    day.kept()
-    (seen,) = day.of("seen")
-    # the one that was seen: nothing of its visit was sent to anyone after it
-    asked = [
+    run = JudgedRun(tmp_path, faults=[{**fault, "on": on}])
+    run.assert_rules_kept()
+    (trigger,) = run.rows_of("seen")
+    # the visit of the request that triggered the fault: it is sent to no other upstream
+    requests = [
         row
-        for row in day.of("asked", prefix="change")
-        if row["link"].startswith("b0>u") and row["t"] <= seen["at"]
+        for row in run.rows_of("asked", prefix="change")
+        if row["link"].startswith("b0>u") and row["t"] <= trigger["at"]
     ]
-    visit = max(asked, key=lambda row: row["t"])["id"]
-    assert len(day.of("asked", id=visit)) == 1 and len(day.of("ran", id=visit)) <= 1
-    (end,) = day.of("try", id=visit)
+    visit = max(requests, key=lambda row: row["t"])["id"]
+    assert len(run.rows_of("asked", id=visit)) == 1 and len(run.rows_of("ran", id=visit)) <= 1
+    (end,) = run.rows_of("try", id=visit)
     assert end["status"] not in (429, 503)
 
 
@@ -152,14 +152,14 @@
         {"kind": "cut-at", "link": "b2>u0", "way": "to", "size": 60.0, "at_s": 2.5, "for_s": 1.0},
         {"kind": "cut", "zone": "a", "at_s": 3.2, "for_s": 1.0},
     ]
-    day = Played(tmp_path, seconds=5.0, faults=faults)
-    day.kept()
-    assert day.figures["gain"] > 0.6
-    assert len(day.of("fault", on=1)) == len(day.of("fault", on=-1)) == len(faults)
+    run = JudgedRun(tmp_path, seconds=5.0, faults=faults)
+    run.assert_rules_kept()
+    assert run.summary["gain"] > 0.6
+    assert len(run.rows_of("fault", on=1)) == len(run.rows_of("fault", on=-1)) == len(faults)
 
 
 def test_a_drain_is_kept_by_balancers_that_hear_of_it_late_or_not_at_all(tmp_path):
-    day = Played(
+    run = JudgedRun(
         tmp_path,
         seconds=6.0,
         faults=[
@@ -168,14 +168,14 @@
             {"kind": "shrink", "part": 0.5, "zone": "a", "at_s": 0.5, "extra": 4.0},
         ],
     )
-    day.kept()
-    assert day.of("told", b="b2") and len(day.of("listed")) >= 1
+    run.assert_rules_kept()
+    assert run.rows_of("told", b="b2") and len(run.rows_of("listed")) >= 1
 
 
 @pytest.mark.parametrize("keep", [False, True], ids=["nothing kept", "lists kept"])
 def test_a_bank_that_crash_loops_while_the_list_service_fails_in_every_way(keep, tmp_path):
     operator = {"list": {"calls_per_s": 250.0, **({"keep": "{out}/config/{b}.list"} if keep else {})}}
-    day = Played(
+    run = JudgedRun(
         tmp_path,
         seconds=9.0,
         rig={"known": "none", "operator": operator},
@@ -190,15 +190,15 @@
             {"kind": "hup", "who": "b*", "at_s": 6.0},
         ],
     )
-    day.kept()
-    events = [line["event"] for b in range(3) for line in day.log(b)]
+    run.assert_rules_kept()
+    events = [line["event"] for b in range(3) for line in run.log_entries(b)]
     assert events.count("serving") > 6 and "reloaded" in events
     assert ("kept list taken" in events) is keep
-    # a kept list serves while nobody listens at the service; without one there is nobody to send to
-    late = [row for row in day.of("try", how="answer") if row["status"] == 200]
-    begun = day.of("day")[0]["t"]
-    meanwhile = [row for row in late if 4_800 < row["t"] - begun < 5_600]
-    assert bool(meanwhile) is keep
+    # with a cached list balancers serve while the list service is down; without one they know no upstream
+    answers = [row for row in run.rows_of("try", how="answer") if row["status"] == 200]
+    begun = run.rows_of("day")[0]["t"]
+    during_outage = [row for row in answers if 4_800 < row["t"] - begun < 5_600]
+    assert bool(during_outage) is keep
 
 
 @pytest.mark.parametrize(
@@ -212,9 +212,9 @@
     ids=lambda value: str(value["kind"]) if isinstance(value, dict) else "",
 )
 def test_a_bank_starts_at_once_and_the_list_service_is_spared(fault, served, tmp_path):
-    # a slow service, of 167 ms a call: a queue there is a crowd of calls, and not how late a process was. At
-    # 4 ms a call more than three came by chance now and then, and a bank without its pace had none
-    day = Played(
+    # at 167 ms a call, a queue at the list service means too many calls, not a late process. At 4 ms a call
+    # the queue sometimes exceeded three by chance, and a bank without call pacing had none
+    run = JudgedRun(
         tmp_path,
         seconds=9.0,
         bank={"count": 12, "notice_ms": [300.0, 600.0]},
@@ -223,18 +223,18 @@
             {"kind": "hup", "who": "b1", "at_s": 1.2},
             {"kind": "restart", "who": "b3", "at_s": 1.5, "for_s": 0},
         ],
-        registry={**REGISTRY, "calls_per_s": SLOW},
-        rig={"start": "at once", "known": "none", "operator": {"list": {"calls_per_s": SLOW}}},
+        registry={**REGISTRY, "calls_per_s": SLOW_CALLS_PER_S},
+        rig={"start": "at once", "known": "none", "operator": {"list": {"calls_per_s": SLOW_CALLS_PER_S}}},
     )
-    day.kept()
-    start = day.figures["start"]
+    run.assert_rules_kept()
+    start = run.summary["start"]
     assert start["listed"] == served and start["longest_queue"] <= 3 and start["calls_each"] <= 4, start
-    # whoever has a list serves, the others bounce at once and are not ready
-    assert len({row["b"] for row in day.of("ready")}) == served
+    # balancers with a list serve; the others bounce at once and are not ready
+    assert len({row["b"] for row in run.rows_of("ready")}) == served
 
 
 def test_a_kept_list_whose_servers_have_gone_or_moved_costs_no_rule(tmp_path):
-    day = Played(
+    run = JudgedRun(
         tmp_path,
         seconds=8.0,
         rig={"operator": {"list": {"calls_per_s": 250.0, "keep": "{out}/config/{b}.list"}}},
@@ -245,13 +245,13 @@
             {"kind": "kill", "who": "b*", "at_s": 2.0, "for_s": 0.2},
         ],
     )
-    day.kept()
-    assert sum(line["event"] == "kept list taken" for b in range(3) for line in day.log(b)) == 3
-    assert day.figures["gain"] > 0.5
+    run.assert_rules_kept()
+    assert sum(line["event"] == "kept list taken" for b in range(3) for line in run.log_entries(b)) == 3
+    assert run.summary["gain"] > 0.5
 
 
 def test_a_breach_by_a_real_process_is_found(tmp_path):
-    """A text whose rule on effects is taken out: a reset after the last byte has it sent again."""
+    """With the rule on side effects removed from the source, a reset after the last byte causes a resend."""
     shutil.copytree(
         ROOT / "ospreyline", tmp_path / "broken" / "ospreyline", ignore=shutil.ignore_patterns("__pycache__")
     )
@@ -260,7 +260,7 @@
     rule = "if lane.kind is not Kind.READ_LIKE and (ran := visit.may_have_run()) is not None:"
     assert text.count(rule) == 1
     path.write_text(text.replace(rule, "if False and (ran := visit.may_have_run()) is not None:"))
-    day = Played(
+    run = JudgedRun(
         tmp_path / "out",
         rig={"program": str(tmp_path / "broken")},
         faults=[
@@ -272,11 +272,11 @@
             }
         ],
     )
-    assert day.figures["breaches"]["twice"] >= 1, day.said
+    assert run.summary["breaches"]["twice"] >= 1, run.reports
 
 
-@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_whatever_ends_the_rig_ends_all_that_it_started(how, tmp_path):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_whatever_ends_the_rig_ends_all_that_it_started(signal_number, tmp_path):
     file = tmp_path / "long.toml"
     file.write_text(
         (ROOT / "ospreyline" / "rig" / "scenarios" / "quiet.toml")
@@ -300,9 +300,9 @@
         if '"spawned"' in line
     ]
     assert len(pids) == 3 and all(alive(pid) for pid in pids)
-    rig.send_signal(how)
-    said = rig.communicate(timeout=20)[1]
-    assert rig.returncode == (-9 if how == signal.SIGKILL else 130), said
+    rig.send_signal(signal_number)
+    details = rig.communicate(timeout=20)[1]
+    assert rig.returncode == (-9 if signal_number == signal.SIGKILL else 130), details
     until = time.monotonic() + 10
     while any(alive(pid) for pid in pids):
         assert time.monotonic() < until, "balancers are left"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from test_rig_runs import Played
+from test_rig_runs import JudgedRun
 
 from ospreyline import operator
 from ospreyline.facts import FactError
@@ -411,47 +411,47 @@
     }
 
 
-def tries(day: Played, id_: str) -> list[dict[str, Any]]:
-    return sorted(day.of("try", id=id_), key=lambda row: row["t"])
+def tries(day: JudgedRun, id_: str) -> list[dict[str, Any]]:
+    return sorted(day.rows_of("try", id=id_), key=lambda row: row["t"])
 
 
-def tries_after_bounces(day: Played, first: dict[str, Any]) -> list[dict[str, Any]]:
+def tries_after_bounces(day: JudgedRun, first: dict[str, Any]) -> list[dict[str, Any]]:
     """The tries that follow `first`; a client bounced for lack of capacity asks again under another id."""
-    found = sorted(day.of("try", want=first["want"]), key=lambda row: row["t"])[1:]
+    found = sorted(day.rows_of("try", want=first["want"]), key=lambda row: row["t"])[1:]
     bounced = [row for row in found[:-1] if row["how"] == "answer"]
     assert all(row["status"] == 503 and row["outcome"] == "" for row in bounced), found
     return found
 
 
-def triggering_visit(day: Played, kind: str) -> str:
+def triggering_visit(day: JudgedRun, kind: str) -> str:
     """The id of the visit whose request triggered the fault."""
-    (mark,) = day.of("seen")
-    before = [r for r in day.of("asked", link=mark["link"], prefix=kind) if r["t"] <= mark["at"] + 0.01]
+    (mark,) = day.rows_of("seen")
+    before = [r for r in day.rows_of("asked", link=mark["link"], prefix=kind) if r["t"] <= mark["at"] + 0.01]
     return max(before, key=lambda row: row["t"])["id"]
 
 
 @pytest.mark.parametrize("kind", ["read", "pay", "change"])
 def test_what_is_in_hand_at_a_kill_is_answered_or_its_client_is_told_the_truth(kind, tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 12}
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=6.0,
         faults=[{"kind": "kill", "who": "b0", "for_s": 1.0, "on": on}],
         **takeover_plan(),
     )
-    day.kept()
+    day.assert_rules_kept()
     id_ = triggering_visit(day, kind)
     first, *again = tries(day, id_)
     assert first["how"] == "cut" and again, first
     if kind == "change":
         # it had been sent: no other balancer sends it, and none reports that it did not run
         assert again[-1]["status"] == 502 and again[-1]["outcome"] == "may have run"
-        assert len(day.of("asked", id=id_)) == 1 and len(day.of("ran", id=id_)) <= 1
+        assert len(day.rows_of("asked", id=id_)) == 1 and len(day.rows_of("ran", id=id_)) <= 1
     else:
         again = tries_after_bounces(day, first)
         assert again[-1]["status"] == 200 and again[-1]["t"] - first["t"] < 1_500.0
         ids = {row["id"] for row in (first, *again)}
-        assert 2 <= sum(len(day.of("asked", id=one)) for one in ids) <= 3
+        assert 2 <= sum(len(day.rows_of("asked", id=one)) for one in ids) <= 3
 
 
 @pytest.mark.parametrize("kind", ["pay", "change"])
@@ -459,7 +459,7 @@
     on = {"seen": "request", "link": "b0>u*", "prefix": kind, "nth": 6}
     plan = takeover_plan()
     slow = [{**p, "work_ms": 150.0} for p in plan["prefixes"]]
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=8.0,
         load={"rate": 36.0},
@@ -467,19 +467,19 @@
         **{k: v for k, v in plan.items() if k not in ("prefixes", "load")},
         prefixes=slow,
     )
-    day.kept()
+    day.assert_rules_kept()
     id_ = triggering_visit(day, kind)
     first, *again = tries(day, id_)
     assert first["how"] == "cut" and again[-1]["status"] == 200, (first, again)
     if kind == "change":
-        assert again[-1]["outcome"] == "answered" and len(day.of("ran", id=id_)) == 1
-        assert {row["link"][:2] for row in day.of("asked", id=id_)} == {"b0"}
+        assert again[-1]["outcome"] == "answered" and len(day.rows_of("ran", id=id_)) == 1
+        assert {row["link"][:2] for row in day.rows_of("asked", id=id_)} == {"b0"}
 
 
 def test_a_visit_that_had_not_been_sent_runs_elsewhere_once(tmp_path):
     # the owner no longer reaches its upstreams, so the visit waits for a connection when the owner is killed
     on = {"seen": "request", "link": "c>b0", "prefix": "change", "nth": 12}
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=6.0,
         faults=[
@@ -488,10 +488,10 @@
         ],
         **takeover_plan(),
     )
-    day.kept()
-    for row in day.of("try", prefix="change", asks=True):
+    day.assert_rules_kept()
+    for row in day.rows_of("try", prefix="change", asks=True):
         assert row["status"] in (0, 200, 502), row
-    assert day.figures["in_time"] > 0.8
+    assert day.summary["in_time"] > 0.8
 
 
 def test_an_owner_that_was_stopped_neither_sends_nor_answers_what_others_took(tmp_path):
@@ -500,19 +500,21 @@
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 5}
     long = {"timeout_ms": 9_000.0, "target_ms": 4_000.0}
     plan = takeover_plan()
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=10.0,
         faults=[{"kind": "stop", "who": "b0", "for_s": 5.0, "on": on}],
         **{**plan, "prefixes": [{**p, **long} for p in plan["prefixes"]]},
     )
-    day.kept()
-    states = [line["state"] for line in day.log(1) if line["event"] == "member" and line["peer"] == "b0"]
+    day.assert_rules_kept()
+    states = [
+        line["state"] for line in day.log_entries(1) if line["event"] == "member" and line["peer"] == "b0"
+    ]
     assert states[:2] == ["suspected", "dead"]
 
 
 def test_links_between_guardians_cut_one_way_break_no_rule(tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=7.0,
         faults=[
@@ -524,30 +526,30 @@
         ],
         **takeover_plan(),
     )
-    day.kept()
-    assert day.figures["in_time"] > 0.7
+    day.assert_rules_kept()
+    assert day.summary["in_time"] > 0.7
 
 
 def test_owner_and_guardians_lost_together_break_no_rule(tmp_path):
     on = {"seen": "request", "link": "b0>u*", "prefix": "change", "nth": 6}
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=6.0,
         faults=[{"kind": "kill", "who": "b[0123]", "for_s": 0.8, "on": on}],
         **takeover_plan(),
     )
-    day.kept()
+    day.assert_rules_kept()
 
 
 def test_the_whole_bank_is_rolled_under_load(tmp_path):
-    day = Played(
+    day = JudgedRun(
         tmp_path,
         seconds=9.0,
         faults=[{"kind": "restart", "who": "b*", "at_s": 1.5, "for_s": 6.0, "size": 0.17, "extra": 0.1}],
         **takeover_plan(),
     )
-    day.kept()
-    assert day.figures["in_time"] > 0.9, day.figures
+    day.assert_rules_kept()
+    assert day.summary["in_time"] > 0.9, day.summary
 
 
 def test_without_cover_what_must_not_run_twice_is_refused_where_the_operator_wants_that(tmp_path):
@@ -555,9 +557,9 @@
         bank={"count": 1, "notice_ms": [300.0, 600.0]},
         rig={"operator": {"takeover": {"on": True, "uncovered": "refuse"}}},
     )
-    day = Played(tmp_path, seconds=3.0, **alone)
-    assert not any(day.figures["breaches"].values()), day.said
-    assert {row["status"] for row in day.of("try", prefix="change")} == {503}
-    assert {row["status"] for row in day.of("try", prefix="read")} <= {200, 503}
-    counts = [line for line in day.log(0) if line["event"] == "counts"]
+    day = JudgedRun(tmp_path, seconds=3.0, **alone)
+    assert not any(day.summary["breaches"].values()), day.reports
+    assert {row["status"] for row in day.rows_of("try", prefix="change")} == {503}
+    assert {row["status"] for row in day.rows_of("try", prefix="read")} <= {200, 503}
+    counts = [line for line in day.log_entries(0) if line["event"] == "counts"]
     assert sum(line.get("cover_uncovered_refused", 0) for line in counts) > 20
