--- a/tests/test_rig_losses.py
+++ b/tests/test_rig_losses.py
@@ -210,9 +210,9 @@
 
 
 @pytest.mark.parametrize(
-    ("row", "is_breach"), [({}, True), ({"heard": 400.0}, True), ({"heard": 800.0}, False)]
+    ("told", "is_breach"), [({}, True), ({"heard": 400.0}, True), ({"heard": 800.0}, False)]
 )
-def test_what_a_silent_call_misses_counts_six_seconds_after_its_last_word(row, is_breach):
+def test_what_a_silent_call_misses_counts_six_seconds_after_its_last_word(told, is_breach):
     scenario = build(
         {
             "bank": {"count": 1},
@@ -232,7 +232,7 @@
             "rev": 2,
             "whole": False,
             "states": [("s-0-1", "leaving")],
-            **row,
+            **told,
         },
         {"k": "asked", "t": sent + 1, "link": "b0>u0", "id": "v", "prefix": "read", "first": sent},
         {"k": "answered", "t": sent + 50, "link": "b0>u0", "id": "v", "status": 200, "never": False},
