--- a/ospreyline/check/__init__.py
+++ b/ospreyline/check/__init__.py
@@ -1,1 +1,1 @@
-"""Exhaustive exploration in the small, of the code that runs in service."""
+"""Model checking: explores all orders of events in small worlds that run the production code."""
--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -1,18 +1,18 @@
-"""Every order, loss and doubling of what an owner, those that take over and three guardians say of one visit.
+"""Model checker of the takeover protocol: an owner, balancers that take over and three acceptors; one visit.
 
-The code explored is `fleet/guard.py` itself. A step is one message delivered (kept for a second delivery
-while doublings are left; what is never delivered is lost), one thing that a balancer does by itself (ask for
-a permit, write the fetch, record its answer, refuse, take over), a guardian's restart, or its forgetting. A
-balancer that is stopped or has crashed is one whose steps come late or never: stalls between a check and a
-write are among them. States that differ only by which guardian is which, or in words that nobody waits for,
-are one.
+Explores `fleet/guard.py` itself, with all orders, losses and duplications of messages. A step is one message
+delivered (it stays for a second delivery while duplications are left; a message that is never delivered is
+lost), one action of a balancer (request a grant, write the fetch, record its answer, refuse, take over), the
+restart of an acceptor, or its discarding of its records. The steps of a balancer that is stopped or has
+crashed come late or never, so stalls between a check and a write are covered. States that differ only by a
+permutation of the acceptors, or in messages that nobody waits for, are merged.
 
-What must hold in every state:
+Invariants, checked in every state:
 
-- effects: the mutating visit is written once at the most, by all together;
-- refusal: once a client was told that it never ran, it never runs, and it had not;
-- truth: who takes over and holds that it never ran is right, and stays right unless it runs it itself; who
-  has an answer has that of the one write.
+- effects: the mutating visit is written at most once, by all balancers together;
+- refusal: once a client was told that the visit never ran, it has not run and never will;
+- truth: a balancer that takes over and concludes that the visit never ran is right, and stays right unless it
+  runs the visit itself; an answer that a balancer has is that of the one write.
 """
 
 from __future__ import annotations
@@ -25,39 +25,40 @@
 from ospreyline.fleet.frames import Say
 from ospreyline.fleet.guard import Acceptor, Proposer
 
-WORK = "v"
-GUARDS = ("g0", "g1", "g2")
+VISIT = "v"
+ACCEPTORS = ("g0", "g1", "g2")
 
 
 @dataclass(slots=True)
 class State:
-    """One moment of the small world."""
+    """One state of the explored world."""
 
-    guards: list[Acceptor]
-    works: dict[str, Proposer]
-    net: list[Say] = field(default_factory=list)
-    written: list[str] = field(default_factory=list)  # who wrote the fetch, in order
-    refused: list[str] = field(default_factory=list)  # who told its client that it never ran
-    asked: dict[str, int] = field(default_factory=dict)  # permits that each asked for
-    answered: list[str] = field(default_factory=list)  # who recorded the answer to its fetch
-    doublings: int = 0
-    restarts: int = 0
-    forgets: int = 0
+    acceptors: list[Acceptor]
+    proposers: dict[str, Proposer]
+    in_flight: list[Say] = field(default_factory=list)
+    # by balancer: those that wrote the fetch, in order; those that told the client that the visit never ran
+    writers: list[str] = field(default_factory=list)
+    refusers: list[str] = field(default_factory=list)
+    grants_requested: dict[str, int] = field(default_factory=dict)
+    answer_recorders: list[str] = field(default_factory=list)  # recorded the answer to their fetch
+    doublings_left: int = 0
+    restarts_left: int = 0
+    forgets_left: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """How an exploration ended."""
+class Result:
+    """The result of an exploration."""
 
     states: int
     seconds: float
-    whole: bool  # all states within the bounds were seen
-    broken: str  # the sentence that does not hold; empty if all do
-    trace: tuple[str, ...]  # the steps that lead there
+    complete: bool  # all states within the bounds were explored
+    violation: str  # the invariant that does not hold; empty if all hold
+    trace: tuple[str, ...]  # the steps that lead to the violation
 
 
 class Explorer:
-    """The small world and its steps; a planted mistake is a subclass, or a patch of the code explored."""
+    """The world and its steps; tests plant a mistake by a subclass or a patch of the explored code."""
 
     def __init__(
         self,
@@ -71,227 +72,253 @@
         answers: bool = False,
         anew: bool = False,
     ) -> None:
-        """`covered`: the world begins when all guardians have the visit; else when its owner takes it.
-        `at_once`: its first word asks for a permit; `answers`: who wrote may record an answer.
-        `anew`: those that claim do so for its client, who asks again, and may run what was refused."""
+        """`covered`: start when all acceptors store the visit, else when its owner accepts it.
+        `at_once`: the owner's first message requests a grant; `answers`: a writer may record an answer.
+        `anew`: takeovers are on behalf of the client, which retries; they may run a refused visit."""
         self.takers = [f"s{i}" for i in range(takers)]
         self.bounds = (doublings, restarts, forgets)
         self.may_refuse = may_refuse
         self.covered, self.at_once, self.answers, self.for_client = covered, at_once, answers, anew
 
     def begin(self) -> State:
-        guards = [Acceptor(name, 1e9, 1) for name in GUARDS]
-        state = State(guards, {}, doublings=self.bounds[0], restarts=self.bounds[1], forgets=self.bounds[2])
-        for guard in guards:
+        acceptors = [Acceptor(name, 1e9, 1) for name in ACCEPTORS]
+        state = State(
+            acceptors,
+            {},
+            doublings_left=self.bounds[0],
+            restarts_left=self.bounds[1],
+            forgets_left=self.bounds[2],
+        )
+        for acceptor in acceptors:
             for member in ("o", *self.takers):
-                guard.start_session(member)
-        owner = state.works["o"] = Proposer(
-            WORK, "o", GUARDS, self.sessions(state, "o"), b"request", serials=dict.fromkeys(GUARDS, 1)
+                acceptor.start_session(member)
+        owner = state.proposers["o"] = Proposer(
+            VISIT, "o", ACCEPTORS, self.sessions(state, "o"), b"request", serials=dict.fromkeys(ACCEPTORS, 1)
         )
         if self.at_once:
-            state.asked["o"] = 1
+            state.grants_requested["o"] = 1
             owner.request_grant()
         else:
             owner.register()
-        self.said(state, "o")
+        self._send_pending(state, "o")
         if self.covered:
-            for say in state.net:
-                state.works["o"].receive(guards[GUARDS.index(say.to)].receive(0.0, say))
-            state.net.clear()
+            for message in state.in_flight:
+                state.proposers["o"].receive(acceptors[ACCEPTORS.index(message.to)].receive(0.0, message))
+            state.in_flight.clear()
         return state
 
     @staticmethod
     def sessions(state: State, member: str) -> dict[str, int]:
-        return {guard.name: guard.sessions[member] for guard in state.guards}
+        return {acceptor.name: acceptor.sessions[member] for acceptor in state.acceptors}
 
     @staticmethod
-    def said(state: State, name: str) -> None:
-        work = state.works[name]
-        state.net += work.out
-        work.out.clear()
+    def _send_pending(state: State, name: str) -> None:
+        """Moves the messages that a balancer wants to send into the network."""
+        proposer = state.proposers[name]
+        state.in_flight += proposer.out
+        proposer.out.clear()
 
     # steps
 
     def steps(self, state: State) -> list[tuple[str, int | str]]:
-        """What may come next, as (kind, whom); the same order each time."""
+        """The possible next steps as (kind, target), in a fixed order."""
         out: list[tuple[str, int | str]] = []
         seen: set[Say] = set()
-        for i, say in enumerate(state.net):
-            if say not in seen:
-                seen.add(say)
+        for i, message in enumerate(state.in_flight):
+            if message not in seen:
+                seen.add(message)
                 out.append(("deliver", i))
-                if state.doublings:
+                if state.doublings_left:
                     out.append(("double", i))
-        for name, work in sorted(state.works.items()):
-            if work.owned and not work.lost and work.answer is None:
-                if not work.granted and not state.asked.get(name) and not work.may_have_run:
+        for name, proposer in sorted(state.proposers.items()):
+            if proposer.owned and not proposer.lost and proposer.answer is None:
+                if (
+                    not proposer.granted
+                    and not state.grants_requested.get(name)
+                    and not proposer.may_have_run
+                ):
                     out.append(("permit", name))
                 if (
                     self.may_refuse
-                    and not work.granted
-                    and not work.may_have_run
-                    and name not in state.refused
+                    and not proposer.granted
+                    and not proposer.may_have_run
+                    and name not in state.refusers
                 ):
                     out.append(("refuse", name))
-            if work.granted and name not in state.written:
+            if proposer.granted and name not in state.writers:
                 out.append(("write", name))
-            if self.answers and name in state.written and name not in state.answered:
+            if self.answers and name in state.writers and name not in state.answer_recorders:
                 out.append(("answer", name))
-            if work.refusal_recorded and name not in state.refused:
+            if proposer.refusal_recorded and name not in state.refusers:
                 out.append(("tell", name))
         for name in self.takers:
-            if name not in state.works:
+            if name not in state.proposers:
                 out.append(("claim", name))
-        if state.restarts:
-            out += [("restart", i) for i in range(len(GUARDS))]
-        if state.forgets:
-            out += [("forget", i) for i, guard in enumerate(state.guards) if WORK in guard.works]
+        if state.restarts_left:
+            out += [("restart", i) for i in range(len(ACCEPTORS))]
+        if state.forgets_left:
+            out += [("forget", i) for i, acceptor in enumerate(state.acceptors) if VISIT in acceptor.works]
         return out
 
-    def step(self, state: State, kind: str, whom: int | str) -> str:
-        """Do one step; in words."""
-        said = self._step(state, kind, whom)
-        state.net = [say for say in state.net if say.to in GUARDS or self.waited(state, say)]
-        return said
+    def step(self, state: State, kind: str, target: int | str) -> str:
+        """Performs one step; returns its description."""
+        description = self._apply(state, kind, target)
+        state.in_flight = [
+            message
+            for message in state.in_flight
+            if message.to in ACCEPTORS or self.still_matters(state, message)
+        ]
+        return description
 
     @staticmethod
-    def waited(state: State, say: Say) -> bool:
-        """Whether an answer can still change anything."""
-        work = state.works.get(say.to)
-        if work is not None and say.ballot == work.ballot and say.about == "claim" and say.answered:
-            return work.answer is None or (work._requested == "claim" and not work.owned)
-        if work is None or say.ballot != work.ballot or say.about != work._requested or work.lost:
+    def still_matters(state: State, message: Say) -> bool:
+        """Whether a message to a balancer can still change its state."""
+        proposer = state.proposers.get(message.to)
+        if (
+            proposer is not None
+            and message.ballot == proposer.ballot
+            and message.about == "claim"
+            and message.answered
+        ):
+            return proposer.answer is None or (proposer._requested == "claim" and not proposer.owned)
+        if (
+            proposer is None
+            or message.ballot != proposer.ballot
+            or message.about != proposer._requested
+            or proposer.lost
+        ):
             return False
-        if say.about == "register" or (say.about == "claim" and work.owned):
-            return False  # what it tells is told already, or is nobody's to act on
-        return say.by not in (work._accepts if say.what == "yes" else work._rejects)
+        if message.about == "register" or (message.about == "claim" and proposer.owned):
+            return False  # its content is known already, or nobody acts on it
+        return message.by not in (proposer._accepts if message.what == "yes" else proposer._rejects)
 
-    def _step(self, state: State, kind: str, whom: int | str) -> str:
+    def _apply(self, state: State, kind: str, target: int | str) -> str:
         if kind in ("deliver", "double"):
-            assert isinstance(whom, int)
-            say = state.net[whom]
+            assert isinstance(target, int)
+            message = state.in_flight[target]
             if kind == "deliver":
-                del state.net[whom]
+                del state.in_flight[target]
             else:
-                state.doublings -= 1
-            if say.to in GUARDS:
-                guard = state.guards[GUARDS.index(say.to)]
-                answer = guard.receive(0.0, say)
-                state.net += [answer, *guard.out]
-                guard.out.clear()
-                return f"{say.by} to {say.to}: {say.what} {say.ballot}, {answer.what}"
-            work = state.works.get(say.to)
-            if work is not None:
-                work.receive(say)
-                self.said(state, say.to)
-            return f"{say.by} to {say.to}: {say.what} to {say.about} {say.ballot}"
+                state.doublings_left -= 1
+            if message.to in ACCEPTORS:
+                acceptor = state.acceptors[ACCEPTORS.index(message.to)]
+                answer = acceptor.receive(0.0, message)
+                state.in_flight += [answer, *acceptor.out]
+                acceptor.out.clear()
+                return f"{message.by} to {message.to}: {message.what} {message.ballot}, {answer.what}"
+            proposer = state.proposers.get(message.to)
+            if proposer is not None:
+                proposer.receive(message)
+                self._send_pending(state, message.to)
+            return f"{message.by} to {message.to}: {message.what} to {message.about} {message.ballot}"
         if kind in ("restart", "forget"):
-            assert isinstance(whom, int)
-            self.anew(state, whom, kind)
-            return f"{GUARDS[whom]} {kind}s"
-        assert isinstance(whom, str)
-        work = state.works.get(whom) or Proposer(
-            WORK, whom, GUARDS, self.sessions(state, whom), client_retried=self.for_client
+            assert isinstance(target, int)
+            self._discard_records(state, target, kind)
+            return f"{ACCEPTORS[target]} {kind}s"
+        assert isinstance(target, str)
+        proposer = state.proposers.get(target) or Proposer(
+            VISIT, target, ACCEPTORS, self.sessions(state, target), client_retried=self.for_client
         )
         if kind == "claim":
-            state.works[whom] = work
-            work.claim((self.takers.index(whom), "o"))
+            state.proposers[target] = proposer
+            proposer.claim((self.takers.index(target), "o"))
         elif kind == "permit":
-            state.asked[whom] = 1
-            work.request_grant()
+            state.grants_requested[target] = 1
+            proposer.request_grant()
         elif kind == "refuse":
-            work.refuse()
-            state.refused += [whom] if work.refusal_recorded else []
+            proposer.refuse()
+            state.refusers += [target] if proposer.refusal_recorded else []
         elif kind == "write":
-            state.written.append(whom)
+            state.writers.append(target)
         elif kind == "answer":
-            state.answered.append(whom)
-            work.record_answer(b"answer")
+            state.answer_recorders.append(target)
+            proposer.record_answer(b"answer")
         elif kind == "tell":
-            state.refused.append(whom)
-        self.said(state, whom)
-        return f"{whom}: {kind}"
+            state.refusers.append(target)
+        self._send_pending(state, target)
+        return f"{target}: {kind}"
 
-    def anew(self, state: State, place: int, kind: str) -> None:
-        """A guardian without its records: restarted, with new links, or since it forgot, with the same."""
-        old = state.guards[place]
+    def _discard_records(self, state: State, place: int, kind: str) -> None:
+        """An acceptor loses its records: by a restart (with new links) or by forgetting (links stay)."""
+        old = state.acceptors[place]
         if kind == "forget":
-            state.forgets -= 1
+            state.forgets_left -= 1
             old.works.clear()
             return
-        guard = state.guards[place] = Acceptor(old.name, old.retention_ms, 2)
+        acceptor = state.acceptors[place] = Acceptor(old.name, old.retention_ms, 2)
         for member in ("o", *self.takers):
-            guard.start_session(member)
-        state.restarts -= 1
+            acceptor.start_session(member)
+        state.restarts_left -= 1
 
-    # what must hold
+    # invariants
 
-    def broken(self, state: State) -> str:
-        if len(state.written) > 1:
-            return f"effects: written by {state.written}"
-        if state.refused and state.written and (not self.for_client or state.written[0] in state.refused):
-            return f"refusal: {state.refused} told that it never ran, written by {state.written}"
-        for name, work in state.works.items():
-            if name != "o" and work.outcome() == "never ran" and any(w != name for w in state.written):
-                return f"truth: {name} holds that it never ran, written by {state.written}"
-            if work.outcome() == "answered" and not state.written:
+    def violation(self, state: State) -> str:
+        """The invariant that the state breaks; empty if none."""
+        if len(state.writers) > 1:
+            return f"effects: written by {state.writers}"
+        if state.refusers and state.writers and (not self.for_client or state.writers[0] in state.refusers):
+            return f"refusal: {state.refusers} told that it never ran, written by {state.writers}"
+        for name, proposer in state.proposers.items():
+            if name != "o" and proposer.outcome() == "never ran" and any(w != name for w in state.writers):
+                return f"truth: {name} holds that it never ran, written by {state.writers}"
+            if proposer.outcome() == "answered" and not state.writers:
                 return f"truth: {name} has an answer, written by nobody"
         return ""
 
-    def explore(self, most: int = 2_000_000) -> Found:
-        """All states that can be reached, breadth first: a breach comes with the fewest steps."""
-        begun = perf_counter()
+    def explore(self, max_states: int = 2_000_000) -> Result:
+        """Explores all reachable states breadth first, so that a violation has the shortest trace."""
+        started = perf_counter()
         first = self.begin()
-        blob = pickle.dumps(first)
+        encoded = pickle.dumps(first)
         seen = {self.key(first)}
-        came: dict[bytes, tuple[bytes, str]] = {}
-        queue: deque[bytes] = deque([blob])
+        predecessor: dict[bytes, tuple[bytes, str]] = {}
+        queue: deque[bytes] = deque([encoded])
         while queue:
             at = queue.popleft()
-            for kind, whom in self.steps(pickle.loads(at)):
+            for kind, target in self.steps(pickle.loads(at)):
                 state: State = pickle.loads(at)
-                said = self.step(state, kind, whom)
+                description = self.step(state, kind, target)
                 key = self.key(state)
                 if key in seen:
                     continue
                 seen.add(key)
-                blob = pickle.dumps(state)
-                came[blob] = (at, said)
-                if why := self.broken(state):
-                    trace = [said]
-                    while at in came:
-                        at, words = came[at]
-                        trace.append(words)
-                    return Found(len(seen), perf_counter() - begun, False, why, tuple(reversed(trace)))
-                if len(seen) >= most:
-                    return Found(len(seen), perf_counter() - begun, False, "", ())
-                queue.append(blob)
-        return Found(len(seen), perf_counter() - begun, True, "", ())
+                encoded = pickle.dumps(state)
+                predecessor[encoded] = (at, description)
+                if why := self.violation(state):
+                    trace = [description]
+                    while at in predecessor:
+                        at, step = predecessor[at]
+                        trace.append(step)
+                    return Result(len(seen), perf_counter() - started, False, why, tuple(reversed(trace)))
+                if len(seen) >= max_states:
+                    return Result(len(seen), perf_counter() - started, False, "", ())
+                queue.append(encoded)
+        return Result(len(seen), perf_counter() - started, True, "", ())
 
     @staticmethod
     def key(state: State) -> int:
-        """The same for states that differ only in what no longer matters, or by which guardian is which."""
-        names = sorted(state.works)
+        """Equal for states that differ only by a permutation of the acceptors or in irrelevant parts."""
+        names = sorted(state.proposers)
         each = []
-        for guard in state.guards:
-            kept = guard.works.get(WORK)
-            record = kept and (
-                kept.promised,
-                kept.acceptors,
-                kept.answer,
-                kept.answered,
-                kept.closed,
-                tuple(sorted(kept.grants)),
+        for acceptor in state.acceptors:
+            stored = acceptor.works.get(VISIT)
+            record = stored and (
+                stored.promised,
+                stored.acceptors,
+                stored.answer,
+                stored.answered,
+                stored.closed,
+                tuple(sorted(stored.grants)),
             )
-            serials = tuple(sorted(guard._serials.items()))
-            wire = sorted(
+            serials = tuple(sorted(acceptor._serials.items()))
+            messages = sorted(
                 hash(
                     (
                         s.what,
                         s.ballot,
                         s.session,
-                        s.to if s.to not in GUARDS else "",
-                        s.by if s.by not in GUARDS else "",
+                        s.to if s.to not in ACCEPTORS else "",
+                        s.by if s.by not in ACCEPTORS else "",
                         s.body,
                         s.permits,
                         s.promised,
@@ -302,22 +329,31 @@
                         s.here,
                     )
                 )
-                for s in state.net
-                if guard.name in (s.to, s.by)
+                for s in state.in_flight
+                if acceptor.name in (s.to, s.by)
             )
-            heard = tuple(
+            replies = tuple(
                 (
-                    guard.name in state.works[n]._rejects,
-                    (y := state.works[n]._accepts.get(guard.name))
+                    acceptor.name in state.proposers[n]._rejects,
+                    (y := state.proposers[n]._accepts.get(acceptor.name))
                     and (y.permits, bool(y.guards), y.answered, y.body, y.closed),
                 )
                 for n in names
             )
-            held = tuple(state.works[n].sessions.get(guard.name) for n in names)
+            sessions = tuple(state.proposers[n].sessions.get(acceptor.name) for n in names)
             each.append(
-                hash((tuple(sorted(guard.sessions.items())), serials, record, tuple(wire), heard, held))
+                hash(
+                    (
+                        tuple(sorted(acceptor.sessions.items())),
+                        serials,
+                        record,
+                        tuple(messages),
+                        replies,
+                        sessions,
+                    )
+                )
             )
-        works = tuple(
+        proposers = tuple(
             (
                 n,
                 w.ballot,
@@ -334,18 +370,18 @@
                 w._registered,
             )
             for n in names
-            for w in (state.works[n],)
+            for w in (state.proposers[n],)
         )
         return hash(
             (
                 tuple(sorted(each)),
-                works,
-                tuple(state.written),
-                tuple(state.refused),
-                tuple(sorted(state.asked.items())),
-                tuple(state.answered),
-                state.doublings,
-                state.restarts,
-                state.forgets,
+                proposers,
+                tuple(state.writers),
+                tuple(state.refusers),
+                tuple(sorted(state.grants_requested.items())),
+                tuple(state.answer_recorders),
+                state.doublings_left,
+                state.restarts_left,
+                state.forgets_left,
             )
         )
--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -1,17 +1,18 @@
-"""Every order of what a list service writes, loses and ends, and until when a balancer sends by its list.
+"""Model checker of the list lease: until when a balancer sends to servers of a possibly stale upstream list.
 
-The code explored is `lease.py`, `net/list_call.py` and `net/discovery.py` themselves, and `asking.py` for
-when the next call goes out; `list_world` has the service and the connections. One server begins to drain at
-any of the moments that matter; it counts as told when that is written on any call of this balancer, 6 s after
-a call has fallen silent on which it was written, or 6 s after it began at a service that can be reached,
-whichever is first. A path is one way through all choices; all are gone through, depth first.
+Explores the production code: `lease.py`, `net/list_call.py`, `net/discovery.py`, and `asking.py`, which
+decides when the next call starts. `list_world` simulates the list service and the connections. One server
+begins to drain at any of the points that matter. The balancer counts as notified at the first of: the drain
+is written on any of its calls; 6 s after a call fell silent, if the drain was written on it; 6 s after the
+drain began, if the service can be reached. A path is one combination of all choices; all paths are explored
+depth first.
 
-What must hold on every path, at every moment of it:
+Checked at every step of every path:
 
-- grace: nothing is sent to a server more than the grace after it counts as told. A process may be held up
-  between its last look and the first byte; what the pages allow besides (bytes that are held up for less than
-  that time, four times the time for asking) lies within it, or beyond the end of a path;
-- liveness: once the service answers every call, one that began after all that was lost, requests go again.
+- grace: nothing is sent to a server more than the grace after the balancer counts as notified. A process may
+  stall between its last check and the first byte. What the pages allow besides (bytes delayed by less than
+  that, four times `must_ask_in`) lies within the grace, or beyond the end of a path;
+- liveness: once the service answers every call, and one call began after all losses, sends are allowed again.
 """
 
 from __future__ import annotations
@@ -23,25 +24,27 @@
 from time import perf_counter
 
 from ospreyline.check.list_world import (
-    AT_LAST,
-    GRACE,
-    HELD_UP,
-    MUST_ASK_IN,
-    START,
+    GRACE_MS,
+    MUST_ASK_IN_MS,
+    NOTIFIED_AFTER_MS,
+    STALL_MS,
+    START_MS,
     End,
-    Machine,
+    FakeSocket,
     Option,
     Outcome,
     World,
 )
 
-SETTLED = 9_000.0  # ms after the last choice at which a path ends, and requests have to go again
-LATEST = START + 4 * MUST_ASK_IN - 1_000.0  # from then on the list may be used again
-STANDING = Outcome("is answered, and stands", "answered")
+SETTLE_MS = 9_000.0  # a path ends this long after its last choice; sends must be allowed again by then
+LATEST_MS = (
+    START_MS + 4 * MUST_ASK_IN_MS - 1_000.0
+)  # from then on the list may be used again, whatever was lost
+STAYS_OPEN = Outcome("is answered, and stands", "answered")
 
 ENDS = (End.LAST_CHUNK, End.FIN, End.RESET, End.SILENCE)
-BROKEN = (End.FIN, End.RESET, End.SILENCE)
-PLACES = (
+ABRUPT_ENDS = (End.FIN, End.RESET, End.SILENCE)
+CUT_PLACES = (
     "nothing of it arrives",
     "a part of its head arrives",
     "its head arrives",
@@ -51,77 +54,79 @@
 )
 
 ANSWERS = (
-    STANDING,
+    STAYS_OPEN,
     Outcome("is answered after 2 s, and stands", "answered", 2_000.0),
-    Outcome("is answered after 2.25 s, which is read late, and stands", "answered", 2_250.0, held_up=HELD_UP),
+    Outcome("is answered after 2.25 s, which is read late, and stands", "answered", 2_250.0, stall=STALL_MS),
     *(
-        Outcome(f"is answered, and {how.value} after 0.5 s", "answered", 0.0, None, how, 500.0)
-        for how in ENDS
+        Outcome(f"is answered, and {end.value} after 0.5 s", "answered", 0.0, None, end, 500.0)
+        for end in ENDS
     ),
 )
-TURNED_AWAY = (
-    Outcome("is turned away at once", "turned away"),
-    Outcome("is turned away after 2 s", "turned away", 2_000.0),
-    Outcome("is turned away, in a part of a head, and is reset", "turned away", 0.0, 9, End.RESET),
+REJECTED = (
+    Outcome("is turned away at once", "rejected"),
+    Outcome("is turned away after 2 s", "rejected", 2_000.0),
+    Outcome("is turned away, in a part of a head, and is reset", "rejected", 0.0, 9, End.RESET),
 )
-NOTHING = (
+NO_ANSWER = (
     Outcome("is refused", "refused"),
     Outcome("never connects", "unreached"),
     Outcome("hears nothing", "nothing"),
     *(
-        Outcome(f"{how.value} with nothing written", "nothing", 0.0, None, how)
-        for how in (End.FIN, End.RESET)
+        Outcome(f"{end.value} with nothing written", "nothing", 0.0, None, end)
+        for end in (End.FIN, End.RESET)
     ),
 )
-LOST = tuple(
-    Outcome(f"is answered, {words}, then it {how.value}", "answered", 0.0, place, how)
-    for place, words in enumerate(PLACES)
-    for how in BROKEN
+CUT_OFF = tuple(
+    Outcome(f"is answered, {place_dechoicesion}, then it {end.value}", "answered", 0.0, place, end)
+    for place, place_dechoicesion in enumerate(CUT_PLACES)
+    for end in ABRUPT_ENDS
 )
-LOST_LATE = tuple(
-    Outcome(f"is answered after 0.1 s, {words}, then it {how.value}", "answered", 100.0, place, how)
-    for place, words in enumerate(PLACES)
+CUT_OFF_LATE = tuple(
+    Outcome(
+        f"is answered after 0.1 s, {place_dechoicesion}, then it {end.value}", "answered", 100.0, place, end
+    )
+    for place, place_dechoicesion in enumerate(CUT_PLACES)
     if place in (0, 4)
-    for how in BROKEN
+    for end in ABRUPT_ENDS
 )
-OUTCOMES = (*ANSWERS, *TURNED_AWAY, *NOTHING, *LOST, *LOST_LATE)
+OUTCOMES = (*ANSWERS, *REJECTED, *NO_ANSWER, *CUT_OFF, *CUT_OFF_LATE)
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """How an exploration ended."""
+class Result:
+    """The result of an exploration."""
 
     paths: int
-    moments: int  # that were looked at on them
+    steps: int  # checked on these paths
     seconds: float
-    whole: bool  # all paths within the bounds were gone through
-    broken: str  # the sentence that does not hold; empty if all do
-    trace: tuple[str, ...]  # what happened on that path
+    complete: bool  # all paths within the bounds were explored
+    violation: str  # the invariant that does not hold; empty if all hold
+    trace: tuple[str, ...]  # the events of the path with the violation
 
 
-class Script:
-    """The choices of one path: those that are set, then the first of each; and which path is next."""
+class PresetChoices:
+    """The choices of one path: preset ones, then the first option of each; knows the next path."""
 
-    def __init__(self, taken: Sequence[int] = ()) -> None:
-        self._set = list(taken)
-        self._taken: list[tuple[int, int]] = []  # which of how many
+    def __init__(self, chosen: Sequence[int] = ()) -> None:
+        self._preset = list(chosen)
+        self._chosen: list[tuple[int, int]] = []  # (index, number of options)
 
     def choose(self, options: Sequence[Option]) -> Option:
-        at = len(self._taken)
-        index = self._set[at] if at < len(self._set) else 0
-        self._taken.append((index, len(options)))
+        at = len(self._chosen)
+        index = self._preset[at] if at < len(self._preset) else 0
+        self._chosen.append((index, len(options)))
         return options[index]
 
-    def next(self) -> list[int] | None:
-        """The choices that lead to the next path; None if this was the last."""
-        taken = list(self._taken)
-        while taken and taken[-1][0] == taken[-1][1] - 1:
-            taken.pop()
-        return [index for index, _ in taken[:-1]] + [taken[-1][0] + 1] if taken else None
+    def next_path(self) -> list[int] | None:
+        """The preset choices of the next path in depth-first order; None if this was the last."""
+        chosen = list(self._chosen)
+        while chosen and chosen[-1][0] == chosen[-1][1] - 1:
+            chosen.pop()
+        return [index for index, _ in chosen[:-1]] + [chosen[-1][0] + 1] if chosen else None
 
 
-class Drawn(Script):
-    """The choices of one path, drawn by seed."""
+class RandomChoices(PresetChoices):
+    """The choices of one path, drawn at random from a seed."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -132,139 +137,153 @@
 
 
 class Explorer:
-    """Paths of one kind of beginning; a planted mistake is a patch of the code explored."""
+    """Explores the paths from one beginning; tests plant a mistake by patching the production code."""
 
     def __init__(
-        self, begin: str, calls: int = 2, outcomes: Sequence[Outcome] = OUTCOMES, apart: bool = False
+        self,
+        begin: str,
+        calls: int = 2,
+        outcomes: Sequence[Outcome] = OUTCOMES,
+        one_loss_at_a_time: bool = False,
     ) -> None:
-        """`begin`: a key of `BEGINNINGS`; `calls`: of which it is explored what becomes of them."""
-        self.begin, self.calls, self.outcomes, self.apart = BEGINNINGS[begin], calls, outcomes, apart
-
-    def explore(self, most: int = 10_000_000) -> Found:
-        """All paths, up to the first that breaks a sentence."""
-        begun, paths, moments, machine = perf_counter(), 0, 0, Machine()
+        """`begin`: a key of `BEGINNINGS`; `calls`: number of calls whose outcomes are explored."""
+        self.begin, self.calls, self.outcomes, self.one_loss_at_a_time = (
+            BEGINNINGS[begin],
+            calls,
+            outcomes,
+            one_loss_at_a_time,
+        )
+
+    def explore(self, max_paths: int = 10_000_000) -> Result:
+        """Explores all paths in order, up to `max_paths` or the first violation."""
+        started, paths, steps, fake_socket = perf_counter(), 0, 0, FakeSocket()
         chosen: list[int] | None = []
         try:
-            while chosen is not None and paths < most:
-                script = Script(chosen)
-                broken, looks, trace = self._walk(script, machine)
-                paths, moments = paths + 1, moments + looks
-                if broken:
-                    return Found(paths, moments, perf_counter() - begun, False, broken, trace)
-                chosen = script.next()
+            while chosen is not None and paths < max_paths:
+                choices = PresetChoices(chosen)
+                violation, path_steps, trace = self._run_path(choices, fake_socket)
+                paths, steps = paths + 1, steps + path_steps
+                if violation:
+                    return Result(paths, steps, perf_counter() - started, False, violation, trace)
+                chosen = choices.next_path()
         finally:
-            machine.close()
-        return Found(paths, moments, perf_counter() - begun, chosen is None, "", ())
+            fake_socket.close()
+        return Result(paths, steps, perf_counter() - started, chosen is None, "", ())
 
-    def sample(self, paths: int, seed: int = 1) -> Found:
-        """So many paths, drawn by seed: deeper ones than all can be gone through of."""
-        begun, moments, machine = perf_counter(), 0, Machine()
+    def sample(self, paths: int, seed: int = 1) -> Result:
+        """Explores `paths` random paths, for depths at which exploring all would take too long."""
+        started, steps, fake_socket = perf_counter(), 0, FakeSocket()
         try:
             for number in range(paths):
-                broken, looks, trace = self._walk(Drawn(seed * 1_000_003 + number), machine)
-                moments += looks
-                if broken:
-                    return Found(number + 1, moments, perf_counter() - begun, False, broken, trace)
+                violation, path_steps, trace = self._run_path(
+                    RandomChoices(seed * 1_000_003 + number), fake_socket
+                )
+                steps += path_steps
+                if violation:
+                    return Result(number + 1, steps, perf_counter() - started, False, violation, trace)
         finally:
-            machine.close()
-        return Found(paths, moments, perf_counter() - begun, False, "", ())
+            fake_socket.close()
+        return Result(paths, steps, perf_counter() - started, False, "", ())
 
-    def _walk(self, script: Script, machine: Machine) -> tuple[str, int, tuple[str, ...]]:
-        """One path: the sentence that it breaks, how many moments were looked at, what happened."""
-        world, looks, broken = World(script, self.outcomes, self.calls, machine), 0, ""
-        world.apart = self.apart
+    def _run_path(self, choices: PresetChoices, fake_socket: FakeSocket) -> tuple[str, int, tuple[str, ...]]:
+        """Runs one path; returns its violation (empty if none), the number of steps, and the trace."""
+        world, steps, violation = World(choices, self.outcomes, self.calls, fake_socket), 0, ""
+        world.one_loss_at_a_time = self.one_loss_at_a_time
         self.begin(world)
-        while not broken and world.now < min(world.chosen_at + SETTLED, LATEST):
-            if not (broken := grace(world)):
+        while not violation and world.now < min(world.last_choice_at + SETTLE_MS, LATEST_MS):
+            if not (violation := check_grace(world)):
                 world.step()
-                looks += 1
-        broken = broken or (liveness(world) if world.now < LATEST else "")
+                steps += 1
+        violation = violation or (check_liveness(world) if world.now < LATEST_MS else "")
         world.close()
-        return broken, looks, tuple(world.trace)
+        return violation, steps, tuple(world.trace)
 
 
-def grace(world: World) -> str:
-    """Whether a request may leave for u0 too late, up to what comes next."""
-    told = world.told_at()
-    if told == inf or not world.process.active:
+def check_grace(world: World) -> str:
+    """The violation, if a request may be sent to u0 too late before the next event; else empty."""
+    notified_at = world.notified_at()
+    if notified_at == inf or not world.process.u0_active:
         return ""
-    at = max(world.now, told + GRACE - HELD_UP + 1.0)
+    at = max(world.now, notified_at + GRACE_MS - STALL_MS + 1.0)
     if at >= world.next_at() or world.process.lease.withholds(at):
         return ""
     world.now = at
-    world.say(f"a request may be sent to u0, which counts as told since {(told - START) / 1e3:.2f} s")
+    world.record(
+        f"a request may be sent to u0, which counts as told since {(notified_at - START_MS) / 1e3:.2f} s"
+    )
     return (
-        f"grace: a request leaves for u0 up to {at + HELD_UP - told:.0f} ms after it counts as told, "
-        f"of {GRACE:.0f}"
+        f"grace: a request leaves for u0 up to {at + STALL_MS - notified_at:.0f} ms after it counts as told, "
+        f"of {GRACE_MS:.0f}"
     )
 
 
-def liveness(world: World) -> str:
-    """Whether nothing is sent though the service has answered every call for a long time."""
-    if world.tail is None or world.tail.kind != "answered":
+def check_liveness(world: World) -> str:
+    """The violation, if sends are blocked though the service has long answered every call; else empty."""
+    if world.later_outcome is None or world.later_outcome.kind != "answered":
         return ""
     why = world.process.lease.why(world.now)
     if why is None:
         return ""
-    world.say("requests are withheld still")
+    world.record("requests are withheld still")
     return f"liveness: {why.value}, and the service has answered all calls"
 
 
-def _standing(world: World) -> None:
-    """A watch has been answered, and stands."""
-    _answered(world)
-    world.moment("at a service that is watched")
+def _begin_watching(world: World) -> None:
+    """A watch is answered and stays open."""
+    _answer_first_watch(world)
+    world.offer_drain("at a service that is watched")
 
 
-def _answered(world: World) -> None:
-    chosen, world.calls_left = world.calls_left, 0
-    world.tail = STANDING
+def _answer_first_watch(world: World) -> None:
+    """Runs the world until the first watch is answered, without choices."""
+    calls_left, world.calls_left = world.calls_left, 0
+    world.later_outcome = STAYS_OPEN
     world.process.asking.due = world.now
     while not world.process.lists.told_by_watch:
         world.step()
-    world.calls_left, world.tail = chosen, None
+    world.calls_left, world.later_outcome = calls_left, None
 
 
-def _asked_for(world: World) -> None:
-    """The watch of a balancer ends in form, so that its next call is made."""
-    _answered(world)
+def _begin_after_end(world: World) -> None:
+    """The watch ends with its last chunk, so that the next call is due."""
+    _answer_first_watch(world)
     world.connections[0].end(End.LAST_CHUNK)
-    world.say("call 1 ends with its last chunk")
+    world.record("call 1 ends with its last chunk")
 
 
-def _first(world: World) -> None:
-    """A process begins with a list that another one had, and that may be older than a drain."""
+def _begin_new_process(world: World) -> None:
+    """A process starts with the cached list of a former one, which may be older than a drain."""
     if world.choose((False, True)):
-        world.changed_at = world.now - AT_LAST - 1_000.0
-        world.say("u0 has drained for 7 s")
+        world.drain_began_at = world.now - NOTIFIED_AFTER_MS - 1_000.0
+        world.record("u0 has drained for 7 s")
     world.process.asking.begin(world.now, True)
 
 
-def _moved(world: World) -> None:
-    """A watch has been answered, and stands, and the balancer is led to another service."""
-    _answered(world)
-    world.at(world.now + 100.0, world.move)
+def _begin_moved(world: World) -> None:
+    """A watch is open, and the balancer is switched to another service."""
+    _answer_first_watch(world)
+    world.call_at(world.now + 100.0, world.move)
 
 
-def _restarted(world: World) -> None:
-    """A watch has been answered, and stands, and the process is killed."""
-    _answered(world)
-    world.at(world.now + 100.0, world.restart)
+def _begin_restarted(world: World) -> None:
+    """A watch is open, and the process is killed."""
+    _answer_first_watch(world)
+    world.call_at(world.now + 100.0, world.restart)
 
 
-def _broken(world: World) -> None:
-    """A watch has been answered, stands, and breaks in any manner."""
-    _answered(world)
-    how = world.choose(ENDS)
+def _begin_broken(world: World) -> None:
+    """A watch is open, and ends in any way."""
+    _answer_first_watch(world)
+    end = world.choose(ENDS)
     connection = world.connections[0]
-    world.at(world.now + 100.0, lambda: world.break_off(connection, how))
+    world.call_at(world.now + 100.0, lambda: world.end_call(connection, end))
 
 
 BEGINNINGS: dict[str, Callable[[World], None]] = {
-    "standing": _standing,
-    "broken": _broken,
-    "waiting": _asked_for,
-    "first": _first,
-    "moved": _moved,
-    "restarted": _restarted,
+    "standing": _begin_watching,
+    "broken": _begin_broken,
+    "waiting": _begin_after_end,
+    "first": _begin_new_process,
+    "moved": _begin_moved,
+    "restarted": _begin_restarted,
 }
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -1,8 +1,8 @@
-"""A list service that knows what it wrote, one balancer, and the connections between them; no sockets.
+"""A simulated list service, one balancer and the connections between them, without sockets.
 
-The balancer is the real `Discovery` with its real calls, `ListLease` and `Asking`, driven by bytes on a clock
-of its own (ms). Whatever may come in more than one way is put to `choose`; `list_lease` goes through all.
-One server, u0, begins to drain at a moment that is chosen.
+The balancer is the real `Discovery` with its real calls, `ListLease` and `Asking`, driven by bytes on a
+simulated clock (ms). The service knows what it has written. Each event with more than one possible outcome is
+passed to `choose`; `list_lease` explores all choices. One server, u0, begins to drain at a chosen point.
 """
 
 from __future__ import annotations
@@ -23,18 +23,20 @@
 from ospreyline.net.list_call import ListCall
 from ospreyline.net.listing import News
 
-GRACE, MUST_ASK_IN, BALANCERS = 500.0, 10_000.0, 4
-HELD_UP = 150.0  # ms for which a process may be held up, before it reads and again before it writes
-AT_LAST = 6_000.0  # ms after which a change counts as told by a service that can be reached
-EMPTY_LINE = 2_000.0  # ms between the empty lines of a watch
-TIDY = 250.0  # ms between two rounds of periodic work of the process
-START = 100_000.0
-LAST_CHOICE = 5_000.0  # ms from the first call that is treated as all that follow
-MOST_MOMENTS = 12  # at which u0 may begin to drain, on one path
-HERE, ELSEWHERE = ("10.0.0.1", 80), ("10.0.0.2", 80)
-OFFSET = {HERE: 0, ELSEWHERE: 100}  # each service counts versions of its own
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+GRACE_MS, MUST_ASK_IN_MS, BALANCER_COUNT = 500.0, 10_000.0, 4
+STALL_MS = 150.0  # longest stall of a process before it reads, and again before it writes
+NOTIFIED_AFTER_MS = (
+    6_000.0  # a reachable service counts as having notified the balancer of a change after this
+)
+EMPTY_LINE_MS = 2_000.0  # between the empty lines of a watch
+MAINTENANCE_MS = 250.0  # between two runs of the periodic cleanup
+START_MS = 100_000.0
+CHOICE_WINDOW_MS = 5_000.0  # choices are offered for this long after the first call with `later_outcome`
+MAX_DRAIN_POINTS = 12  # points on one path at which u0 may begin to drain
+FIRST_SERVICE, SECOND_SERVICE = ("10.0.0.1", 80), ("10.0.0.2", 80)
+VERSION_OFFSET = {FIRST_SERVICE: 0, SECOND_SERVICE: 100}  # each service has its own version sequence
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
 Option = TypeVar("Option")
@@ -51,73 +53,73 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """What becomes of a call: an answer `after` ms, cut at a place if it has one, an end some time later."""
+    """What becomes of a call: the answer, where it is cut off, and how the connection ends."""
 
-    words: str
-    kind: str  # refused, unreached, nothing, turned away, answered
-    after: float = 0.0
-    cut: int | None = None  # which of the places of a cut; None: it arrives whole
+    description: str
+    kind: str  # refused, unreached, nothing, rejected, answered
+    delay: float = 0.0  # ms from the request to the answer
+    cut_place: int | None = None  # index into `cut_places`; None: the answer arrives whole
     end: End | None = None
-    end_after: float = 0.0  # ms from the answer
-    held_up: float = 0.0  # ms that the process is held up before it reads the answer
+    end_delay: float = 0.0  # ms from the answer to the end
+    stall: float = 0.0  # ms for which the process stalls before it reads the answer
 
 
 class Choices(Protocol):
-    """Who decides what may come in more than one way."""
+    """Picks one of several possible events."""
 
     def choose(self, options: Sequence[Option]) -> Option: ...
 
 
-class _Silent:
-    """A log that nobody reads."""
+class _NullLog:
+    """A logger that discards everything."""
 
     def info(self, event: str, **values: Any) -> None: ...
 
     def warning(self, event: str, **values: Any) -> None: ...
 
 
-class Machine:
-    """What is asked of a socket below a transport: two descriptors, a readable and a quiet one."""
+class FakeSocket:
+    """The socket below a transport: its descriptor polls as readable while `has_unread` is set."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_STREAM, 0
 
     def __init__(self) -> None:
-        self._quiet, self._writer = os.pipe()
-        self._readable = os.open(os.devnull, os.O_RDONLY)
-        self.unread = False
+        self._never_readable, self._writer = os.pipe()
+        self._always_readable = os.open(os.devnull, os.O_RDONLY)
+        self.has_unread = False
 
     def fileno(self) -> int:
-        return self._readable if self.unread else self._quiet
+        return self._always_readable if self.has_unread else self._never_readable
 
     def getsockopt(self, level: int, option: int) -> int:
         return 0
 
     def close(self) -> None:
-        for descriptor in (self._quiet, self._writer, self._readable):
+        for descriptor in (self._never_readable, self._writer, self._always_readable):
             os.close(descriptor)
 
 
 class Connection(asyncio.Transport):
-    """One call's connection: the transport to the balancer, the stream to the service."""
+    """The connection of one list call: the balancer's transport, and the service's stream."""
 
     def __init__(self, world: World, call: ListCall) -> None:
         super().__init__()
         self.world, self.call = world, call
-        self.watched = False  # a head and an answer were written: what changes is, too
-        self.cut_off = False  # nothing more that is written arrives
+        self.watch_answered = False  # head and answer of a watch were written; changes follow on it
+        self.cut_off = False  # nothing written from now on arrives
         self.silent_from = inf
-        self.ended = False  # by the service, or by the way
-        self.left = False  # the service has seen that we have ended it
+        self.ended = False  # by the service or the network
+        self.end_seen = False  # the service has seen that the balancer ended it
         self.closing = False
-        self._queue: list[tuple[float, Callable[[], None]]] = []
+        self._unread: list[tuple[float, Callable[[], None]]] = []
 
-    # the balancer's side
+    # transport interface used by the balancer
 
     def write(self, data: Any) -> None:
-        self.world.at(self.world.now, lambda: self.world.asked(self))
+        self.world.call_at(self.world.now, lambda: self.world.on_request(self))
 
     def write_eof(self) -> None:
-        self.world.balancer_ends(self)
+        self.world.on_balancer_end(self)
 
     def abort(self) -> None:
         self.closing = True
@@ -127,50 +129,52 @@
         return self.closing
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        machine = self.world.machine
-        machine.unread = bool(self._queue)
-        return machine
+        fake_socket = self.world.fake_socket
+        fake_socket.has_unread = bool(self._unread)
+        return fake_socket
 
-    # what arrives
+    # delivery to the balancer
 
-    def arrive(self, what: Callable[[], None], held_up: float = 0.0) -> None:
-        """Something reaches the balancer's machine; its process reads it now, or as late as it may."""
-        held_up = max(held_up, *(due - self.world.now for due, _ in self._queue)) if self._queue else held_up
-        if held_up <= 0:
-            self._read(what)
+    def deliver(self, action: Callable[[], None], stall: float = 0.0) -> None:
+        """Data or an end reaches the balancer's host; its process reads it now, or after `stall` ms."""
+        stall = max(stall, *(due - self.world.now for due, _ in self._unread)) if self._unread else stall
+        if stall <= 0:
+            self._read_now(action)
             return
-        entry = (self.world.now + held_up, what)
-        self._queue.append(entry)
+        entry = (self.world.now + stall, action)
+        self._unread.append(entry)
 
-        def late() -> None:
-            # guards: timers come before sockets, with what lies there unread
+        def read_late() -> None:
+            # the event loop may run timers first, while this is still unread on the socket
             self.world.process.lists.tidy()
-            self._queue.remove(entry)
-            self._read(what)
+            self._unread.remove(entry)
+            self._read_now(action)
 
-        self.world.at(entry[0], late)
+        self.world.call_at(entry[0], read_late)
 
-    def _read(self, what: Callable[[], None]) -> None:
+    def _read_now(self, action: Callable[[], None]) -> None:
         if not self.closing:
-            what()
+            action()
 
-    def bytes_arrive(self, data: bytes, held_up: float = 0.0) -> None:
+    def deliver_bytes(self, data: bytes, stall: float = 0.0) -> None:
         if data:
-            self.arrive(lambda: self.call.data_received(data), held_up)
+            self.deliver(lambda: self.call.data_received(data), stall)
 
-    def end(self, how: End, held_up: float = 0.0) -> None:
-        """The connection is over for the service, and for the balancer as far as that is told."""
+    def end(self, end: End, stall: float = 0.0) -> None:
+        """Ends the connection for the service, and for the balancer unless it ends by silence."""
         if self.ended:
             return
-        if how is End.SILENCE:
+        if end is End.SILENCE:
             self.cut_off, self.silent_from = True, min(self.silent_from, self.world.now)
             return
         self.ended = True
-        if how is End.LAST_CHUNK and not self.cut_off:
-            self.bytes_arrive(LAST_CHUNK, held_up)
-        self.arrive(lambda: self._over(ConnectionResetError("reset") if how is End.RESET else None), held_up)
+        if end is End.LAST_CHUNK and not self.cut_off:
+            self.deliver_bytes(LAST_CHUNK, stall)
+        self.deliver(
+            lambda: self._close_transport(ConnectionResetError("reset") if end is End.RESET else None), stall
+        )
 
-    def _over(self, error: Exception | None) -> None:
+    def _close_transport(self, error: Exception | None) -> None:
         if error is None:
             self.call.eof_received()
         self.closing = True
@@ -178,33 +182,33 @@
 
 
 class _Task:
-    """The opening of one connection, run by hand."""
+    """The coroutine that opens one connection, stepped by the world."""
 
-    def __init__(self, work: Coroutine[Any, Any, None]) -> None:
-        self.work, self.over = work, False
+    def __init__(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self.coroutine, self.done = coroutine, False
 
     def begin(self) -> None:
-        if not self.over:
+        if not self.done:
             try:
-                self.work.send(None)
+                self.coroutine.send(None)
             except StopIteration:
-                self.over = True
+                self.done = True
 
     def cancel(self) -> None:
-        if not self.over and not self.work.cr_running:  # type: ignore[attr-defined]
-            self.over = True
-            self.work.close()
+        if not self.done and not self.coroutine.cr_running:  # type: ignore[attr-defined]
+            self.done = True
+            self.coroutine.close()
 
 
-class _Never:
-    """What is waited for in vain: a connection that never comes up."""
+class _NeverConnected:
+    """Awaits forever: a connection that is never established."""
 
     def __await__(self) -> Any:
         yield self
 
 
-class _Loop:
-    """What the code explored asks of an event loop."""
+class _FakeLoop:
+    """The part of the event loop interface that `Discovery` uses."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -212,10 +216,10 @@
     def time(self) -> float:
         return self.world.now / 1e3
 
-    def create_task(self, work: Coroutine[Any, Any, None]) -> _Task:
-        task = _Task(work)
+    def create_task(self, coroutine: Coroutine[Any, Any, None]) -> _Task:
+        task = _Task(coroutine)
         self.world.tasks.append(task)
-        self.world.at(self.world.now, task.begin)
+        self.world.call_at(self.world.now, task.begin)
         return task
 
     async def create_connection(self, protocol: Callable[[], ListCall], host: str, port: int) -> None:
@@ -224,302 +228,309 @@
         if outcome.kind == "refused":
             raise ConnectionRefusedError("refused")
         if outcome.kind == "unreached":
-            await _Never()
+            await _NeverConnected()
         connection = Connection(self.world, call)
         self.world.connections.append(connection)
-        self.world.outcomes[connection] = outcome
+        self.world.outcome_of[connection] = outcome
         call.connection_made(connection)
 
 
 class Process:
-    """One process of the balancer: what it knows of u0, and when it asks, as `decide` and `turn` do it."""
+    """One balancer process: its state of u0, and when it makes list calls, as `decide` and `turn` do."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.active = True  # u0, in its list
+        self.u0_active = True  # state of u0 in its list
         self.lease = ListLease()
-        self.lease.fit(GRACE, MUST_ASK_IN, False)
+        self.lease.fit(GRACE_MS, MUST_ASK_IN_MS, False)
         self.lease.begin(world.now)
         self.asking = Asking(0.5)
-        self.asking.fit(BALANCERS, MUST_ASK_IN)
-        self._noted: list[Callable[[], None]] = []
+        self.asking.fit(BALANCER_COUNT, MUST_ASK_IN_MS)
+        self._events: list[Callable[[], None]] = []
         self.lists = Discovery(
-            cast(asyncio.AbstractEventLoop, _Loop(world)),
-            HERE,
+            cast(asyncio.AbstractEventLoop, _FakeLoop(world)),
+            FIRST_SERVICE,
             1,
-            cast(Any, _Silent()),
-            tell=lambda news: self._noted.append(lambda: self._told(news)),
-            tell_failed=lambda failure: self._noted.append(lambda: self._failed(failure)),
-            tell_lease=lambda message: self._noted.append(lambda: self._renew(message)),
+            cast(Any, _NullLog()),
+            tell=lambda news: self._events.append(lambda: self._on_update(news)),
+            tell_failed=lambda failure: self._events.append(lambda: self._on_failure(failure)),
+            tell_lease=lambda message: self._events.append(lambda: self._on_lease_message(message)),
         )
         self.lists.again, self.lists.patient = self.asking.period / 1e3, True
 
-    def turn(self) -> None:
-        """What was noted is told, and a call that is due goes out."""
-        while self._noted:
-            noted, self._noted = self._noted, []
-            for call in noted:
+    def run_pending(self) -> None:
+        """Handles all enqueued events, and starts a list call that is due."""
+        while self._events:
+            pending, self._events = self._events, []
+            for call in pending:
                 call()
         if self.world.now >= self.asking.due:
             self.asking.called(self.world.now)
             self.lists.watch(True)
-            self.turn()
+            self.run_pending()
 
-    def _told(self, news: News) -> None:
+    def _on_update(self, news: News) -> None:
         if self.lists.told_by_watch:
             self.asking.told()
         state = next((target.state for target, _ in news.targets if target.uid == "u0"), "")
         if state or news.whole:
-            self.active = state == "active"
+            self.u0_active = state == "active"
 
-    def _failed(self, failure: CallFailure) -> None:
+    def _on_failure(self, failure: CallFailure) -> None:
         self.asking.failed(self.world.now, failure.turned_away)
         if failure.lost:
             self.asking.lost(self.world.now)
 
-    def _renew(self, message: LeaseMessage) -> None:
+    def _on_lease_message(self, message: LeaseMessage) -> None:
         self.lease.take(self.world.now, message)
         if isinstance(message, UpdateRead) and self.lease.lost and self.asking.due == inf:
             self.asking.lost(self.world.now)
 
 
 class World:
-    """The service, the balancer and what lies between them; `step` moves on to what comes next."""
+    """The service, the balancer and the network between them; `step` advances to the next event."""
 
     def __init__(
-        self, choices: Choices, outcomes: Sequence[Outcome], most_calls: int, machine: Machine
+        self, choices: Choices, outcomes: Sequence[Outcome], max_calls: int, fake_socket: FakeSocket
     ) -> None:
-        self.choices, self.options, self.calls_left, self.machine = choices, outcomes, most_calls, machine
-        self.now = START
+        self.choices, self.possible_outcomes, self.calls_left, self.fake_socket = (
+            choices,
+            outcomes,
+            max_calls,
+            fake_socket,
+        )
+        self.now = START_MS
         self.trace: list[str] = []
         self.connections: list[Connection] = []
-        self.outcomes: dict[Connection, Outcome] = {}
+        self.outcome_of: dict[Connection, Outcome] = {}
         self.tasks: list[_Task] = []
-        self.changed_at = inf  # u0 began to drain
-        self.written_told = inf  # it counts as told by what was written
-        self.silent_before = inf  # the same, without the latest writing
-        self.refused_at = -inf  # the service was down, as a call found
-        self.tail: Outcome | None = None  # of all calls behind those that are chosen
-        self.tail_at = inf  # the first of them began
-        self.chosen_at = START
-        self.moments_left = MOST_MOMENTS
-        self.apart = False  # of two calls on which the same is written at once one alone loses it
-        self._lost_at = -inf
+        self.drain_began_at = inf  # ms; when u0 began to drain
+        self.notified_by_write = inf  # ms; when a write made the balancer count as notified
+        self.notified_before_last_write = inf  # the same, without the latest write
+        self.last_refused_at = -inf  # ms; when a call last found the service down
+        self.later_outcome: Outcome | None = None  # of all calls after the `max_calls` with a chosen outcome
+        self.later_from = inf  # ms; when the first of them began
+        self.last_choice_at = START_MS
+        self.drain_points_left = MAX_DRAIN_POINTS
+        self.one_loss_at_a_time = False  # of two writes at the same time only one is lost
+        self._last_loss_at = -inf
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = 0
         self.process = Process(self)
-        self.at(self.now + TIDY, self._tidy)
+        self.call_at(self.now + MAINTENANCE_MS, self._run_maintenance)
 
-    # time
+    # simulated time
 
-    def at(self, time: float, what: Callable[[], None]) -> None:
+    def call_at(self, time: float, action: Callable[[], None]) -> None:
         self._serial += 1
-        heapq.heappush(self._events, (time, self._serial, what))
+        heapq.heappush(self._events, (time, self._serial, action))
 
     def next_at(self) -> float:
         return max(self.now, min(self._events[0][0], self.process.asking.due))
 
     def step(self) -> None:
-        """What comes next, and what the process does of it."""
+        """Runs the next event, and the process's reaction to it."""
         self.now = self.next_at()
         if self._events[0][0] <= self.now:
             heapq.heappop(self._events)[2]()
-        self.process.turn()
+        self.process.run_pending()
 
-    def _tidy(self) -> None:
+    def _run_maintenance(self) -> None:
         self.process.lists.tidy()
-        self.at(self.now + TIDY, self._tidy)
+        self.call_at(self.now + MAINTENANCE_MS, self._run_maintenance)
 
-    def say(self, words: str) -> None:
-        self.trace.append(f"{(self.now - START) / 1e3:6.2f} s  {words}")
+    def record(self, description: str) -> None:
+        self.trace.append(f"{(self.now - START_MS) / 1e3:6.2f} s  {description}")
 
     def choose(self, options: Sequence[Option]) -> Option:
-        if self.now > self.tail_at + LAST_CHOICE:
-            # guards: a balancer that ends and makes calls without a pause would be given choices for good
+        if self.now > self.later_from + CHOICE_WINDOW_MS:
+            # without this, a balancer that keeps ending and making calls would make the path endless
             return options[0]
-        self.chosen_at = self.now
+        self.last_choice_at = self.now
         return self.choices.choose(options)
 
-    # the service
+    # list service
 
-    def told_at(self) -> float:
-        """From when the drain of u0 counts as told."""
-        return min(self.written_told, max(self.changed_at, self.refused_at) + AT_LAST)
+    def notified_at(self) -> float:
+        """From when the balancer counts as notified of the drain of u0 (ms)."""
+        return min(self.notified_by_write, max(self.drain_began_at, self.last_refused_at) + NOTIFIED_AFTER_MS)
 
-    def moment(self, words: str) -> None:
-        """A moment at which u0 may begin to drain."""
-        if self.changed_at < inf or self.moments_left == 0:
+    def offer_drain(self, description: str) -> None:
+        """A point at which u0 may begin to drain, by choice."""
+        if self.drain_began_at < inf or self.drain_points_left == 0:
             return
-        self.moments_left -= 1
+        self.drain_points_left -= 1
         if self.choose((False, True)):
-            self.drain(words)
+            self.drain(description)
 
-    def drain(self, words: str) -> None:
-        self.changed_at = self.now
-        self.say(f"u0 begins to drain, {words}")
+    def drain(self, description: str) -> None:
+        self.drain_began_at = self.now
+        self.record(f"u0 begins to drain, {description}")
         for connection in list(self.connections):
-            if connection.watched and not connection.ended and not connection.left:
+            if connection.watch_answered and not connection.ended and not connection.end_seen:
                 self._write_drain(connection)
 
     def _write_drain(self, connection: Connection) -> None:
-        self.write_told(connection)
+        self.count_as_written(connection)
         number = connection.call.number
         if connection.cut_off:
-            self.say(f"it is written on call {number}, which has fallen silent")
+            self.record(f"it is written on call {number}, which has fallen silent")
             return
-        data = chunk(listing(connection.call.address, 1, True))
+        data = chunk(list_body(connection.call.address, 1, True))
         places = (0, data.index(b"\n") + 1, len(data) // 2, len(data) - 3)
-        ways: list[tuple[int | None, End | None, float]] = [(None, None, 0.0), (None, None, HELD_UP)]
-        ways += [(place, how, 0.0) for place in places for how in (End.FIN, End.RESET, End.SILENCE)]
-        ways += [(0, how, HELD_UP) for how in (End.FIN, End.RESET)]
-        if self.apart and self._lost_at == self.now:
+        ways: list[tuple[int | None, End | None, float]] = [(None, None, 0.0), (None, None, STALL_MS)]
+        ways += [(cut_at, end, 0.0) for cut_at in places for end in (End.FIN, End.RESET, End.SILENCE)]
+        ways += [(0, end, STALL_MS) for end in (End.FIN, End.RESET)]
+        if self.one_loss_at_a_time and self._last_loss_at == self.now:
             ways = ways[:2]
-        place, how, held_up = self.choose(ways)
-        if how is not None:
-            self._lost_at = self.now
-        if place is None or how is None:
-            self.say(f"it is written on call {number}, and arrives" + (" late" if held_up else ""))
-            connection.bytes_arrive(data, held_up)
+        cut_at, end, stall = self.choose(ways)
+        if end is not None:
+            self._last_loss_at = self.now
+        if cut_at is None or end is None:
+            self.record(f"it is written on call {number}, and arrives" + (" late" if stall else ""))
+            connection.deliver_bytes(data, stall)
             return
-        self.say(
-            f"it is written on call {number}, {place} of {len(data)} bytes arrive, then it {how.value}"
-            + (", which is read late" if held_up else "")
+        self.record(
+            f"it is written on call {number}, {cut_at} of {len(data)} bytes arrive, then it {end.value}"
+            + (", which is read late" if stall else "")
         )
-        connection.bytes_arrive(data[:place], held_up)
+        connection.deliver_bytes(data[:cut_at], stall)
         connection.cut_off = True
-        if how is End.SILENCE:
-            # what a silent watch misses counts as told by its own clock
-            self.written_told = min(self.silent_before, self.now + AT_LAST)
-        connection.end(how, held_up)
+        if end is End.SILENCE:
+            # a silent watch notifies only by the clock that started with its silence
+            self.notified_by_write = min(self.notified_before_last_write, self.now + NOTIFIED_AFTER_MS)
+        connection.end(end, stall)
 
-    def write_told(self, connection: Connection) -> None:
-        """Something with the drain is written on a call."""
-        self.silent_before = self.written_told
-        silent = connection.silent_from + AT_LAST if connection.silent_from < inf else 0.0
-        self.written_told = min(self.written_told, max(self.now, silent))
+    def count_as_written(self, connection: Connection) -> None:
+        """Records that the drain was written on a call, which notifies the balancer."""
+        self.notified_before_last_write = self.notified_by_write
+        silent = connection.silent_from + NOTIFIED_AFTER_MS if connection.silent_from < inf else 0.0
+        self.notified_by_write = min(self.notified_by_write, max(self.now, silent))
 
     def called(self, call: ListCall) -> Outcome:
-        """A call begins to connect: what becomes of it."""
-        self.moment(f"before call {call.number} connects")
+        """A call begins to connect; returns its outcome."""
+        self.offer_drain(f"before call {call.number} connects")
         if self.calls_left > 0:
             self.calls_left -= 1
-            outcome = self.choose(self.options)
+            outcome = self.choose(self.possible_outcomes)
         else:
-            if self.tail is None:
-                self.tail, self.tail_at = self.choose(TAILS), self.now
-            outcome = self.tail
+            if self.later_outcome is None:
+                self.later_outcome, self.later_from = self.choose(LATER_OUTCOMES), self.now
+            outcome = self.later_outcome
         kind = "watch" if call.watching else "whole list"
-        self.say(f"call {call.number} ({kind}, from {call.after_version}) {outcome.words}")
+        self.record(f"call {call.number} ({kind}, from {call.after_version}) {outcome.description}")
         if outcome.kind == "refused":
-            self.refused_at = self.now
+            self.last_refused_at = self.now
         return outcome
 
-    def asked(self, connection: Connection) -> None:
-        """The request of a call has come."""
-        outcome = self.outcomes[connection]
+    def on_request(self, connection: Connection) -> None:
+        """The service has received the request of a call."""
+        outcome = self.outcome_of[connection]
         if outcome.kind != "unreached":
-            self.at(self.now + outcome.after, lambda: self._answer(connection, outcome))
+            self.call_at(self.now + outcome.delay, lambda: self._answer_request(connection, outcome))
 
-    def _answer(self, connection: Connection, outcome: Outcome) -> None:
-        if connection.ended or connection.left:
+    def _answer_request(self, connection: Connection, outcome: Outcome) -> None:
+        if connection.ended or connection.end_seen:
             return
-        if outcome.kind == "turned away":
-            connection.bytes_arrive(TURNED_AWAY[: outcome.cut])
+        if outcome.kind == "rejected":
+            connection.deliver_bytes(REJECTION[: outcome.cut_place])
             connection.end(outcome.end or End.LAST_CHUNK)
             return
         if outcome.kind == "nothing":
             if outcome.end is not None:
                 connection.end(outcome.end)
             return
-        if outcome.after:
-            self.moment(f"before call {connection.call.number} is answered")
-        if connection.ended or connection.left:
+        if outcome.delay:
+            self.offer_drain(f"before call {connection.call.number} is answered")
+        if connection.ended or connection.end_seen:
             return
         self._write_answer(connection, outcome)
-        if outcome.end is not None and outcome.cut is None:
-            self.at(self.now + outcome.end_after, lambda: self.break_off(connection, cast(End, outcome.end)))
+        if outcome.end is not None and outcome.cut_place is None:
+            self.call_at(
+                self.now + outcome.end_delay, lambda: self.end_call(connection, cast(End, outcome.end))
+            )
 
     def _write_answer(self, connection: Connection, outcome: Outcome) -> None:
-        call, drains = connection.call, self.changed_at < inf
-        if drains:
-            self.write_told(connection)
+        call, draining = connection.call, self.drain_began_at < inf
+        if draining:
+            self.count_as_written(connection)
         if call.watching:
-            data = HEAD + chunk(listing(call.address, call.after_version, drains))
+            data = RESPONSE_HEAD + chunk(list_body(call.address, call.after_version, draining))
         else:
-            body = listing(call.address, -1, drains)
+            body = list_body(call.address, -1, draining)
             data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        places = cuts(data)
-        place = len(data) if outcome.cut is None else places[min(outcome.cut, len(places) - 1)]
-        connection.watched = call.watching and outcome.cut is None
-        connection.bytes_arrive(data[:place], outcome.held_up)
-        if outcome.cut is not None and outcome.end is not None:
+        places = cut_places(data)
+        cut_at = len(data) if outcome.cut_place is None else places[min(outcome.cut_place, len(places) - 1)]
+        connection.watch_answered = call.watching and outcome.cut_place is None
+        connection.deliver_bytes(data[:cut_at], outcome.stall)
+        if outcome.cut_place is not None and outcome.end is not None:
             connection.cut_off = True
-            if outcome.end is End.SILENCE and drains:
-                self.written_told = min(self.silent_before, self.now + AT_LAST)
+            if outcome.end is End.SILENCE and draining:
+                self.notified_by_write = min(self.notified_before_last_write, self.now + NOTIFIED_AFTER_MS)
             connection.end(outcome.end)
         elif not call.watching:
             connection.ended = True
-            connection.arrive(lambda: connection._over(None))
+            connection.deliver(lambda: connection._close_transport(None))
         else:
-            self.at(self.now + EMPTY_LINE, lambda: self._empty_line(connection))
-            self.moment(f"right after call {call.number} was answered")
+            self.call_at(self.now + EMPTY_LINE_MS, lambda: self._empty_line(connection))
+            self.offer_drain(f"right after call {call.number} was answered")
 
     def _empty_line(self, connection: Connection) -> None:
-        if connection.ended or connection.left:
+        if connection.ended or connection.end_seen:
             return
         if not connection.cut_off:
-            connection.bytes_arrive(chunk(b""))
-        self.at(self.now + EMPTY_LINE, lambda: self._empty_line(connection))
+            connection.deliver_bytes(chunk(b""))
+        self.call_at(self.now + EMPTY_LINE_MS, lambda: self._empty_line(connection))
 
-    def break_off(self, connection: Connection, how: End) -> None:
-        if connection.ended or connection.left or connection.cut_off:
+    def end_call(self, connection: Connection, end: End) -> None:
+        if connection.ended or connection.end_seen or connection.cut_off:
             return
         number = connection.call.number
-        self.moment(f"right before call {number} {how.value}")
-        if connection.ended or connection.left or connection.cut_off:
+        self.offer_drain(f"right before call {number} {end.value}")
+        if connection.ended or connection.end_seen or connection.cut_off:
             return
-        self.say(f"call {number} {how.value}")
-        connection.end(how)
-        self.at(self.now + 100.0, lambda: self.moment(f"0.1 s after call {number} was over"))
+        self.record(f"call {number} {end.value}")
+        connection.end(end)
+        self.call_at(self.now + 100.0, lambda: self.offer_drain(f"0.1 s after call {number} was over"))
 
-    def balancer_ends(self, connection: Connection) -> None:
-        """The balancer has ended its sending; the service sees that 0.1 s later, and answers it."""
+    def on_balancer_end(self, connection: Connection) -> None:
+        """The balancer half-closes; the service sees that 0.1 s later, and ends the connection."""
         if connection.ended:
             return
         number = connection.call.number
-        self.say(f"the balancer ends call {number}")
-        # guards: what is written until the service sees it counts as told
-        self.at(self.now, lambda: self.moment(f"before the service sees the end of call {number}"))
-        self.at(self.now + 100.0, lambda: self._see_end(connection))
+        self.record(f"the balancer ends call {number}")
+        # what the service writes before it sees the end still notifies the balancer
+        self.call_at(self.now, lambda: self.offer_drain(f"before the service sees the end of call {number}"))
+        self.call_at(self.now + 100.0, lambda: self._on_end_seen(connection))
 
-    def _see_end(self, connection: Connection) -> None:
+    def _on_end_seen(self, connection: Connection) -> None:
         if connection.ended:
             return
-        connection.left = True
+        connection.end_seen = True
         if connection.cut_off:
             return
         ways = (End.FIN, End.RESET)
-        how = self.choose((End.LAST_CHUNK, *ways) if connection.watched else ways)
-        self.say(f"the service has seen it: call {connection.call.number} {how.value}")
-        connection.end(how)
+        end = self.choose((End.LAST_CHUNK, *ways) if connection.watch_answered else ways)
+        self.record(f"the service has seen it: call {connection.call.number} {end.value}")
+        connection.end(end)
 
-    # what happens to the balancer
+    # changes of the balancer
 
     def move(self) -> None:
-        self.moment("before the balancer is led to another service")
-        self.say("the balancer is led to another service")
-        self.process.lists.move(ELSEWHERE)
+        self.offer_drain("before the balancer is led to another service")
+        self.record("the balancer is led to another service")
+        self.process.lists.move(SECOND_SERVICE)
         self.process.asking.called(self.now, anew=True)
-        self.process.turn()
+        self.process.run_pending()
 
     def restart(self) -> None:
-        self.moment("before the process is killed")
-        self.say("the process is killed, and another begins with the list of before")
+        self.offer_drain("before the process is killed")
+        self.record("the process is killed, and another begins with the list of before")
         self.process.lists.close()
         for connection in self.connections:
             connection.abort()
-        # a process starts from nothing: what was written to the one before counts by the clock alone
-        self.written_told = self.silent_before = inf
+        # writes to the former process do not notify the new one; only `NOTIFIED_AFTER_MS` does
+        self.notified_by_write = self.notified_before_last_write = inf
         self.process = Process(self)
         self.process.asking.begin(self.now, True)
 
@@ -529,22 +540,22 @@
             task.cancel()
 
 
-TAILS = (
+LATER_OUTCOMES = (
     Outcome("is answered, as all from now on", "answered"),
-    Outcome("is turned away at once, as all from now on", "turned away"),
+    Outcome("is turned away at once, as all from now on", "rejected"),
 )
 
 
-def listing(at: tuple[str, int], after: int, drains: bool) -> bytes:
-    """The list of a service, or what has changed after a version; below 0: the whole list."""
-    offset = OFFSET[at]
-    state = b"leaving" if drains else b"active"
-    entries = b'{"uid":"u0","endpoint":"10.1.0.1:70","az":"a","state":"%b"}' % state
-    version = offset + (2 if drains else 1)
+def list_body(at: tuple[str, int], after: int, draining: bool) -> bytes:
+    """JSON update of the list after a version; the full list if `after` is below 0."""
+    offset = VERSION_OFFSET[at]
+    state = b"leaving" if draining else b"active"
+    entry = b'{"uid":"u0","endpoint":"10.1.0.1:70","az":"a","state":"%b"}' % state
+    version = offset + (2 if draining else 1)
     return b'{"rev":%d,"all":%b,"targets":[%b]}' % (
         version,
         b"true" if after < 0 else b"false",
-        entries if after < version else b"",
+        entry if after < version else b"",
     )
 
 
@@ -552,8 +563,8 @@
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
-def cuts(data: bytes) -> tuple[int, ...]:
-    """Places at which an answer may be cut off: before it, in its head, behind that, and in its body."""
+def cut_places(data: bytes) -> tuple[int, ...]:
+    """Byte offsets at which an answer may be cut off: before it, within and after its head, in its body."""
     body = data.index(b"\r\n\r\n") + 4
     size = data.index(b"{")
     return 0, body // 2, body, size, size + (len(data) - size) // 2, len(data.rstrip())
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -1,4 +1,4 @@
-"""The lease on the list: its sentences hold in a small world; planted mistakes are found with a trace."""
+"""Model checking of the list lease: the invariants hold, and planted mistakes are found with a trace."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @pytest.mark.parametrize("begin", BEGINNINGS)
 def test_nothing_is_sent_later_than_the_grace_and_requests_go_again(begin):
-    # one call, as far as CI has time; more by `ospreyline explore lists`
-    found = Explorer(begin, calls=1, apart=begin == "moved").explore(2_000)
-    assert not found.broken, "\n".join((found.broken, *found.trace))
+    # one call and a limited number of paths, to save time in CI; `ospreyline explore lists` explores more
+    found = Explorer(begin, calls=1, one_loss_at_a_time=begin == "moved").explore(2_000)
+    assert not found.violation, "\n".join((found.violation, *found.trace))
 
 
 @pytest.mark.parametrize("begin", BEGINNINGS)
 def test_nothing_is_sent_later_than_the_grace_on_longer_paths_drawn_by_seed(begin):
-    found = Explorer(begin, calls=3, apart=begin == "moved").sample(1_000)
-    assert not found.broken, "\n".join((found.broken, *found.trace))
+    found = Explorer(begin, calls=3, one_loss_at_a_time=begin == "moved").sample(1_000)
+    assert not found.violation, "\n".join((found.violation, *found.trace))
 
 
-def fin_with_nothing_of_an_update_is_a_proof(patch):
+def fin_without_update_data_counts_as_evidence(patch):
     lost = ListCall.connection_lost
 
     def wrong(self, exc):
@@ -36,33 +36,33 @@
     patch.setattr(ListCall, "connection_lost", wrong)
 
 
-def loss_for_a_time(patch, lasts):
+def limit_effect_of_loss(patch, duration_ms):
     take = ListLease.take
 
     def wrong(self, now, message):
-        unseen = isinstance(message, UpdateLost) and message.call not in self._arriving
+        not_arriving = isinstance(message, UpdateLost) and message.call not in self._arriving
         take(self, now, message)
-        if unseen:
-            self._losses.last = now + lasts - self._max_age
+        if not_arriving:
+            self._losses.last = now + duration_ms - self._max_age
 
     patch.setattr(ListLease, "take", wrong)
 
 
-def reset_with_nothing_read_counts_for_1_s(patch):
-    loss_for_a_time(patch, 1_000.0)
+def reset_before_any_data_blocks_for_1_s(patch):
+    limit_effect_of_loss(patch, 1_000.0)
 
 
-def reset_with_nothing_read_counts_for_6_s(patch):
-    loss_for_a_time(patch, 6_000.0)
+def reset_before_any_data_blocks_for_6_s(patch):
+    limit_effect_of_loss(patch, 6_000.0)
 
 
-def a_503_in_a_new_process_says_nothing(patch):
+def new_process_starts_with_a_lease(patch):
     patch.setattr(ListLease, "begin", lambda self, now: None)
 
 
-def a_503_after_a_reset_says_nothing(patch):
-    # what was reset counts for 1 s, and the list is not out of date until the next answer
-    loss_for_a_time(patch, 1_000.0)
+def reset_blocks_for_1_s_and_503_is_ignored(patch):
+    # a reset blocks sends for 1 s only, and the list does not get out of date until the next answer
+    limit_effect_of_loss(patch, 1_000.0)
     take = ListLease.take
 
     def wrong(self, now, message):
@@ -74,11 +74,11 @@
     patch.setattr(ListLease, "take", wrong)
 
 
-def an_answer_asked_for_before_a_loss_settles_it(patch):
+def answer_requested_before_a_loss_settles_it(patch):
     patch.setattr(lease._Losses, "settled_by", lambda self, read: read.full or read.version >= self.version)
 
 
-def an_end_in_form_counts_as_current(patch):
+def regular_end_counts_as_evidence(patch):
     take = ListLease.take
 
     def wrong(self, now, message):
@@ -90,7 +90,7 @@
     patch.setattr(ListLease, "take", wrong)
 
 
-def a_refusal_settles_what_was_lost(patch):
+def refused_connection_settles_losses(patch):
     take = ListLease.take
 
     def wrong(self, now, message):
@@ -105,40 +105,42 @@
     patch.setattr(lease._Losses, "settled_by", lambda self, read: False)
 
 
-def not_refused(outcome):
+def is_not_refused(outcome):
     return outcome.kind != "refused"
 
 
-def two_at_once(outcome):
-    """A call that waits, and another one beside it that loses its answer."""
-    return outcome.held_up or (outcome.after == 100.0 and outcome.cut == 0)
+def is_one_of_two_concurrent(outcome):
+    """One call whose answer is read late, and a concurrent one that loses its answer."""
+    return outcome.stall or (outcome.delay == 100.0 and outcome.cut_place == 0)
 
 
-def anything(outcome):
+def any_outcome(outcome):
     return True
 
 
-# within these bounds the text as it is breaks no sentence: what is found is what was planted
+# within these bounds the unpatched code has no violation, so any that is found was planted
 @pytest.mark.parametrize(
-    ("mistake", "begin", "calls", "of", "sentence"),
+    ("mistake", "begin", "calls", "is_included", "invariant"),
     [
-        (fin_with_nothing_of_an_update_is_a_proof, "broken", 1, anything, "grace"),
-        (reset_with_nothing_read_counts_for_1_s, "broken", 1, anything, "grace"),
-        (reset_with_nothing_read_counts_for_6_s, "broken", 1, anything, "grace"),
-        (a_503_in_a_new_process_says_nothing, "first", 1, not_refused, "grace"),
-        (a_503_after_a_reset_says_nothing, "broken", 1, anything, "grace"),
-        (an_answer_asked_for_before_a_loss_settles_it, "waiting", 2, two_at_once, "grace"),
-        (an_end_in_form_counts_as_current, "first", 1, anything, "grace"),
-        (a_refusal_settles_what_was_lost, "broken", 1, anything, "grace"),
-        (nothing_settles_a_loss, "broken", 1, anything, "liveness"),
+        (fin_without_update_data_counts_as_evidence, "broken", 1, any_outcome, "grace"),
+        (reset_before_any_data_blocks_for_1_s, "broken", 1, any_outcome, "grace"),
+        (reset_before_any_data_blocks_for_6_s, "broken", 1, any_outcome, "grace"),
+        (new_process_starts_with_a_lease, "first", 1, is_not_refused, "grace"),
+        (reset_blocks_for_1_s_and_503_is_ignored, "broken", 1, any_outcome, "grace"),
+        (answer_requested_before_a_loss_settles_it, "waiting", 2, is_one_of_two_concurrent, "grace"),
+        (regular_end_counts_as_evidence, "first", 1, any_outcome, "grace"),
+        (refused_connection_settles_losses, "broken", 1, any_outcome, "grace"),
+        (nothing_settles_a_loss, "broken", 1, any_outcome, "liveness"),
     ],
     ids=lambda value: value.__name__ if callable(value) else "",
 )
-def test_a_planted_mistake_is_found_with_a_trace(mistake, begin, calls, of, sentence, monkeypatch):
-    explorer = Explorer(begin, calls, [outcome for outcome in OUTCOMES if of(outcome)], apart=True)
-    assert not explorer.explore(1_000).broken and not explorer.sample(300).broken
+def test_a_planted_mistake_is_found_with_a_trace(mistake, begin, calls, is_included, invariant, monkeypatch):
+    explorer = Explorer(
+        begin, calls, [outcome for outcome in OUTCOMES if is_included(outcome)], one_loss_at_a_time=True
+    )
+    assert not explorer.explore(1_000).violation and not explorer.sample(300).violation
     mistake(monkeypatch)
     found = explorer.sample(300)
-    if not found.broken:
+    if not found.violation:
         found = explorer.explore(10_000)
-    assert found.broken.startswith(sentence) and 2 <= len(found.trace) < 60, found
+    assert found.violation.startswith(invariant) and 2 <= len(found.trace) < 60, found
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from ospreyline.check.guards import GUARDS, WORK, Explorer
+from ospreyline.check.guards import ACCEPTORS, VISIT, Explorer
 from ospreyline.fleet import guard
 from ospreyline.fleet.frames import Say
 from ospreyline.fleet.guard import Acceptor, Proposer, choose_acceptors
@@ -27,8 +27,8 @@
 def test_the_sentences_hold(bounds, most):
     # the first three are explored completely, the others as far as CI has time: `ospreyline explore guards`
     found = Explorer(**bounds).explore(most)
-    assert not found.broken, "\n".join(found.trace)
-    assert found.whole is (most == 100_000)
+    assert not found.violation, "\n".join(found.trace)
+    assert found.complete is (most == 100_000)
 
 
 def permit_after_takeover(patch):
@@ -87,7 +87,9 @@
 def forgetful_counts_as_knowing(patch):
     accept = Acceptor._accept
     patch.setattr(
-        Acceptor, "_accept", lambda self, now, say, kept: replace(accept(self, now, say, kept), guards=GUARDS)
+        Acceptor,
+        "_accept",
+        lambda self, now, say, kept: replace(accept(self, now, say, kept), guards=ACCEPTORS),
     )
 
 
@@ -102,7 +104,7 @@
     steps = Explorer.steps
 
     def more(self, state):
-        late = [("permit", n) for n in state.refused if not state.asked.get(n)]
+        late = [("permit", n) for n in state.refusers if not state.grants_requested.get(n)]
         return steps(self, state) + late
 
     patch.setattr(Explorer, "steps", more)
@@ -125,7 +127,7 @@
 def test_a_planted_mistake_is_found_with_a_trace(mistake, bounds, monkeypatch):
     mistake(monkeypatch)
     found = Explorer(**bounds).explore(30_000)
-    assert found.broken and 2 < len(found.trace) < 25, found
+    assert found.violation and 2 < len(found.trace) < 25, found
 
 
 def test_guardians_are_the_same_for_all_and_of_as_many_zones_as_there_are():
@@ -142,7 +144,7 @@
 
 
 def message(
-    what: str, work: str = WORK, session: int = 0, body: bytes = b"", round_: int = 0, serial: int = 1
+    what: str, work: str = VISIT, session: int = 0, body: bytes = b"", round_: int = 0, serial: int = 1
 ) -> Say:
     return Say(
         what,
@@ -152,7 +154,7 @@
         "g0",
         "o",
         body,
-        guards=GUARDS if what == "register" else (),
+        guards=ACCEPTORS if what == "register" else (),
         serial=serial,
     )
 
@@ -187,34 +189,34 @@
     session = one.start_session("o")
     assert one.receive(0.0, message("claim", session=session, round_=1)).what == "yes"
     assert one.receive(0.0, message("register", session=session)).what == "no"
-    assert one.receive(0.0, message("permit", session=session)).what == "no" and not one.works[WORK].grants
+    assert one.receive(0.0, message("permit", session=session)).what == "no" and not one.works[VISIT].grants
 
 
 def test_one_that_asks_later_is_told_the_kept_answer():
-    guards = [Acceptor(name, 1e6, 1) for name in GUARDS]
+    guards = [Acceptor(name, 1e6, 1) for name in ACCEPTORS]
     sessions = {g.name: g.start_session("o") for g in guards}
     later = {g.name: g.start_session("s") for g in guards}
 
     def deliver(work):
         out, work.out = work.out, []
         for say in out:
-            work.receive(guards[GUARDS.index(say.to)].receive(0.0, say))
+            work.receive(guards[ACCEPTORS.index(say.to)].receive(0.0, say))
 
-    owner = Proposer(WORK, "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 1))
+    owner = Proposer(VISIT, "o", ACCEPTORS, sessions, b"request", serials=dict.fromkeys(ACCEPTORS, 1))
     for call in (owner.register, owner.request_grant, lambda: owner.record_answer(b"the answer")):
         call()
         deliver(owner)
     assert owner.granted
-    other = Proposer(WORK, "s", GUARDS, later)
+    other = Proposer(VISIT, "s", ACCEPTORS, later)
     other.claim((0, "o"))
     deliver(other)
     assert other.outcome() == "answered" and other.answer == b"the answer"
-    refused = Proposer("w", "o", GUARDS, sessions, b"request", serials=dict.fromkeys(GUARDS, 2))
+    refused = Proposer("w", "o", ACCEPTORS, sessions, b"request", serials=dict.fromkeys(ACCEPTORS, 2))
     for call in (refused.register, refused.refuse):
         call()
         deliver(refused)
     assert refused.refusal_recorded
-    asked = Proposer("w", "s", GUARDS, later)
+    asked = Proposer("w", "s", ACCEPTORS, later)
     asked.claim((0, "o"))
     deliver(asked)
     assert asked.outcome() == "never ran" and asked.closed == (0, "o")
@@ -225,7 +227,7 @@
     asked.request_grant()
     deliver(asked)
     assert asked.granted
-    third = Proposer("w", "t", GUARDS, {g.name: g.start_session("t") for g in guards})
+    third = Proposer("w", "t", ACCEPTORS, {g.name: g.start_session("t") for g in guards})
     third.claim((1, "s"))
     deliver(third)
     assert third.outcome() == "may have run"  # grants recorded after the refusal count
