--- a/ospreyline/capacity/__init__.py
+++ b/ospreyline/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""The numbers to plan with: measured slopes, and the arithmetic that turns a size into a table."""
+"""Capacity planning: measured slopes, and the arithmetic that turns a fleet size into a table of costs."""
--- a/ospreyline/capacity/command.py
+++ b/ospreyline/capacity/command.py
@@ -1,4 +1,4 @@
-"""`ospreyline capacity`: the table for a size, and the budget that breaks first."""
+"""`ospreyline capacity`: the table for a size, and the budget that is exceeded first."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 SECTIONS = ("first", "size", "roles", "parts", "hours", "slopes")
 
 
-def figure(value: float | None) -> str:
-    """Three digits, with commas from a thousand on."""
+def format_figure(value: float | None) -> str:
+    """Three significant digits, with thousands separators."""
     if value is None:
         return NOT_MEASURED
     if value >= 1_000:
@@ -31,35 +31,38 @@
     return f"{value:.3g}"
 
 
-def exact(value: float) -> str:
+def format_exact(value: float) -> str:
     return f"{value:,.12g}"
 
 
-def lasts(size: Size, factor: float) -> str:
-    """How far a budget lasts, in words."""
+def describe_limit(size: Size, factor: float) -> str:
+    """The size up to which a budget is kept, in words."""
     if factor <= 0:
         return "no size"
-    if factor >= 0.99 * model.GREATEST:
+    if factor >= 0.99 * model.MAX_FACTOR:
         return "any size"
-    share = f"{figure(factor)} of the size" if factor < 1 else f"{figure(factor)} times the size"
+    share = (
+        f"{format_figure(factor)} of the size" if factor < 1 else f"{format_figure(factor)} times the size"
+    )
     return (
-        f"{share}: {figure(factor * size.upstreams)} upstreams, {figure(factor * size.routes)} routes, "
-        f"{figure(factor * size.balancers)} balancers"
+        f"{share}: {format_figure(factor * size.upstreams)} upstreams, "
+        f"{format_figure(factor * size.routes)} routes, "
+        f"{format_figure(factor * size.balancers)} balancers"
     )
 
 
-def budget(row: Row) -> str:
-    return "" if row.budget is None else f"{exact(row.budget)} ({row.budget_name})"
+def describe_budget(row: Row) -> str:
+    return "" if row.budget is None else f"{format_exact(row.budget)} ({row.budget_name})"
 
 
-def source(part: Part) -> str:
-    """Where a part's figure comes from."""
+def describe_source(part: Part) -> str:
+    """How the figure of a part was determined."""
     if part.value is None:
         return f"{part.slope}: {NOT_MEASURED}" if part.slope else part.mechanism
     if not part.slope:
         return "counted"
     how = "extrapolated from" if part.extrapolated else "measured to"
-    return f"{part.slope} at {figure(part.size)}, {how} {figure(part.measured_to)}"
+    return f"{part.slope} at {format_figure(part.size)}, {how} {format_figure(part.measured_to)}"
 
 
 def verdict(row: Row) -> str:
@@ -67,45 +70,45 @@
         return NOT_MEASURED
     if row.budget is None:
         return ""
-    return "broken" if row.broken else "kept"
+    return "broken" if row.over_budget else "kept"
 
 
 class Report:
-    """All that is printed of a size."""
+    """All that is printed for a size."""
 
     def __init__(self, size: Size, slopes: dict[str, Slope]) -> None:
         self.size, self.slopes = size, slopes
         self.rows = model.rows(size, slopes)
-        self.breaking = model.breaking(size, slopes)
-        self.first = list(model.first(size, slopes))
+        self.budget_limits = model.budget_limits(size, slopes)
+        self.over_budget = list(model.over_budget_rows(size, slopes))
 
     def lines(self, section: str) -> Iterator[str]:
-        """A section of the page, in Markdown."""
+        """A section of the documentation page, in Markdown: calls `_<section>`."""
         yield from getattr(self, f"_{section}")()
 
     def headline(self) -> str:
-        """The budget that breaks first; those that no size keeps are named before it."""
-        flat = [(row, factor) for row, factor in self.first if row.design == model.FLAT]
+        """The budget that is exceeded first, preceded by those that are exceeded at any size."""
+        flat = [(row, factor) for row, factor in self.over_budget if row.design == model.FLAT]
         if not flat:
             return "No budget breaks at this size."
-        never = [row for row, factor in flat if factor <= 0]
-        said = [
-            f"Kept at no size: {row.role}, {row.quantity}: {figure(row.value)} {row.unit} where "
-            f"{budget(row)} is allowed."
-            for row in never
+        never_kept = [row for row, factor in flat if factor <= 0]
+        sentences = [
+            f"Kept at no size: {row.role}, {row.quantity}: {format_figure(row.value)} {row.unit} where "
+            f"{describe_budget(row)} is allowed."
+            for row in never_kept
         ]
-        for row, factor in flat[len(never) :][:1]:
-            said.append(
-                f"Breaks first: {row.role}, {row.quantity}: {figure(row.value)} {row.unit} where "
-                f"{budget(row)} is allowed, most of it for {row.largest.mechanism}; it lasts to "
-                f"{lasts(self.size, factor)}."
+        for row, factor in flat[len(never_kept) :][:1]:
+            sentences.append(
+                f"Breaks first: {row.role}, {row.quantity}: {format_figure(row.value)} {row.unit} where "
+                f"{describe_budget(row)} is allowed, most of it for {row.largest.mechanism}; it lasts to "
+                f"{describe_limit(self.size, factor)}."
             )
-        return " ".join(said)
+        return " ".join(sentences)
 
     def _first(self) -> Iterator[str]:
         yield self.headline()
         yield ""
-        yield from table(
+        yield from markdown_table(
             (
                 "design",
                 "role or hour",
@@ -119,59 +122,65 @@
                 (
                     row.design,
                     row.role,
-                    f"{row.quantity}: {budget(row)} {row.unit}",
-                    figure(row.value),
-                    figure((row.value or 0) / (row.budget or 1)),
-                    lasts(self.size, factor),
+                    f"{row.quantity}: {describe_budget(row)} {row.unit}",
+                    format_figure(row.value),
+                    format_figure((row.value or 0) / (row.budget or 1)),
+                    describe_limit(self.size, factor),
                     row.largest.mechanism,
                 )
-                for row, factor in self.first
+                for row, factor in self.over_budget
             ),
         )
 
     def _size(self) -> Iterator[str]:
         fields = msgspec.structs.asdict(self.size)
-        yield from table(
+        yield from markdown_table(
             ("key", "value", ""),
             (
-                (f"`{key}`", exact(value), "grows" if key in GROWS else "assumed" if key in ASSUMED else "")
+                (
+                    f"`{key}`",
+                    format_exact(value),
+                    "grows" if key in GROWS else "assumed" if key in ASSUMED else "",
+                )
                 for key, value in fields.items()
             ),
         )
 
     def _roles(self) -> Iterator[str]:
-        yield from self._table(lambda row: row.role not in model.EVENTS)
+        yield from self._rows_table(lambda row: row.role not in model.BAD_HOURS)
 
     def _hours(self) -> Iterator[str]:
-        yield from self._table(lambda row: row.role in model.EVENTS)
+        yield from self._rows_table(lambda row: row.role in model.BAD_HOURS)
         yield ""
         for row in self.rows:
             if row.role == model.CONTROL and row.value is not None and row.unit == "machines":
-                go = model.may_go(self.size, row)
+                go = model.spare_machines(self.size, row)
                 of = f"{self.size.control_machines:.0f}"
                 words = f"{go} of {of} may go" if go >= 0 else f"{of} are too few, none may go"
-                yield f"- {row.design}, {row.quantity}: {figure(row.value)}; {words}."
+                yield f"- {row.design}, {row.quantity}: {format_figure(row.value)}; {words}."
 
-    def _table(self, wanted: Any) -> Iterator[str]:
-        yield from table(
+    def _rows_table(self, is_wanted: Any) -> Iterator[str]:
+        yield from markdown_table(
             ("design", "role or hour", "quantity", "figure", "budget", "", "lasts to"),
             (
                 (
                     row.design,
                     row.role,
                     row.quantity,
-                    f"{figure(row.value)} {row.unit}" if row.value is not None else NOT_MEASURED,
-                    budget(row),
+                    f"{format_figure(row.value)} {row.unit}" if row.value is not None else NOT_MEASURED,
+                    describe_budget(row),
                     verdict(row),
-                    lasts(self.size, self.breaking[row.key]) if row.key in self.breaking else "",
+                    describe_limit(self.size, self.budget_limits[row.key])
+                    if row.key in self.budget_limits
+                    else "",
                 )
                 for row in self.rows
-                if wanted(row)
+                if is_wanted(row)
             ),
         )
 
     def _parts(self) -> Iterator[str]:
-        yield from table(
+        yield from markdown_table(
             ("design", "role or hour", "quantity", "mechanism", "figure", "times the budget", "from"),
             (
                 (
@@ -179,9 +188,9 @@
                     row.role,
                     row.quantity,
                     part.mechanism,
-                    f"{figure(part.value)} {row.unit}" if part.value is not None else NOT_MEASURED,
-                    figure(part.value / row.budget) if part.value is not None and row.budget else "",
-                    source(part),
+                    f"{format_figure(part.value)} {row.unit}" if part.value is not None else NOT_MEASURED,
+                    format_figure(part.value / row.budget) if part.value is not None and row.budget else "",
+                    describe_source(part),
                 )
                 for row in self.rows
                 for part in row.parts
@@ -189,7 +198,7 @@
         )
 
     def _slopes(self) -> Iterator[str]:
-        yield from table(
+        yield from markdown_table(
             ("slope", "what", "unit", "by", "points", "date", "command", "machine", "reference, ms"),
             (
                 (
@@ -197,24 +206,25 @@
                     slope.about,
                     slope.unit,
                     slope.by,
-                    ", ".join(f"{figure(x)}: {figure(y)}" for x, y in slope.points) or NOT_MEASURED,
+                    ", ".join(f"{format_figure(x)}: {format_figure(y)}" for x, y in slope.points)
+                    or NOT_MEASURED,
                     slope.date,
                     f"`{slope.command}`" if slope.command else "",
                     slope.machine,
-                    " / ".join(figure(ms) for ms in slope.reference_ms),
+                    " / ".join(format_figure(ms) for ms in slope.reference_ms),
                 )
                 for name, slope in self.slopes.items()
             ),
         )
 
     def data(self) -> dict[str, Any]:
-        """The same, for programs."""
+        """The same content as JSON-compatible data."""
         return {
             "size": msgspec.structs.asdict(self.size),
             "headline": self.headline(),
             "breaks": [
                 {"design": row.design, "role": row.role, "quantity": row.quantity, "times_the_size": factor}
-                for row, factor in self.first
+                for row, factor in self.over_budget
             ],
             "rows": [
                 {
@@ -225,8 +235,8 @@
                     "value": row.value,
                     "budget": row.budget,
                     "budget_name": row.budget_name or None,
-                    "broken": row.broken if row.value is not None else None,
-                    "lasts_to_times_the_size": self.breaking.get(row.key),
+                    "broken": row.over_budget if row.value is not None else None,
+                    "lasts_to_times_the_size": self.budget_limits.get(row.key),
                     "parts": [
                         {
                             "mechanism": part.mechanism,
@@ -244,7 +254,7 @@
         }
 
     def page(self, text: str) -> str:
-        """A page with the sections between its markers as they come out now."""
+        """A page with the sections between its markers regenerated; `SizeError` without markers."""
         for section in SECTIONS:
             before, begin, rest = text.partition(BEGIN.format(section))
             _, end, after = rest.partition(END.format(section))
@@ -254,21 +264,21 @@
         return text
 
 
-def table(heads: tuple[str, ...], rows: Any) -> Iterator[str]:
-    yield "| " + " | ".join(heads) + " |"
-    yield "| " + " | ".join("---" for _ in heads) + " |"
+def markdown_table(headers: tuple[str, ...], rows: Any) -> Iterator[str]:
+    yield "| " + " | ".join(headers) + " |"
+    yield "| " + " | ".join("---" for _ in headers) + " |"
     for row in rows:
         yield "| " + " | ".join(row) + " |"
 
 
-def plain(lines: Iterator[str]) -> Iterator[str]:
-    """A table in columns, for a terminal."""
-    found = list(lines)
-    cells = [line[2:-2].split(" | ") if line.startswith("|") else None for line in found]
+def align_columns(lines: Iterator[str]) -> Iterator[str]:
+    """Turns Markdown table lines into aligned columns for a terminal."""
+    collected = list(lines)
+    cells = [line[2:-2].split(" | ") if line.startswith("|") else None for line in collected]
     rows = [row for row in cells if row is not None]
     count = max((len(row) for row in rows), default=0)
     widths = [max(len(row[i]) for row in rows if i < len(row)) for i in range(count)]
-    for line, row in zip(found, cells, strict=True):
+    for line, row in zip(collected, cells, strict=True):
         if row is None:
             yield line
         elif set("".join(row)) != {"-"}:
@@ -280,18 +290,18 @@
     "--size",
     "file",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Your own size (TOML); what it leaves out is as planned.",
+    help="Size file (TOML); missing keys have the planned values.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The same for programs.")
-@click.option("--parts", is_flag=True, help="Each mechanism's part, and the slope it is worked out from.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+@click.option("--parts", is_flag=True, help="Also print the cost of each mechanism and its slope.")
 @click.option(
     "--page",
     type=click.Path(dir_okay=False, exists=True, path_type=Path),
     hidden=True,
-    help="Write the tables of this page anew, between its markers.",
+    help="Regenerate the tables between the markers of this page.",
 )
 def command(file: Path | None, as_json: bool, parts: bool, page: Path | None) -> None:
-    """What a size costs each role beside its budget; the budget that breaks first comes first."""
+    """Print the cost of each role beside its budget; the budget that is exceeded first comes first."""
     try:
         report = Report(load(file), load_slopes())
         if page is not None:
@@ -311,5 +321,5 @@
     ):
         if section != "parts" or parts:
             click.echo(f"\n{title}\n" if title else "", nl=bool(title))
-            for line in plain(report.lines(section)):
+            for line in align_columns(report.lines(section)):
                 click.echo(line)
--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -1,8 +1,9 @@
-"""From a size and the slopes to rows: what each role spends, beside its budget, and what gives first.
+"""Capacity model: the cost of each role at a given size, beside its budget; which budget is exceeded first.
 
-Pure. A row is one quantity of one role; its parts say which mechanism costs how much and from which slope
-that is worked out. `flat` is the text as it stands: everybody is told everything. `scoped` is what is being
-built: a balancer holds what it serves; its rows stand on slopes of their own, and say `not measured` without.
+No I/O. A row is one quantity of one role; its parts are the costs of single mechanisms, each computed from a
+slope. `flat` is the current design, in which every balancer receives everything. `scoped` is the design under
+construction, in which a balancer holds only what it serves; its rows use slopes of their own, and are
+`not measured` where these have no points.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 from ospreyline.fleet.publisher import MAX_SUBSCRIBERS
 from ospreyline.net.list_call import MAX_LINE_BYTES
 
-DAY = 86_400.0
-QUIET_LINES = 0.5  # empty lines a second on a watch
-SOCKETS = 1_024  # descriptors of a balancer, by default
-MB = 1e6
+SECONDS_A_DAY = 86_400.0
+EMPTY_LINES_PER_S = 0.5  # on a watch
+DEFAULT_DESCRIPTORS = 1_024  # default limit of a balancer process
+BYTES_PER_MB = 1e6
 FLAT, SCOPED = "flat", "scoped"
 Slopes = dict[str, Slope]
 
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """What one mechanism has in a row. `value` None: not measured."""
+    """The cost of one mechanism in a row. `value` None: not measured."""
 
     mechanism: str
     value: float | None
     slope: str = ""  # name of the slope; empty: counted, not measured
-    size: float = 0.0  # at which it was read
-    measured_to: float = 0.0
+    size: float = 0.0  # at which the slope was evaluated
+    measured_to: float = 0.0  # largest size that was measured
 
     @property
     def extrapolated(self) -> bool:
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One quantity of one role, or of one bad hour."""
+    """One quantity of one role, or of one kind of bad hour."""
 
     design: str
     role: str
@@ -65,7 +66,7 @@
         return max(self.parts, key=lambda part: part.value or 0.0)
 
     @property
-    def broken(self) -> bool:
+    def over_budget(self) -> bool:
         return self.budget is not None and self.value is not None and self.value > self.budget
 
     @property
@@ -75,18 +76,20 @@
 
 @dataclass(slots=True)
 class _Table:
-    """Reads slopes while rows are written."""
+    """Evaluates slopes and collects rows."""
 
     slopes: Slopes
     rows: list[Row] = field(default_factory=list)
 
-    def part(self, mechanism: str, name: str, size: float, times: float = 1.0, above: float = 0.0) -> Part:
-        """A slope at a size, so many times; `above`: of its value, what another part already holds."""
+    def measured(
+        self, mechanism: str, name: str, size: float, factor: float = 1.0, baseline: float = 0.0
+    ) -> Part:
+        """A slope at a size, times `factor`; `baseline`: what another part already includes of its value."""
         slope = self.slopes.get(name)
         value = slope.at(size) if slope is not None else None
         if slope is None or value is None:
             return Part(mechanism, None, name, size)
-        return Part(mechanism, times * max(0.0, value - above), name, size, slope.measured_to)
+        return Part(mechanism, factor * max(0.0, value - baseline), name, size, slope.measured_to)
 
     def value(self, name: str, size: float) -> float | None:
         slope = self.slopes.get(name)
@@ -109,403 +112,468 @@
         self.rows.append(Row(design, role, quantity, unit, parts, budget, name))
 
 
-def _times(a: float | None, b: float | None) -> float | None:
+def _product(a: float | None, b: float | None) -> float | None:
     return None if a is None or b is None else a * b
 
 
 def counted(mechanism: str, value: float | None) -> Part:
+    """A part that is computed from the size alone, without a slope."""
     return Part(mechanism, value)
 
 
 @dataclass(slots=True, frozen=True)
 class _Rates:
-    """A second, on an ordinary day."""
+    """Events per second on an ordinary day."""
 
-    listed: float  # entries of the list that change
-    configured: float
-    failed: float  # balancers
-    restarted: float  # balancers
+    list_changes: float  # entries of the upstream list that change
+    config_changes: float
+    balancer_failures: float
+    balancer_restarts: float
 
 
-def rates(size: Size) -> _Rates:
+def daily_rates(size: Size) -> _Rates:
     """Restarts and failures fall on balancers and upstreams in proportion to their number."""
     machines = size.balancers + size.upstreams
-    ours = size.balancers / machines
-    gone = (size.restarts_a_day * size.entries_a_restart + size.failures_a_day * 2) / DAY
+    balancer_share = size.balancers / machines
+    machine_changes = (size.restarts_a_day * size.entries_a_restart + size.failures_a_day * 2) / SECONDS_A_DAY
     return _Rates(
-        gone * (1 - ours),
-        size.changes_a_day / DAY,
-        size.failures_a_day * ours / DAY,
-        size.restarts_a_day * ours / DAY,
+        machine_changes * (1 - balancer_share),
+        size.changes_a_day / SECONDS_A_DAY,
+        size.failures_a_day * balancer_share / SECONDS_A_DAY,
+        size.restarts_a_day * balancer_share / SECONDS_A_DAY,
     )
 
 
-# flat: the text as it stands
+# flat: the current design
 
 
-def _balancer(t: _Table, s: Size) -> None:
-    role, n, r = "balancer", s.upstreams, rates(s)
-    base_cpu, base_memory = t.least("serve_cpu_pct"), t.least("serve_memory_mb")
-    t.add(
+def _balancer(table: _Table, size: Size) -> None:
+    role, upstreams, rate = "balancer", size.upstreams, daily_rates(size)
+    base_cpu, base_memory = table.least("serve_cpu_pct"), table.least("serve_memory_mb")
+    table.add(
         FLAT,
         role,
         "state: the list in one line",
         "bytes",
-        t.part("discovery", "list_bytes", n),
+        table.measured("discovery", "list_bytes", upstreams),
         budget=MAX_LINE_BYTES,
         name="longest line that is taken",
     )
-    t.add(
-        FLAT, role, "state: path prefixes", "bytes", t.part("the balancer's file", "routes_bytes", s.routes)
+    table.add(
+        FLAT,
+        role,
+        "state: path prefixes",
+        "bytes",
+        table.measured("the balancer's file", "routes_bytes", size.routes),
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "state: members",
         "members",
-        counted("fleet/members", s.balancers),
+        counted("fleet/members", size.balancers),
         budget=MAX_MEMBERS,
         name="members kept",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "messages",
         "a second",
-        counted("watch of the list", QUIET_LINES + min(r.listed, s.lines_per_s)),
-        t.part("links at rest", "members_rest_messages_s", s.balancers),
-        t.part("members lost", "loss_messages", s.balancers, r.failed),
-        t.part("members restarted", "loss_messages", s.balancers, r.restarted / 2),
-        counted("configuration", r.configured),
+        counted("watch of the list", EMPTY_LINES_PER_S + min(rate.list_changes, size.lines_per_s)),
+        table.measured("links at rest", "members_rest_messages_s", size.balancers),
+        table.measured("members lost", "loss_messages", size.balancers, rate.balancer_failures),
+        table.measured("members restarted", "loss_messages", size.balancers, rate.balancer_restarts / 2),
+        counted("configuration", rate.config_changes),
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "bytes",
         "KB/s",
-        t.part("watch of the list", "change_bytes", n, r.listed / 1e3),
-        t.part("links at rest", "members_rest_bytes_s", s.balancers, 1e-3),
-        t.part("members lost", "loss_bytes", s.balancers, r.failed / 1e3),
-        t.part("members restarted", "loss_bytes", s.balancers, r.restarted / 2e3),
-        t.part("configuration, whole with each change", "routes_bytes", s.routes, r.configured / 1e3),
-        budget=s.kb_per_s,
+        table.measured("watch of the list", "change_bytes", upstreams, rate.list_changes / 1e3),
+        table.measured("links at rest", "members_rest_bytes_s", size.balancers, 1e-3),
+        table.measured("members lost", "loss_bytes", size.balancers, rate.balancer_failures / 1e3),
+        table.measured("members restarted", "loss_bytes", size.balancers, rate.balancer_restarts / 2e3),
+        table.measured(
+            "configuration, whole with each change", "routes_bytes", size.routes, rate.config_changes / 1e3
+        ),
+        budget=size.kb_per_s,
         name="control bytes",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "processor time",
         "% of a core",
-        t.part("rankings of the whole list, at rest", "serve_cpu_pct", n),
-        t.part("path prefixes, at rest", "routes_cpu_pct", s.routes, above=t.least("routes_cpu_pct")),
-        t.part("links and members, at rest", "members_cpu_pct", s.balancers, above=base_cpu),
-        t.part("changes of the list", "change_cpu_ms", n, min(r.listed, s.lines_per_s) / 10),
-        t.part("members lost and restarted", "loss_cpu_ms", s.balancers, (r.failed + r.restarted / 2) / 10),
-        t.part("reloads, over the list", "reload_cpu_ms", n, r.configured / 10),
-        t.part("reloads, over path prefixes", "routes_reload_cpu_ms", s.routes, r.configured / 10),
-        budget=s.cpu_pct,
+        table.measured("rankings of the whole list, at rest", "serve_cpu_pct", upstreams),
+        table.measured(
+            "path prefixes, at rest", "routes_cpu_pct", size.routes, baseline=table.least("routes_cpu_pct")
+        ),
+        table.measured("links and members, at rest", "members_cpu_pct", size.balancers, baseline=base_cpu),
+        table.measured(
+            "changes of the list", "change_cpu_ms", upstreams, min(rate.list_changes, size.lines_per_s) / 10
+        ),
+        table.measured(
+            "members lost and restarted",
+            "loss_cpu_ms",
+            size.balancers,
+            (rate.balancer_failures + rate.balancer_restarts / 2) / 10,
+        ),
+        table.measured("reloads, over the list", "reload_cpu_ms", upstreams, rate.config_changes / 10),
+        table.measured(
+            "reloads, over path prefixes", "routes_reload_cpu_ms", size.routes, rate.config_changes / 10
+        ),
+        budget=size.cpu_pct,
         name="control processor time",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "memory",
         "MB",
-        t.part("the process, and the whole list", "serve_memory_mb", n),
-        t.part("path prefixes", "routes_memory_mb", s.routes, above=t.least("routes_memory_mb")),
-        t.part("links and members", "members_memory_mb", s.balancers, above=base_memory),
-        budget=s.memory_mb,
+        table.measured("the process, and the whole list", "serve_memory_mb", upstreams),
+        table.measured(
+            "path prefixes", "routes_memory_mb", size.routes, baseline=table.least("routes_memory_mb")
+        ),
+        table.measured("links and members", "members_memory_mb", size.balancers, baseline=base_memory),
+        budget=size.memory_mb,
         name="control memory",
     )
-    ring = n / s.zones
-    t.add(
+    zone_upstreams = upstreams / size.zones
+    table.add(
         FLAT,
         role,
         "connections",
         "descriptors",
-        t.part("links", "members_links", s.balancers),
+        table.measured("links", "members_links", size.balancers),
         counted("watch of the list", 1),
-        counted("upstreams of its zone that it uses", _used(s) * ring),
-        budget=SOCKETS,
+        counted("upstreams of its zone that it uses", _share_used(size) * zone_upstreams),
+        budget=DEFAULT_DESCRIPTORS,
         name="descriptors, default",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "time added to a request, 99 in 100",
         "ms",
-        t.part("wall time, 171 requests a second", "added_p99_ms", n),
-        budget=s.added_ms,
+        table.measured("wall time, 171 requests a second", "added_p99_ms", upstreams),
+        budget=size.added_ms,
         name="added time",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "a change of configuration in force",
         "s",
-        t.part("the whole file at the allowed bytes", "routes_bytes", s.routes, 1 / (1e3 * s.kb_per_s)),
-        t.part("reload, over the list", "reload_cpu_ms", n, 1e-3),
-        t.part("reload, over path prefixes", "routes_reload_cpu_ms", s.routes, 1e-3),
-        budget=s.in_force_s,
+        table.measured(
+            "the whole file at the allowed bytes", "routes_bytes", size.routes, 1 / (1e3 * size.kb_per_s)
+        ),
+        table.measured("reload, over the list", "reload_cpu_ms", upstreams, 1e-3),
+        table.measured("reload, over path prefixes", "routes_reload_cpu_ms", size.routes, 1e-3),
+        budget=size.in_force_s,
         name="in force everywhere",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "whole list at a start, at the allowed bytes",
         "s",
-        t.part("discovery", "list_bytes", n, 1 / (1e3 * s.kb_per_s)),
+        table.measured("discovery", "list_bytes", upstreams, 1 / (1e3 * size.kb_per_s)),
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "processor time of a start",
         "s of a core",
-        t.part("the process, and the whole list", "start_cpu_s", n),
-        t.part("path prefixes", "routes_start_cpu_s", s.routes, above=t.least("routes_start_cpu_s")),
+        table.measured("the process, and the whole list", "start_cpu_s", upstreams),
+        table.measured(
+            "path prefixes", "routes_start_cpu_s", size.routes, baseline=table.least("routes_start_cpu_s")
+        ),
+    )
+    table.add(
+        FLAT,
+        role,
+        "log of a start",
+        "bytes",
+        table.measured("a line for each upstream", "start_log_bytes", upstreams),
     )
-    t.add(FLAT, role, "log of a start", "bytes", t.part("a line for each upstream", "start_log_bytes", n))
 
 
-def _used(s: Size) -> float:
-    """The share of a zone's upstreams that a balancer there sends to: `decide`'s own figures."""
-    ring = s.upstreams / s.zones
+def _share_used(size: Size) -> float:
+    """The share of its zone's upstreams that a balancer sends to, from the constants of `decide`."""
+    zone_upstreams = size.upstreams / size.zones
     return min(
-        1.0, max(MIN_UPSTREAMS_IN_USE, MIN_BALANCERS_PER_UPSTREAM * s.zones / s.balancers * ring) / ring
+        1.0,
+        max(MIN_UPSTREAMS_IN_USE, MIN_BALANCERS_PER_UPSTREAM * size.zones / size.balancers * zone_upstreams)
+        / zone_upstreams,
     )
 
 
-def _passes(t: _Table, s: Size) -> None:
-    role, r = "passes lists on", rates(s)
-    listeners = s.balancers * RELAYS_USED / s.control_machines
-    words = listeners * (1e3 / HEARTBEAT_MS + min(r.listed, s.lines_per_s))
-    t.add(
+def _list_relay(table: _Table, size: Size) -> None:
+    role, rate = "passes lists on", daily_rates(size)
+    subscribers = size.balancers * RELAYS_USED / size.control_machines
+    messages = subscribers * (1e3 / HEARTBEAT_MS + min(rate.list_changes, size.lines_per_s))
+    table.add(
         FLAT,
         role,
         "state: the list in one frame",
         "bytes",
-        t.part("fleet/lists", "list_bytes", s.upstreams),
+        table.measured("fleet/lists", "list_bytes", size.upstreams),
         budget=MAX_MESSAGE_BYTES,
         name="longest frame that is read",
     )
-    t.add(FLAT, role, "messages", "a second", counted("fleet/lists, beats and changes", words))
-    bytes_each = t.value("change_bytes", s.upstreams)
-    t.add(
+    table.add(FLAT, role, "messages", "a second", counted("fleet/lists, beats and changes", messages))
+    bytes_each = table.value("change_bytes", size.upstreams)
+    table.add(
         FLAT,
         role,
         "bytes",
         "KB/s",
-        counted("fleet/lists, changes", _times(bytes_each, listeners * r.listed / 1e3)),
-        counted("fleet/lists, beats", listeners * 1e3 / HEARTBEAT_MS * 40 / 1e3),
-        t.part(
+        counted("fleet/lists, changes", _product(bytes_each, subscribers * rate.list_changes / 1e3)),
+        counted("fleet/lists, beats", subscribers * 1e3 / HEARTBEAT_MS * 40 / 1e3),
+        table.measured(
             "fleet/lists, whole for the restarted",
             "list_bytes",
-            s.upstreams,
-            r.restarted / s.control_machines / 1e3,
+            size.upstreams,
+            rate.balancer_restarts / size.control_machines / 1e3,
         ),
-        budget=1e3 * s.machine_mb_per_s,
+        budget=1e3 * size.machine_mb_per_s,
         name="network of a machine, assumed",
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "processor time",
         "% of a core",
-        t.part("fleet/lists, encoding", "pass_on_cpu_us", listeners, words / 1e4),
+        table.measured("fleet/lists, encoding", "pass_on_cpu_us", subscribers, messages / 1e4),
         budget=100,
         name="one process",
     )
-    t.add(FLAT, role, "memory", "MB", t.part("a balancer's", "serve_memory_mb", s.upstreams))
-    t.add(
+    table.add(FLAT, role, "memory", "MB", table.measured("a balancer's", "serve_memory_mb", size.upstreams))
+    table.add(
         FLAT,
         role,
         "connections",
         "links",
-        counted("fleet/links", listeners),
+        counted("fleet/links", subscribers),
         budget=MAX_LINKS,
         name="links kept",
     )
 
 
-def _service(t: _Table, s: Size) -> None:
-    role, r = "list service", rates(s)
-    t.add(FLAT, role, "state: the list", "bytes", t.part("not ours", "list_bytes", s.upstreams))
-    t.add(
+def _list_service(table: _Table, size: Size) -> None:
+    role, rate = "list service", daily_rates(size)
+    table.add(
+        FLAT, role, "state: the list", "bytes", table.measured("not ours", "list_bytes", size.upstreams)
+    )
+    table.add(
         FLAT,
         role,
         "messages",
         "a second",
-        counted("lines on watches", s.balancers * (QUIET_LINES + min(r.listed, s.lines_per_s))),
+        counted(
+            "lines on watches",
+            size.balancers * (EMPTY_LINES_PER_S + min(rate.list_changes, size.lines_per_s)),
+        ),
     )
-    t.add(
+    table.add(
         FLAT,
         role,
         "bytes",
         "KB/s",
         counted(
-            "changes on watches", _times(t.value("change_bytes", s.upstreams), s.balancers * r.listed / 1e3)
+            "changes on watches",
+            _product(table.value("change_bytes", size.upstreams), size.balancers * rate.list_changes / 1e3),
+        ),
+        table.measured(
+            "whole lists for the restarted", "list_bytes", size.upstreams, rate.balancer_restarts / 1e3
         ),
-        t.part("whole lists for the restarted", "list_bytes", s.upstreams, r.restarted / 1e3),
-        budget=1e3 * s.machine_mb_per_s,
+        budget=1e3 * size.machine_mb_per_s,
         name="network of a machine, assumed",
     )
-    t.add(FLAT, role, "processor time", "% of a core", Part("not ours", None))
-    t.add(FLAT, role, "memory", "MB", Part("not ours", None))
-    t.add(FLAT, role, "connections", "watches", counted("one of each balancer", s.balancers))
-    t.add(
+    table.add(FLAT, role, "processor time", "% of a core", Part("not ours", None))
+    table.add(FLAT, role, "memory", "MB", Part("not ours", None))
+    table.add(FLAT, role, "connections", "watches", counted("one of each balancer", size.balancers))
+    table.add(
         FLAT,
         role,
         "first calls, all at once, paced",
         "a second",
-        t.part("fleet/pace", "calls_paced_most_s", s.balancers),
-        budget=s.calls_per_s,
+        table.measured("fleet/pace", "calls_paced_most_s", size.balancers),
+        budget=size.calls_per_s,
         name="calls, assumed",
     )
 
 
-def _source(t: _Table, s: Size) -> None:
-    role, r = "source of configuration", rates(s)
-    copies = s.balancers * r.configured
-    t.add(FLAT, role, "state", "bytes", t.part("files of balancers", "routes_bytes", s.routes))
-    t.add(FLAT, role, "messages", "a second", counted("the operators' own tool, SIGHUP", copies))
-    t.add(
+def _config_source(table: _Table, size: Size) -> None:
+    role, rate = "source of configuration", daily_rates(size)
+    copies = size.balancers * rate.config_changes
+    table.add(FLAT, role, "state", "bytes", table.measured("files of balancers", "routes_bytes", size.routes))
+    table.add(FLAT, role, "messages", "a second", counted("the operators' own tool, SIGHUP", copies))
+    table.add(
         FLAT,
         role,
         "bytes",
         "KB/s",
-        t.part("whole files, by the operators' own tool", "routes_bytes", s.routes, copies / 1e3),
-        budget=1e3 * s.machine_mb_per_s * s.control_machines,
+        table.measured("whole files, by the operators' own tool", "routes_bytes", size.routes, copies / 1e3),
+        budget=1e3 * size.machine_mb_per_s * size.control_machines,
         name="network of the 20, assumed",
     )
-    t.add(FLAT, role, "processor time", "% of a core", Part("not ours", None))
-    t.add(FLAT, role, "memory", "MB", Part("not ours", None))
-    t.add(FLAT, role, "connections", "copies", counted("one of each balancer", s.balancers))
+    table.add(FLAT, role, "processor time", "% of a core", Part("not ours", None))
+    table.add(FLAT, role, "memory", "MB", Part("not ours", None))
+    table.add(FLAT, role, "connections", "copies", counted("one of each balancer", size.balancers))
 
 
-def _ends(t: _Table, s: Size) -> None:
-    """Upstreams and clients: counted, no mechanism of ours."""
-    each = s.balancers / s.zones * _used(s)
-    t.add(FLAT, "upstream", "state", "bytes", counted("none", 0))
-    t.add(FLAT, "upstream", "messages", "a second", counted("requests", s.requests_per_s / s.upstreams))
-    t.add(FLAT, "upstream", "bytes", "KB/s", Part("not measured", None))
-    t.add(FLAT, "upstream", "processor time", "% of a core", Part("not ours", None))
-    t.add(FLAT, "upstream", "memory", "MB", Part("not ours", None))
-    t.add(FLAT, "upstream", "connections", "balancers", counted("balancers of its zone that use it", each))
-    t.add(FLAT, "client side", "state", "bytes", counted("addresses of all balancers", 22 * s.balancers))
-    t.add(
+def _upstreams_and_clients(table: _Table, size: Size) -> None:
+    """Upstreams and clients: counted only, as they run no mechanism of the balancer."""
+    balancers_each = size.balancers / size.zones * _share_used(size)
+    table.add(FLAT, "upstream", "state", "bytes", counted("none", 0))
+    table.add(
+        FLAT, "upstream", "messages", "a second", counted("requests", size.requests_per_s / size.upstreams)
+    )
+    table.add(FLAT, "upstream", "bytes", "KB/s", Part("not measured", None))
+    table.add(FLAT, "upstream", "processor time", "% of a core", Part("not ours", None))
+    table.add(FLAT, "upstream", "memory", "MB", Part("not ours", None))
+    table.add(
+        FLAT,
+        "upstream",
+        "connections",
+        "balancers",
+        counted("balancers of its zone that use it", balancers_each),
+    )
+    table.add(
+        FLAT, "client side", "state", "bytes", counted("addresses of all balancers", 22 * size.balancers)
+    )
+    table.add(
         FLAT,
         "client side",
         "messages",
         "a second",
-        counted("requests to one balancer", s.requests_per_s / s.balancers),
+        counted("requests to one balancer", size.requests_per_s / size.balancers),
     )
-    t.add(FLAT, "client side", "bytes", "KB/s", Part("not measured", None))
-    t.add(FLAT, "client side", "processor time", "% of a core", Part("not ours", None))
-    t.add(FLAT, "client side", "memory", "MB", Part("not ours", None))
-    t.add(FLAT, "client side", "connections", "balancers", counted("any: all serve all", s.balancers))
+    table.add(FLAT, "client side", "bytes", "KB/s", Part("not measured", None))
+    table.add(FLAT, "client side", "processor time", "% of a core", Part("not ours", None))
+    table.add(FLAT, "client side", "memory", "MB", Part("not ours", None))
+    table.add(FLAT, "client side", "connections", "balancers", counted("any: all serve all", size.balancers))
 
 
-# scoped: what is being built; its slopes are measured when it stands
+# scoped: the design under construction; its slopes are measured once it exists
 
 
-def held(s: Size) -> float:
-    """Services that one balancer serves."""
-    return s.services * min(1.0, s.balancers_a_service / s.balancers)
+def services_per_balancer(size: Size) -> float:
+    """Number of services that one balancer serves."""
+    return size.services * min(1.0, size.balancers_a_service / size.balancers)
 
 
-def _scoped(t: _Table, s: Size) -> None:
-    """What a balancer ranks is measured on today's text, at as many upstreams as it serves. The bank's own
-    links and members are off: nobody has to know all balancers."""
-    r, h = rates(s), held(s)
-    served = h * s.upstreams / s.services
+def _scoped_roles(table: _Table, size: Size) -> None:
+    """The cost of ranking is measured on the current code, at as many upstreams as the balancer serves. Links
+    and membership of the bank are switched off, as nobody has to know all balancers."""
+    rate, services_held = daily_rates(size), services_per_balancer(size)
+    served = services_held * size.upstreams / size.services
     role = "balancer"
-    t.add(SCOPED, role, "state", "bytes", t.part("fleet/scopes", "scoped_state_bytes", h))
-    t.add(SCOPED, role, "messages", "a second", t.part("fleet/subscriber", "scoped_messages_s", h))
-    t.add(
+    table.add(
+        SCOPED, role, "state", "bytes", table.measured("fleet/scopes", "scoped_state_bytes", services_held)
+    )
+    table.add(
+        SCOPED,
+        role,
+        "messages",
+        "a second",
+        table.measured("fleet/subscriber", "scoped_messages_s", services_held),
+    )
+    table.add(
         SCOPED,
         role,
         "bytes",
         "KB/s",
-        t.part("fleet/subscriber", "scoped_bytes_s", h, 1e-3),
-        budget=s.kb_per_s,
+        table.measured("fleet/subscriber", "scoped_bytes_s", services_held, 1e-3),
+        budget=size.kb_per_s,
         name="control bytes",
     )
-    t.add(
+    table.add(
         SCOPED,
         role,
         "processor time",
         "% of a core",
-        t.part("rankings of what it serves, at rest", "serve_cpu_pct", served),
-        t.part("fleet/subscriber", "scoped_cpu_pct", h),
-        t.part("changes of what it serves", "change_cpu_ms", served, r.listed * h / s.services / 10),
-        budget=s.cpu_pct,
+        table.measured("rankings of what it serves, at rest", "serve_cpu_pct", served),
+        table.measured("fleet/subscriber", "scoped_cpu_pct", services_held),
+        table.measured(
+            "changes of what it serves",
+            "change_cpu_ms",
+            served,
+            rate.list_changes * services_held / size.services / 10,
+        ),
+        budget=size.cpu_pct,
         name="control processor time",
     )
-    t.add(
+    table.add(
         SCOPED,
         role,
         "memory",
         "MB",
-        t.part("the process, and what it serves", "serve_memory_mb", served),
-        t.part("fleet/scopes", "scoped_state_bytes", h, 1 / MB),
-        budget=s.memory_mb,
+        table.measured("the process, and what it serves", "serve_memory_mb", served),
+        table.measured("fleet/scopes", "scoped_state_bytes", services_held, 1 / BYTES_PER_MB),
+        budget=size.memory_mb,
         name="control memory",
     )
-    t.add(SCOPED, role, "connections", "links", counted("machines that pass on", 1))
-    t.add(
+    table.add(SCOPED, role, "connections", "links", counted("machines that pass on", 1))
+    table.add(
         SCOPED,
         role,
         "time added to a request, 99 in 100",
         "ms",
-        t.part("wall time, 171 requests a second", "added_p99_ms", served),
-        budget=s.added_ms,
+        table.measured("wall time, 171 requests a second", "added_p99_ms", served),
+        budget=size.added_ms,
         name="added time",
     )
-    t.add(
+    table.add(
         SCOPED,
         role,
         "a change of configuration in force",
         "s",
-        t.part("source, fan-out, subscriber", "scoped_in_force_s", s.balancers),
-        budget=s.in_force_s,
+        table.measured("source, fan-out, subscriber", "scoped_in_force_s", size.balancers),
+        budget=size.in_force_s,
         name="in force everywhere",
     )
-    role, each = "passes scopes on", s.balancers / s.control_machines
-    t.add(SCOPED, role, "messages", "a second", t.part("fleet/publisher", "fan_messages_s", each))
-    t.add(
+    role, per_machine = "passes scopes on", size.balancers / size.control_machines
+    table.add(
+        SCOPED, role, "messages", "a second", table.measured("fleet/publisher", "fan_messages_s", per_machine)
+    )
+    table.add(
         SCOPED,
         role,
         "bytes",
         "KB/s",
-        t.part("fleet/publisher", "fan_bytes_s", each, 1e-3),
-        budget=1e3 * s.machine_mb_per_s,
+        table.measured("fleet/publisher", "fan_bytes_s", per_machine, 1e-3),
+        budget=1e3 * size.machine_mb_per_s,
         name="network of a machine, assumed",
     )
-    t.add(
+    table.add(
         SCOPED,
         role,
         "processor time",
         "% of a core",
-        t.part("fleet/publisher", "fan_cpu_pct", each),
+        table.measured("fleet/publisher", "fan_cpu_pct", per_machine),
         budget=100,
         name="one process",
     )
-    t.add(SCOPED, role, "memory", "MB", t.part("all services", "fan_memory_mb", s.upstreams))
-    t.add(
+    table.add(SCOPED, role, "memory", "MB", table.measured("all services", "fan_memory_mb", size.upstreams))
+    table.add(
         SCOPED,
         role,
         "connections",
         "links",
-        counted("subscribers", each),
+        counted("subscribers", per_machine),
         budget=MAX_SUBSCRIBERS,
         name="subscribers of one",
     )
-    t.add(
+    table.add(
         SCOPED,
         "client side",
         "state",
         "bytes",
-        counted("which balancers serve which service", 4 * s.services * s.balancers_a_service),
+        counted("which balancers serve which service", 4 * size.services * size.balancers_a_service),
     )
 
 
@@ -522,11 +590,11 @@
 )
 
 
-def _batch(t: _Table, s: Size, event: str, entries: float, lost: float, joined: float) -> None:
-    """So many entries of the list and members change at one moment; what each balancer is told."""
-    n = s.upstreams
-    change = t.value("change_bytes", n)
-    t.add(
+def _mass_change(table: _Table, size: Size, event: str, entries: float, lost: float, joined: float) -> None:
+    """`entries` of the list and `lost` and `joined` members change at once; what each balancer receives."""
+    upstreams = size.upstreams
+    change = table.value("change_bytes", upstreams)
+    table.add(
         FLAT,
         event,
         "entries and members that change",
@@ -534,210 +602,256 @@
         counted("list", entries),
         counted("members", lost + joined),
     )
-    t.add(
+    table.add(
         FLAT,
         event,
         "told to each balancer, at the allowed bytes",
         "s",
-        counted("list", _times(change, entries / (1e3 * s.kb_per_s))),
-        t.part("members", "loss_bytes", s.balancers, (lost + joined / 2) / (1e3 * s.kb_per_s)),
-        budget=s.in_force_s,
+        counted("list", _product(change, entries / (1e3 * size.kb_per_s))),
+        table.measured("members", "loss_bytes", size.balancers, (lost + joined / 2) / (1e3 * size.kb_per_s)),
+        budget=size.in_force_s,
         name="in force everywhere, also in a bad hour",
     )
-    t.add(
+    table.add(
         FLAT,
         event,
         "processor time of each balancer",
         "s of a core",
-        t.part("list, one line and a ranking", "change_cpu_ms", n, 1e-3),
-        t.part("list, its entries", "told_whole_ms", n, entries / n / 1e3),
-        t.part("members", "loss_cpu_ms", s.balancers, (lost + joined / 2) / 1e3),
+        table.measured("list, one line and a ranking", "change_cpu_ms", upstreams, 1e-3),
+        table.measured("list, its entries", "told_whole_ms", upstreams, entries / upstreams / 1e3),
+        table.measured("members", "loss_cpu_ms", size.balancers, (lost + joined / 2) / 1e3),
     )
 
 
-def _hours(t: _Table, s: Size) -> None:
-    r, n = rates(s), s.upstreams
-    ours = s.balancers / (s.balancers + n)
-    for event, times in ((SPREAD, 1.0), (WAVES, DAY / (s.waves_a_day * s.wave_minutes * 60))):
-        t.add(FLAT, event, "entries of the list that change", "a second", counted("list", r.listed * times))
-        t.add(
+def _bad_hours(table: _Table, size: Size) -> None:
+    rate, upstreams = daily_rates(size), size.upstreams
+    balancer_share = size.balancers / (size.balancers + upstreams)
+    for event, factor in (
+        (SPREAD, 1.0),
+        (WAVES, SECONDS_A_DAY / (size.waves_a_day * size.wave_minutes * 60)),
+    ):
+        table.add(
+            FLAT,
+            event,
+            "entries of the list that change",
+            "a second",
+            counted("list", rate.list_changes * factor),
+        )
+        table.add(
             FLAT,
             event,
             "bytes to each balancer",
             "KB/s",
-            t.part("list", "change_bytes", n, r.listed * times / 1e3),
-            t.part("members", "loss_bytes", s.balancers, (r.failed + r.restarted / 2) * times / 1e3),
-            budget=s.kb_per_s,
+            table.measured("list", "change_bytes", upstreams, rate.list_changes * factor / 1e3),
+            table.measured(
+                "members",
+                "loss_bytes",
+                size.balancers,
+                (rate.balancer_failures + rate.balancer_restarts / 2) * factor / 1e3,
+            ),
+            budget=size.kb_per_s,
             name="control bytes",
         )
-        t.add(
+        table.add(
             FLAT,
             event,
             "processor time of each balancer, on top of rest",
             "% of a core",
-            t.part("list", "change_cpu_ms", n, min(r.listed * times, s.lines_per_s) / 10),
-            t.part("members", "loss_cpu_ms", s.balancers, (r.failed + r.restarted / 2) * times / 10),
-            budget=s.cpu_pct,
+            table.measured(
+                "list", "change_cpu_ms", upstreams, min(rate.list_changes * factor, size.lines_per_s) / 10
+            ),
+            table.measured(
+                "members",
+                "loss_cpu_ms",
+                size.balancers,
+                (rate.balancer_failures + rate.balancer_restarts / 2) * factor / 10,
+            ),
+            budget=size.cpu_pct,
             name="control processor time",
         )
-    rack = min(s.rack_machines, n)
-    _batch(t, s, RACK, rack * (1 - ours) * 2, rack * ours, 0)
-    _batch(t, s, ZONE, n / s.zones * 2, s.balancers / s.zones, 0)
-    cut = s.balancers / s.regions
-    _batch(
-        t, s, REGION, s.restarts_a_day / 24 * s.entries_a_restart * (1 - ours), 0, cut + r.restarted * 3_600
-    )
-    t.add(
+    rack = min(size.rack_machines, upstreams)
+    _mass_change(table, size, RACK, rack * (1 - balancer_share) * 2, rack * balancer_share, 0)
+    _mass_change(table, size, ZONE, upstreams / size.zones * 2, size.balancers / size.zones, 0)
+    cut_balancers = size.balancers / size.regions
+    _mass_change(
+        table,
+        size,
+        REGION,
+        size.restarts_a_day / 24 * size.entries_a_restart * (1 - balancer_share),
+        0,
+        cut_balancers + rate.balancer_restarts * 3_600,
+    )
+    table.add(
         FLAT,
         ALL,
         "list and members to each balancer, at the allowed bytes",
         "s",
-        t.part("whole list", "list_bytes", n, 1 / (1e3 * s.kb_per_s)),
-        t.part("members, on each new link", "members_start_bytes", s.balancers, 1 / (1e3 * s.kb_per_s)),
+        table.measured("whole list", "list_bytes", upstreams, 1 / (1e3 * size.kb_per_s)),
+        table.measured(
+            "members, on each new link", "members_start_bytes", size.balancers, 1 / (1e3 * size.kb_per_s)
+        ),
     )
-    t.add(
+    table.add(
         FLAT,
         ALL,
         "bytes of the list service",
         "GB",
-        t.part("whole lists", "list_bytes", n, s.balancers / 1e9),
+        table.measured("whole lists", "list_bytes", upstreams, size.balancers / 1e9),
     )
-    t.add(
+    table.add(
         FLAT,
         ALL,
         "calls at the list service, each alone",
         "a second",
-        t.part("decide", "calls_alone_most_s", s.balancers),
-        budget=s.calls_per_s,
+        table.measured("decide", "calls_alone_most_s", size.balancers),
+        budget=size.calls_per_s,
         name="calls, assumed",
     )
-    t.add(
+    table.add(
         FLAT,
         ALL,
         "calls at the list service, paced",
         "a second",
-        t.part("fleet/pace", "calls_paced_most_s", s.balancers),
-        budget=s.calls_per_s,
+        table.measured("fleet/pace", "calls_paced_most_s", size.balancers),
+        budget=size.calls_per_s,
         name="calls, assumed",
     )
-    t.add(
+    table.add(
         FLAT,
         ALL,
         "until the last has called, paced",
         "s",
-        counted("fleet/pace: balancers / (0.8 x calls)", s.balancers / (0.8 * s.calls_per_s)),
+        counted("fleet/pace: balancers / (0.8 x calls)", size.balancers / (0.8 * size.calls_per_s)),
+    )
+    relay_messages = (
+        size.balancers * RELAYS_USED * (1e3 / HEARTBEAT_MS + min(rate.list_changes, size.lines_per_s))
     )
-    r_words = s.balancers * RELAYS_USED * (1e3 / HEARTBEAT_MS + min(r.listed, s.lines_per_s))
-    t.add(
+    table.add(
         FLAT,
         CONTROL,
         "machines that are needed, by links",
         "machines",
-        counted("fleet/links", s.balancers * RELAYS_USED / MAX_LINKS),
-        budget=s.control_machines,
+        counted("fleet/links", size.balancers * RELAYS_USED / MAX_LINKS),
+        budget=size.control_machines,
         name="machines set aside",
     )
-    t.add(
+    table.add(
         FLAT,
         CONTROL,
         "machines that are needed, by processor time",
         "machines",
-        t.part(
-            "fleet/lists", "pass_on_cpu_us", s.balancers * RELAYS_USED / s.control_machines, r_words / 1e6
+        table.measured(
+            "fleet/lists",
+            "pass_on_cpu_us",
+            size.balancers * RELAYS_USED / size.control_machines,
+            relay_messages / 1e6,
         ),
-        budget=s.control_machines,
+        budget=size.control_machines,
         name="machines set aside",
     )
-    t.add(
+    table.add(
         SCOPED,
         ALL,
         "what a return costs each balancer, at the allowed bytes",
         "s",
-        t.part("fleet/subscriber", "scoped_return_bytes", held(s), 1 / (1e3 * s.kb_per_s)),
+        table.measured(
+            "fleet/subscriber", "scoped_return_bytes", services_per_balancer(size), 1 / (1e3 * size.kb_per_s)
+        ),
     )
-    t.add(
+    table.add(
         SCOPED,
         ALL,
         "calls at the source",
         "a second",
-        t.part("fan-out machines", "source_calls_most_s", s.control_machines),
-        budget=s.calls_per_s,
+        table.measured("fan-out machines", "source_calls_most_s", size.control_machines),
+        budget=size.calls_per_s,
         name="calls, assumed",
     )
-    t.add(
+    table.add(
         SCOPED,
         CONTROL,
         "longest deafness of a balancer",
         "s",
-        t.part("subscriber moves on", "scoped_deaf_s", s.balancers),
-        budget=s.in_force_s,
+        table.measured("subscriber moves on", "scoped_deaf_s", size.balancers),
+        budget=size.in_force_s,
         name="in force everywhere",
     )
-    t.add(
+    table.add(
         SCOPED,
         CONTROL,
         "machines that are needed, by links",
         "machines",
-        counted("fleet/publisher", s.balancers / MAX_SUBSCRIBERS),
-        budget=s.control_machines,
+        counted("fleet/publisher", size.balancers / MAX_SUBSCRIBERS),
+        budget=size.control_machines,
         name="machines set aside",
     )
-    each = s.balancers / s.control_machines
-    t.add(
+    per_machine = size.balancers / size.control_machines
+    table.add(
         SCOPED,
         CONTROL,
         "machines that are needed, by processor time",
         "machines",
-        t.part("fleet/publisher, spread over fewer", "fan_cpu_pct", each, s.control_machines / 100),
-        budget=s.control_machines,
+        table.measured(
+            "fleet/publisher, spread over fewer", "fan_cpu_pct", per_machine, size.control_machines / 100
+        ),
+        budget=size.control_machines,
         name="machines set aside",
     )
 
 
-ROLES: tuple[Callable[[_Table, Size], None], ...] = (_balancer, _passes, _service, _source, _ends, _scoped)
-EVENTS = (SPREAD, WAVES, RACK, ZONE, REGION, ALL, CONTROL)
+ROLES: tuple[Callable[[_Table, Size], None], ...] = (
+    _balancer,
+    _list_relay,
+    _list_service,
+    _config_source,
+    _upstreams_and_clients,
+    _scoped_roles,
+)
+BAD_HOURS = (SPREAD, WAVES, RACK, ZONE, REGION, ALL, CONTROL)
 
 
 def rows(size: Size, slopes: Slopes) -> list[Row]:
     """All rows: the roles on an ordinary day, then the bad hours."""
     table = _Table(slopes)
-    for write in (*ROLES, _hours):
+    for write in (*ROLES, _bad_hours):
         write(table, size)
     return table.rows
 
 
-# what gives first
+# which budget is exceeded first
 
-LEAST, GREATEST = 1e-4, 1e4
+MIN_FACTOR, MAX_FACTOR = 1e-4, 1e4
 
 
-def breaking(size: Size, slopes: Slopes) -> dict[tuple[str, str, str], float]:
-    """For each row with a budget: how many times the size it lasts to, everything grown alike; 0: never."""
+def budget_limits(size: Size, slopes: Slopes) -> dict[tuple[str, str, str], float]:
+    """By row with a budget: up to which factor of the size it is kept, all scaled alike; 0: at no size."""
     out: dict[tuple[str, str, str], float] = {}
     for row in rows(size, slopes):
         if row.budget is None or row.value is None:
             continue
-        low, high = LEAST, GREATEST
+        low, high = MIN_FACTOR, MAX_FACTOR
         for _ in range(30):
             middle = (low * high) ** 0.5
-            low, high = (low, middle) if _over(row.key, size.scaled(middle), slopes) else (middle, high)
-        out[row.key] = 0.0 if high < 1.01 * LEAST else (low * high) ** 0.5
+            low, high = (
+                (low, middle) if _is_over_budget(row.key, size.scaled(middle), slopes) else (middle, high)
+            )
+        out[row.key] = 0.0 if high < 1.01 * MIN_FACTOR else (low * high) ** 0.5
     return out
 
 
-def _over(key: tuple[str, str, str], size: Size, slopes: Slopes) -> bool:
-    return any(row.key == key and row.broken for row in rows(size, slopes))
+def _is_over_budget(key: tuple[str, str, str], size: Size, slopes: Slopes) -> bool:
+    return any(row.key == key and row.over_budget for row in rows(size, slopes))
 
 
-def first(size: Size, slopes: Slopes) -> Iterator[tuple[Row, float]]:
-    """Rows whose budget is broken at this size, the one that breaks at the smallest size first."""
-    found = breaking(size, slopes)
-    broken = [row for row in rows(size, slopes) if row.broken]
-    yield from sorted(((row, found[row.key]) for row in broken), key=lambda pair: pair[1])
+def over_budget_rows(size: Size, slopes: Slopes) -> Iterator[tuple[Row, float]]:
+    """Rows over budget at this size with their limits; the one exceeded at the smallest size first."""
+    found = budget_limits(size, slopes)
+    over_budget = [row for row in rows(size, slopes) if row.over_budget]
+    yield from sorted(((row, found[row.key]) for row in over_budget), key=lambda pair: pair[1])
 
 
-def may_go(size: Size, row: Row) -> int:
-    """How many of the control machines may go, by a row that says how many are needed."""
+def spare_machines(size: Size, row: Row) -> int:
+    """How many control machines can be spared, by a row that says how many are needed; -1: too few."""
     assert row.value is not None
     needed = int(row.value) + (row.value > int(row.value))
     return max(-1, int(size.control_machines) - needed)
--- a/ospreyline/capacity/size.py
+++ b/ospreyline/capacity/size.py
@@ -1,4 +1,4 @@
-"""The size that is planned for, and what it may cost: the operator's TOML over the planned one."""
+"""The planned fleet size and its budgets; the operator's TOML file overrides single values."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 from msgspec import Meta
 
 Count = Annotated[float, Meta(gt=0, le=1e12)]
-Some = Annotated[float, Meta(ge=0, le=1e12)]
-_UNKNOWN = re.compile(r"Object contains unknown field `(.*)`")
+CountOrZero = Annotated[float, Meta(ge=0, le=1e12)]
+_UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.*)`")
 
 
 class SizeError(ValueError):
-    """The size cannot be used; the text names the key."""
+    """The size cannot be used; the message names the key."""
 
 
 class Size(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The planned size. What stands under `assumed` is our own guess, not the operators' plan."""
+    """The planned size. Values under `assumed` are our own estimates, not part of the operators' plan."""
 
     balancers: Count = 7_000
     upstreams: Count = 200_000
     services: Count = 6_700
     requests_per_s: Count = 1_200_000
     routes: Count = 60_000
-    tenants: Some = 420_000
+    tenants: CountOrZero = 420_000
     regions: Count = 12
     zones: Count = 43
-    changes_a_day: Some = 59_000  # of configuration
-    failures_a_day: Some = 580  # machines
-    restarts_a_day: Some = 77_000  # machines restarted or replaced
+    changes_a_day: CountOrZero = 59_000  # changes of the configuration
+    failures_a_day: CountOrZero = 580  # machines
+    restarts_a_day: CountOrZero = 77_000  # machines restarted or replaced
     # budgets
-    added_ms: Count = 1.1  # to a request, for 99 in 100
-    in_force_s: Count = 4  # a change of configuration, everywhere
-    cpu_pct: Count = 2.2  # of a core, a balancer's for control
+    added_ms: Count = 1.1  # added to a request, 99th percentile
+    in_force_s: Count = 4  # until a configuration change is in force everywhere
+    cpu_pct: Count = 2.2  # of a core; control work of a balancer
     memory_mb: Count = 64
     kb_per_s: Count = 24
     control_machines: Count = 20
     # assumed
     rack_machines: Count = 40
-    waves_a_day: Count = 10  # in which the restarts of a day come
+    waves_a_day: Count = 10  # into which the restarts of a day are grouped
     wave_minutes: Count = 10
-    entries_a_restart: Count = 3  # of the list: it drains, it has left, another is there
-    lines_per_s: Count = 2  # of a watch at the most: changes that come closer come together
-    calls_per_s: Count = 200  # that the list service can do
-    machine_mb_per_s: Count = 125  # network of a control machine
+    entries_a_restart: Count = 3  # changes of the list per restart: draining, removed, replacement added
+    lines_per_s: Count = 2  # maximum on a watch; changes in quicker succession are combined
+    calls_per_s: Count = 200  # capacity of the list service
+    machine_mb_per_s: Count = 125  # network bandwidth of a control machine
     balancers_a_service: Count = 12  # scoped: balancers that serve one service
 
     def scaled(self, factor: float) -> Size:
-        """All that grows with the fleet, so many times; budgets and what is assumed stay."""
+        """A copy with all that grows with the fleet multiplied; budgets and assumed values stay."""
         return msgspec.structs.replace(self, **{key: factor * getattr(self, key) for key in GROWS})
 
 
@@ -80,17 +80,19 @@
 
 
 def parse(text: str) -> Size:
-    """A size; what it leaves out is as planned. `SizeError` names the key."""
+    """Parses a size; missing keys have the planned values. Raises `SizeError`, which names the key."""
     try:
         size = msgspec.convert(tomllib.loads(text), Size)
     except tomllib.TOMLDecodeError as error:
         raise SizeError(str(error)) from None
     except msgspec.ValidationError as error:
-        what, _, path = str(error).partition(" - at `$.")
-        if unknown := _UNKNOWN.match(what):
-            near = get_close_matches(unknown[1], Size.__struct_fields__, 1)
-            raise SizeError(f"{unknown[1]}: unknown key" + (f", {near[0]!r}?" if near else "")) from None
-        raise SizeError(f"{path.rstrip('`')}: {what}") from None
+        problem, _, path = str(error).partition(" - at `$.")
+        if match := _UNKNOWN_FIELD.match(problem):
+            suggestions = get_close_matches(match[1], Size.__struct_fields__, 1)
+            raise SizeError(
+                f"{match[1]}: unknown key" + (f", {suggestions[0]!r}?" if suggestions else "")
+            ) from None
+        raise SizeError(f"{path.rstrip('`')}: {problem}") from None
     for key, other in (("services", "upstreams"), ("regions", "zones"), ("zones", "balancers")):
         if getattr(size, key) > getattr(size, other):
             raise SizeError(f"{key}: {getattr(size, key):g} is more than {other}, {getattr(size, other):g}")
@@ -98,7 +100,7 @@
 
 
 def load(path: Path | None) -> Size:
-    """The operator's size; without a file the planned one."""
+    """The size in the operator's file; without a file the planned one. Raises `SizeError`."""
     if path is None:
         return Size()
     try:
--- a/ospreyline/capacity/slopes.py
+++ b/ospreyline/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""The measured slopes: points of (size, value), with date, command and machine; read from `slopes.toml`."""
+"""The measured slopes: points (size, value) with date, command and machine; read from `slopes.toml`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Slope(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What was measured at some sizes. Without points it is not measured."""
+    """A quantity measured at several sizes; not measured yet if it has no points."""
 
     by: str
     unit: str
@@ -18,7 +18,7 @@
     date: str = ""
     command: str = ""
     machine: str = ""
-    reference_ms: list[float] = []  # a fixed piece of work during that run: least, median, most
+    reference_ms: list[float] = []  # a fixed piece of work during the run: minimum, median, maximum
 
     @property
     def measured_to(self) -> float:
@@ -31,8 +31,8 @@
         return min(self.points)[1] if self.points else 0.0
 
     def at(self, size: float) -> float | None:
-        """The value at a size: between points a straight line, beyond the last as between the last two; below
-        the first, the first. None if it was not measured."""
+        """The value at a size, by linear interpolation; beyond the last point extrapolated (at least 0), below
+        the first point the first value. None if it was not measured."""
         points = sorted(self.points)
         if not points:
             return None
@@ -43,9 +43,10 @@
 
 
 def parse(text: str) -> dict[str, Slope]:
+    """Parses TOML; raises `msgspec.MsgspecError`."""
     return msgspec.toml.decode(text, type=dict[str, Slope])
 
 
 def load() -> dict[str, Slope]:
-    """The slopes that came with this version."""
+    """The slopes shipped with this version."""
     return parse(resources.files("ospreyline.capacity").joinpath("slopes.toml").read_text("utf-8"))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The numbers to plan with: bad input, the arithmetic, what gives first, and the page."""
+"""Capacity planning: invalid input, the arithmetic, which budget is exceeded first, and the page."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ospreyline.__main__ import main
 from ospreyline.capacity import model
-from ospreyline.capacity.command import SECTIONS, Report, figure, lasts
+from ospreyline.capacity.command import SECTIONS, Report, describe_limit, format_figure
 from ospreyline.capacity.size import GROWS, Size, SizeError, parse
 from ospreyline.capacity.slopes import Slope, load
 from ospreyline.capacity.slopes import parse as parse_slopes
@@ -25,11 +25,11 @@
     return Report(Size(), load())
 
 
-def called(*words):
-    return CliRunner().invoke(main, ["capacity", *words])
+def run_capacity(*arguments):
+    return CliRunner().invoke(main, ["capacity", *arguments])
 
 
-def line(*points):
+def slope_through(*points):
     return Slope(by="n", unit="u", about="a", points=list(points))
 
 
@@ -57,16 +57,16 @@
 def test_bad_input_is_one_line_that_names_the_key(tmp_path, text, problem):
     file = tmp_path / "size.toml"
     file.write_text(text, "utf-8")
-    result = called("--size", str(file))
+    result = run_capacity("--size", str(file))
     assert result.exit_code == 2
     assert result.output == f"ospreyline: {file}: {problem}\n"
 
 
 def test_a_file_that_is_not_there_is_one_line(tmp_path):
-    result = called("--size", str(tmp_path / "no.toml"))
+    result = run_capacity("--size", str(tmp_path / "no.toml"))
     assert (result.exit_code, result.output.count("\n")) == (2, 1)
     (tmp_path / "bytes.toml").write_bytes(b"\xff\xfe")
-    assert called("--size", str(tmp_path / "bytes.toml")).exit_code == 2
+    assert run_capacity("--size", str(tmp_path / "bytes.toml")).exit_code == 2
 
 
 def test_the_planned_size_is_the_default_and_an_operators_own_is_laid_over_it():
@@ -83,13 +83,13 @@
     [(10, 1.0), (100, 1.0), (150, 1.5), (200, 2.0), (600, 4.0), (1_000, 6.0), (2_000, 11.0)],
 )
 def test_a_slope_is_read_between_points_and_carried_on_beyond_the_last(size, value):
-    assert line((100, 1.0), (200, 2.0), (1_000, 6.0)).at(size) == pytest.approx(value)
+    assert slope_through((100, 1.0), (200, 2.0), (1_000, 6.0)).at(size) == pytest.approx(value)
 
 
 def test_a_slope_without_points_is_not_measured_and_one_that_falls_ends_at_nothing():
-    assert line().at(5) is None
-    assert line((1, 2.0)).at(50) == 2.0
-    assert line((1, 2.0), (2, 1.0)).at(50) == 0.0
+    assert slope_through().at(5) is None
+    assert slope_through((1, 2.0)).at(50) == 2.0
+    assert slope_through((1, 2.0), (2, 1.0)).at(50) == 0.0
 
 
 def test_every_slope_that_a_row_names_is_in_the_data_file_with_where_it_is_from():
@@ -105,15 +105,15 @@
 # the arithmetic
 
 
-STRAIGHT = {name: line((1, 1.0), (1e9, 1e9)) for name in load()}  # every slope: as much as the size
+IDENTITY_SLOPES = {name: slope_through((1, 1.0), (1e9, 1e9)) for name in load()}  # each value equals the size
 
 
-def rows_of(size, slopes=STRAIGHT):
+def rows_by_key(size, slopes=IDENTITY_SLOPES):
     return {row.key: row for row in model.rows(size, slopes)}
 
 
 def test_rates_fall_on_balancers_and_upstreams_in_proportion():
-    rates = model.rates(
+    rates = model.daily_rates(
         Size(
             balancers=100,
             upstreams=900,
@@ -124,27 +124,27 @@
             entries_a_restart=3,
         )
     )
-    assert rates.listed == pytest.approx(0.9 * (3 + 0.2))
-    assert rates.configured == 0.5
-    assert (rates.failed, rates.restarted) == (pytest.approx(0.01), pytest.approx(0.1))
+    assert rates.list_changes == pytest.approx(0.9 * (3 + 0.2))
+    assert rates.config_changes == 0.5
+    assert (rates.balancer_failures, rates.balancer_restarts) == (pytest.approx(0.01), pytest.approx(0.1))
 
 
 def test_a_rows_figure_is_the_sum_of_its_parts_and_counts_only_if_all_are_measured():
     parts = model.Part("a", 1.0), model.Part("b", 2.5, "s", 20, 10)
     row = model.Row("flat", "r", "q", "u", parts, budget=3.0, budget_name="n")
-    assert (row.value, row.broken, row.largest.mechanism) == (3.5, True, "b")
+    assert (row.value, row.over_budget, row.largest.mechanism) == (3.5, True, "b")
     assert [part.extrapolated for part in parts] == [False, True]
-    open_row = model.Row("flat", "r", "q", "u", (*parts, model.Part("c", None)), budget=3.0)
-    assert (open_row.value, open_row.broken) == (None, False)
+    unmeasured_row = model.Row("flat", "r", "q", "u", (*parts, model.Part("c", None)), budget=3.0)
+    assert (unmeasured_row.value, unmeasured_row.over_budget) == (None, False)
 
 
 def test_the_memory_of_a_balancer_counts_its_process_once():
-    slopes = STRAIGHT | {
-        "serve_memory_mb": line((100, 30.0), (1_100, 40.0)),
-        "routes_memory_mb": line((100, 31.0), (600, 36.0)),
-        "members_memory_mb": line((70, 32.0), (1_070, 34.0)),
+    slopes = IDENTITY_SLOPES | {
+        "serve_memory_mb": slope_through((100, 30.0), (1_100, 40.0)),
+        "routes_memory_mb": slope_through((100, 31.0), (600, 36.0)),
+        "members_memory_mb": slope_through((70, 32.0), (1_070, 34.0)),
     }
-    row = rows_of(Size(upstreams=2_100, services=100, routes=1_100, balancers=1_070), slopes)[
+    row = rows_by_key(Size(upstreams=2_100, services=100, routes=1_100, balancers=1_070), slopes)[
         "flat", "balancer", "memory"
     ]
     assert [round(part.value, 3) for part in row.parts] == [50.0, 10.0, 4.0]
@@ -152,33 +152,33 @@
 
 
 def test_a_budget_lasts_to_the_size_at_which_its_row_meets_it():
-    slopes = STRAIGHT | {
-        "serve_memory_mb": line((0, 0.0), (1_000, 10.0)),
-        "routes_memory_mb": line((1, 1.0)),
-        "members_memory_mb": line((1, 0.0)),
+    slopes = IDENTITY_SLOPES | {
+        "serve_memory_mb": slope_through((0, 0.0), (1_000, 10.0)),
+        "routes_memory_mb": slope_through((1, 1.0)),
+        "members_memory_mb": slope_through((1, 0.0)),
     }
     size = Size(upstreams=10_000, services=100, memory_mb=40)
-    found = model.breaking(size, slopes)["flat", "balancer", "memory"]
+    found = model.budget_limits(size, slopes)["flat", "balancer", "memory"]
     assert found == pytest.approx(0.4, rel=1e-3)
-    assert lasts(size, found).startswith("0.4 of the size: 4,000 upstreams")
+    assert describe_limit(size, found).startswith("0.4 of the size: 4,000 upstreams")
 
 
 def test_the_budget_that_breaks_at_the_smallest_size_comes_first():
-    found = list(model.first(Size(), load()))
+    found = list(model.over_budget_rows(Size(), load()))
     factors = [factor for _, factor in found]
     assert factors == sorted(factors)
-    assert all(row.broken for row, _ in found)
+    assert all(row.over_budget for row, _ in found)
     report = Report(Size(), load())
     row, _ = next((row, f) for row, f in found if row.design == "flat" and f > 0)
-    assert f"Breaks first: {row.role}, {row.quantity}: {figure(row.value)}" in report.headline()
-    assert called().output.splitlines()[0] == report.headline()
+    assert f"Breaks first: {row.role}, {row.quantity}: {format_figure(row.value)}" in report.headline()
+    assert run_capacity().output.splitlines()[0] == report.headline()
 
 
 def test_a_budget_that_no_size_keeps_is_named_before():
-    slopes = STRAIGHT | {"added_p99_ms": line((100, 5.0), (1_000, 5.0))}
-    said = Report(Size(), slopes).headline()
-    assert "Kept at no size: balancer, time added to a request, 99 in 100: 5 ms where 1.1 (added" in said
-    assert "Breaks first: " in said
+    slopes = IDENTITY_SLOPES | {"added_p99_ms": slope_through((100, 5.0), (1_000, 5.0))}
+    headline = Report(Size(), slopes).headline()
+    assert "Kept at no size: balancer, time added to a request, 99 in 100: 5 ms where 1.1 (added" in headline
+    assert "Breaks first: " in headline
 
 
 def test_a_size_that_all_budgets_bear_says_so():
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "moved", "still"),
+    ("key", "changed", "unchanged"),
     [
         ("upstreams", ("balancer", "memory"), ("balancer", "state: path prefixes")),
         (
@@ -228,11 +228,11 @@
         ),
     ],
 )
-def test_raising_a_size_moves_its_rows_and_no_others(key, moved, still):
+def test_raising_a_size_moves_its_rows_and_no_others(key, changed, unchanged):
     before, after = Size(), parse(f"{key} = {2 * getattr(Size(), key):g}")
-    old, new = rows_of(before), rows_of(after)
-    assert new["flat", *moved].value > old["flat", *moved].value
-    assert new["flat", *still].value == old["flat", *still].value
+    old, new = rows_by_key(before), rows_by_key(after)
+    assert new["flat", *changed].value > old["flat", *changed].value
+    assert new["flat", *unchanged].value == old["flat", *unchanged].value
 
 
 def test_all_that_grows_with_the_fleet_is_scaled_and_no_budget_is():
@@ -241,30 +241,32 @@
     assert {key for key in Size.__struct_fields__ if getattr(half, key) != getattr(Size(), key)} == set(GROWS)
 
 
-@pytest.mark.parametrize(("machines", "go"), [(60, 5), (55, 0), (20, -1)])
-def test_how_many_control_machines_may_go(machines, go):
+@pytest.mark.parametrize(("machines", "spare"), [(60, 5), (55, 0), (20, -1)])
+def test_how_many_control_machines_may_go(machines, spare):
     size = Size(control_machines=machines)
-    row = rows_of(size)["flat", model.CONTROL, "machines that are needed, by links"]
+    row = rows_by_key(size)["flat", model.CONTROL, "machines that are needed, by links"]
     assert row.value == pytest.approx(54.69, abs=0.01)
-    assert model.may_go(size, row) == go
+    assert model.spare_machines(size, row) == spare
 
 
 def test_what_is_not_measured_says_so_until_its_slope_has_points():
-    slopes = STRAIGHT | {"scoped_bytes_s": line()}
-    row = rows_of(Size(), slopes)["scoped", "balancer", "bytes"]
+    slopes = IDENTITY_SLOPES | {"scoped_bytes_s": slope_through()}
+    row = rows_by_key(Size(), slopes)["scoped", "balancer", "bytes"]
     assert row.value is None
     assert "| scoped | balancer | bytes | not measured | 24 (control bytes) | not measured |  |" in list(
         Report(Size(), slopes).lines("roles")
     )
-    measured = rows_of(Size(), STRAIGHT | {"scoped_bytes_s": line((1, 40.0), (100, 500.0))})
+    measured = rows_by_key(
+        Size(), IDENTITY_SLOPES | {"scoped_bytes_s": slope_through((1, 40.0), (100, 500.0))}
+    )
     assert measured["scoped", "balancer", "bytes"].value == pytest.approx(0.0887, abs=0.0001)
 
 
 def test_a_scoped_balancers_cost_follows_what_it_serves_and_not_the_fleet():
-    """Twice the fleet: its rows stay. Twice the balancers of a service: they move."""
+    """Doubling the fleet leaves its rows as they are; doubling the balancers of a service raises them."""
     size = Size()
     quantities = ("processor time", "memory", "state", "bytes")
-    before, twice, more = (rows_of(s) for s in (size, size.scaled(2), parse("balancers_a_service = 24")))
+    before, twice, more = (rows_by_key(s) for s in (size, size.scaled(2), parse("balancers_a_service = 24")))
     for quantity in quantities:
         key = "scoped", "balancer", quantity
         assert twice[key].value == pytest.approx(before[key].value, rel=1e-6)
@@ -274,7 +276,7 @@
             assert twice[flat].value > 1.5 * before[flat].value
 
 
-HOLLOW = {
+SIMULATED_RUN = {
     "plan": {"subscribers": 700, "fanouts": 20, "services": 670, "upstreams": 20_000, "per": 7},
     "held_bytes_a_subscriber": 9_000,
     "phases": {
@@ -320,9 +322,9 @@
         ),
         "utf-8",
     )
-    run.write_text(json.dumps(HOLLOW), "utf-8")
-    words = ["rig", "scale", "scoped", str(data), str(run), "--command", "hollow", "--machine", "small"]
-    assert CliRunner().invoke(main, words).exit_code == 0
+    run.write_text(json.dumps(SIMULATED_RUN), "utf-8")
+    arguments = ["rig", "scale", "scoped", str(data), str(run), "--command", "hollow", "--machine", "small"]
+    assert CliRunner().invoke(main, arguments).exit_code == 0
     found = parse_slopes(data.read_text("utf-8"))
     assert found["scoped_state_bytes"].points == [(6.7, 9_000.0)]
     assert found["scoped_in_force_s"].points == [(700.0, 0.12)]
@@ -333,15 +335,15 @@
     assert found["scoped_return_bytes"].points == [(6.7, 34_000.0)]
     assert (found["fan_cpu_pct"].command, found["fan_cpu_pct"].machine) == ("hollow", "small")
     run.write_text("{}", "utf-8")
-    broken = CliRunner().invoke(main, words)
+    broken = CliRunner().invoke(main, arguments)
     assert (broken.exit_code, broken.output.count("\n")) == (2, 1)
 
 
-# what is printed
+# output
 
 
 def test_the_same_for_programs(planned):
-    found = json.loads(called("--json").output)
+    found = json.loads(run_capacity("--json").output)
     assert found == json.loads(json.dumps(planned.data()))
     assert found["headline"] == planned.headline()
     assert all(
@@ -352,7 +354,7 @@
 
 
 def test_parts_are_printed_when_asked_for():
-    found = called("--parts").output.partition("Parts")[2]
+    found = run_capacity("--parts").output.partition("Parts")[2]
     assert "rankings of the whole list" in found
     assert "serve_cpu_pct at 200,000, measured to 200,000" in found
 
@@ -367,9 +369,9 @@
 def test_a_page_is_written_anew_between_its_markers_only(tmp_path, planned):
     page = tmp_path / "page.md"
     page.write_text(PAGE.read_text("utf-8").replace("| balancer |", "| old |"), "utf-8")
-    assert called("--page", str(page)).exit_code == 0
+    assert run_capacity("--page", str(page)).exit_code == 0
     assert page.read_text("utf-8") == PAGE.read_text("utf-8")
     page.write_text("no markers\n", "utf-8")
-    assert called("--page", str(page)).exit_code == 2
+    assert run_capacity("--page", str(page)).exit_code == 2
     with pytest.raises(SizeError, match="no markers"):
         planned.page("nothing")
