--- a/ospreyline/capacity/command.py
+++ b/ospreyline/capacity/command.py
@@ -12,7 +12,7 @@
 
 from ospreyline.capacity import model
 from ospreyline.capacity.model import Part, Row
-from ospreyline.capacity.size import ASSUMED, GROWS, Size, SizeError, load
+from ospreyline.capacity.size import ASSUMED_KEYS, SCALED_KEYS, Size, SizeError, load
 from ospreyline.capacity.slopes import Slope
 from ospreyline.capacity.slopes import load as load_slopes
 
@@ -140,7 +140,7 @@
                 (
                     f"`{key}`",
                     format_exact(value),
-                    "grows" if key in GROWS else "assumed" if key in ASSUMED else "",
+                    "grows" if key in SCALED_KEYS else "assumed" if key in ASSUMED_KEYS else "",
                 )
                 for key, value in fields.items()
             ),
--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -95,9 +95,9 @@
         slope = self.slopes.get(name)
         return None if slope is None else slope.at(size)
 
-    def least(self, name: str) -> float:
+    def value_at_smallest(self, name: str) -> float:
         slope = self.slopes.get(name)
-        return 0.0 if slope is None else slope.least
+        return 0.0 if slope is None else slope.value_at_smallest
 
     def add(
         self,
@@ -149,7 +149,10 @@
 
 def _balancer(table: _Table, size: Size) -> None:
     role, upstreams, rate = "balancer", size.upstreams, daily_rates(size)
-    base_cpu, base_memory = table.least("serve_cpu_pct"), table.least("serve_memory_mb")
+    base_cpu, base_memory = (
+        table.value_at_smallest("serve_cpu_pct"),
+        table.value_at_smallest("serve_memory_mb"),
+    )
     table.add(
         FLAT,
         role,
@@ -208,7 +211,10 @@
         "% of a core",
         table.measured("rankings of the whole list, at rest", "serve_cpu_pct", upstreams),
         table.measured(
-            "path prefixes, at rest", "routes_cpu_pct", size.routes, baseline=table.least("routes_cpu_pct")
+            "path prefixes, at rest",
+            "routes_cpu_pct",
+            size.routes,
+            baseline=table.value_at_smallest("routes_cpu_pct"),
         ),
         table.measured("links and members, at rest", "members_cpu_pct", size.balancers, baseline=base_cpu),
         table.measured(
@@ -234,7 +240,10 @@
         "MB",
         table.measured("the process, and the whole list", "serve_memory_mb", upstreams),
         table.measured(
-            "path prefixes", "routes_memory_mb", size.routes, baseline=table.least("routes_memory_mb")
+            "path prefixes",
+            "routes_memory_mb",
+            size.routes,
+            baseline=table.value_at_smallest("routes_memory_mb"),
         ),
         table.measured("links and members", "members_memory_mb", size.balancers, baseline=base_memory),
         budget=size.memory_mb,
@@ -288,7 +297,10 @@
         "s of a core",
         table.measured("the process, and the whole list", "start_cpu_s", upstreams),
         table.measured(
-            "path prefixes", "routes_start_cpu_s", size.routes, baseline=table.least("routes_start_cpu_s")
+            "path prefixes",
+            "routes_start_cpu_s",
+            size.routes,
+            baseline=table.value_at_smallest("routes_start_cpu_s"),
         ),
     )
     table.add(
--- a/ospreyline/capacity/size.py
+++ b/ospreyline/capacity/size.py
@@ -53,10 +53,10 @@
 
     def scaled(self, factor: float) -> Size:
         """A copy with all that grows with the fleet multiplied; budgets and assumed values stay."""
-        return msgspec.structs.replace(self, **{key: factor * getattr(self, key) for key in GROWS})
+        return msgspec.structs.replace(self, **{key: factor * getattr(self, key) for key in SCALED_KEYS})
 
 
-GROWS = (
+SCALED_KEYS = (
     "balancers",
     "upstreams",
     "services",
@@ -67,7 +67,7 @@
     "failures_a_day",
     "restarts_a_day",
 )
-ASSUMED = (
+ASSUMED_KEYS = (
     "rack_machines",
     "waves_a_day",
     "wave_minutes",
--- a/ospreyline/capacity/slopes.py
+++ b/ospreyline/capacity/slopes.py
@@ -26,13 +26,13 @@
         return max((x for x, _ in self.points), default=0.0)
 
     @property
-    def least(self) -> float:
+    def value_at_smallest(self) -> float:
         """The value at the smallest size."""
         return min(self.points)[1] if self.points else 0.0
 
     def at(self, size: float) -> float | None:
-        """The value at a size, by linear interpolation; beyond the last point extrapolated (at least 0), below
-        the first point the first value. None if it was not measured."""
+        """The value at a size: interpolated linearly; extrapolated beyond the last point, to 0 at the least;
+        constant below the first point. None if it was not measured."""
         points = sorted(self.points)
         if not points:
             return None
--- a/ospreyline/regression.py
+++ b/ospreyline/regression.py
@@ -1,7 +1,7 @@
-"""What the regression last said: the journal's latest entry of each of its calls, beside the text of today.
+"""State of the regression benchmarks: the latest journal entry of each; whether the code has changed since.
 
-The bench writes one JSON file a run into `journal/`. This reads them and runs nothing; which calls the
-regression consists of is said in docs/regression.md. Everything but `entries` and `texts` is without I/O.
+The bench writes one JSON file per run into `journal/`. This module reads these files and runs nothing; the
+benchmarks are listed in docs/regression.md. Only `entries` and `current_checksums` do I/O.
 """
 
 from __future__ import annotations
@@ -14,31 +14,33 @@
 import click
 import msgspec
 
-# their entries stay in the journal and count no more
-CLOSED = frozenset(("portal-ljubljana", "portal-ljubljana-later", "quito-registro", "quito-registro-later"))
-FALL = 0.03  # of a figure, that has to be explained before anything else is begun
+# sites that are closed; their entries stay in the journal but are ignored
+EXCLUDED_SITES = frozenset(
+    ("portal-ljubljana", "portal-ljubljana-later", "quito-registro", "quito-registro-later")
+)
+MAX_DROP = 0.03  # a larger drop of a figure has to be explained before any other work starts
 
 
 class JournalError(ValueError):
-    """The journal cannot be read; the text names what is missing or faulty."""
+    """The journal cannot be read; the message names what is missing or invalid."""
 
 
-class _Text(msgspec.Struct):
+class _FileChecksum(msgspec.Struct):
     path: str
     sha256: str
 
 
-class _Day(msgspec.Struct):
+class _DayResult(msgspec.Struct):
     name: str = ""
     score: float | None = None
     rules: dict[str, float] | None = None
 
 
 class Entry(msgspec.Struct):
-    """One run as the bench wrote it; what is not named here is not read."""
+    """One run as the bench wrote it; other keys are ignored."""
 
     id: str
-    at: tuple[str, str]  # UTC, begun and ended; the second is empty if it did not end
+    at: tuple[str, str]  # UTC, start and end; the end is empty if the run did not finish
     cmd: str
     why: str = ""
     site: str | None = None
@@ -49,27 +51,27 @@
     edited_meanwhile: bool = False
     score: float | None = None
     figures: dict[str, float] = {}
-    days: list[_Day] = []
-    policy: list[_Text] = []
-    node: list[_Text] = []
+    days: list[_DayResult] = []
+    policy: list[_FileChecksum] = []
+    node: list[_FileChecksum] = []
     digest: str = ""
 
     @property
     def figure(self) -> float | None:
-        """The figure of the run, 0 to 1; None where it has none."""
+        """The score of the run, 0 to 1; None if it has none."""
         return self.figures.get("real_score", self.score)
 
     @property
     def gate(self) -> str:
-        """What the run's report says of its gate: `passed`, `failed ...`, or nothing."""
+        """The result of the gate in the run's report: `passed`, `failed ...`, or empty."""
         for line in reversed(self.digest.splitlines()):
             if line.lstrip().startswith("GATE "):
                 return line.strip().removeprefix("GATE ").strip()
         return ""
 
     @property
-    def call(self) -> str:
-        """In words, which call of the regression it is; empty for any other run."""
+    def benchmark(self) -> str:
+        """Name of the regression benchmark that this run belongs to; empty for any other run."""
         if not self.site or not self.panel:
             return ""
         if self.cmd == "score":
@@ -83,109 +85,109 @@
         return f"{kind}, {self.site}, {'quick' if self.panel.endswith(':quick') else 'full'}"
 
 
-class Standing(msgspec.Struct):
-    """The latest entry of a call, the one before it that had a figure, and if its text is that of today."""
+class BenchmarkStatus(msgspec.Struct):
+    """The latest entry of a benchmark, the previous one with a figure, and if the code is still the same."""
 
-    call: str
-    last: Entry
-    before: Entry | None
-    same_text: bool
+    benchmark: str
+    latest: Entry
+    previous: Entry | None
+    same_code: bool
 
     @property
     def change(self) -> float | None:
-        """Of the figure, since the entry before."""
-        if self.before is None or self.last.figure is None or self.before.figure is None:
+        """Change of the figure since the previous entry; None if either has none."""
+        if self.previous is None or self.latest.figure is None or self.previous.figure is None:
             return None
-        return self.last.figure - self.before.figure
+        return self.latest.figure - self.previous.figure
 
     @property
-    def trouble(self) -> str:
-        """Why this has to be seen to first; empty if it has not."""
-        broken = [
+    def problem(self) -> str:
+        """Why this benchmark needs attention first; empty if it does not."""
+        violations = [
             f"{day.name}: {rule}"
-            for day in self.last.days
-            for rule, times in sorted((day.rules or {}).items())
-            if times
+            for day in self.latest.days
+            for rule, count in sorted((day.rules or {}).items())
+            if count
         ]
-        if broken:
-            return "rule broken, " + ", ".join(broken)
-        if self.last.gate.startswith("failed"):
-            return "gate " + self.last.gate
-        if not self.last.ok:
-            return self.last.error or "the run is void"
-        # guards: each seed of brink is other days, of which the rules count and no figure
-        if not self.call.startswith("brink") and self.change is not None and self.change < -FALL:
+        if violations:
+            return "rule broken, " + ", ".join(violations)
+        if self.latest.gate.startswith("failed"):
+            return "gate " + self.latest.gate
+        if not self.latest.ok:
+            return self.latest.error or "the run is void"
+        # brink plays different days for each seed, so only its rules and its gate count, not its figure
+        if not self.benchmark.startswith("brink") and self.change is not None and self.change < -MAX_DROP:
             return f"fell by {-self.change:.3f}"
         return ""
 
 
 def entries(folder: Path) -> list[Entry]:
-    """All entries of a journal, oldest first; those of other forms of the bench are passed over."""
+    """All entries of a journal, oldest first; files of the bench in other formats are skipped."""
     if not folder.is_dir():
         raise JournalError(f"{folder}: no such folder")
     decoder = msgspec.json.Decoder(Entry)
-    found = []
+    decoded = []
     for path in sorted(folder.glob("*.json")):
         try:
-            found.append(decoder.decode(path.read_bytes()))
+            decoded.append(decoder.decode(path.read_bytes()))
         except (OSError, msgspec.MsgspecError) as error:
             raise JournalError(f"{path}: {error}") from error
-    return sorted(found, key=lambda entry: entry.at[0])
+    return sorted(decoded, key=lambda entry: entry.at[0])
 
 
-def texts(root: Path, run: Iterable[Entry]) -> dict[str, str]:
-    """The checksum that each file named in these entries has today; no entry for one that is gone."""
-    paths = {text.path for entry in run for text in (*entry.policy, *entry.node)}
+def current_checksums(root: Path, runs: Iterable[Entry]) -> dict[str, str]:
+    """The current SHA-256 of each file named in these entries; files that no longer exist are left out."""
+    paths = {file.path for entry in runs for file in (*entry.policy, *entry.node)}
     return {p: sha256((root / p).read_bytes()).hexdigest() for p in sorted(paths) if (root / p).is_file()}
 
 
-def standings(run: Iterable[Entry], today: Mapping[str, str]) -> list[Standing]:
-    """The state of each call, in the order of their names; `run` oldest first.
+def benchmark_statuses(runs: Iterable[Entry], current: Mapping[str, str]) -> list[BenchmarkStatus]:
+    """The status of each benchmark, sorted by name; `runs` oldest first.
 
-    A run that was cut short before it knew its site counts as no call; one whose files were edited while it
-    ran is passed over, since its figure is of no text; so are those of deployments that are closed.
+    Ignored are: a run that was interrupted before it knew its site; a run whose files were edited meanwhile,
+    as its figure belongs to no version of the code; and runs of closed sites.
     """
-    calls: dict[str, list[Entry]] = {}
-    for entry in run:
-        if entry.call and not entry.edited_meanwhile and entry.site not in CLOSED:
-            calls.setdefault(entry.call, []).append(entry)
-    out = []
-    for call in sorted(calls):
-        *earlier, last = calls[call]
-        before = next(
+    by_benchmark: dict[str, list[Entry]] = {}
+    for entry in runs:
+        if entry.benchmark and not entry.edited_meanwhile and entry.site not in EXCLUDED_SITES:
+            by_benchmark.setdefault(entry.benchmark, []).append(entry)
+    statuses = []
+    for benchmark in sorted(by_benchmark):
+        *earlier, latest = by_benchmark[benchmark]
+        previous = next(
             (
                 e
                 for e in reversed(earlier)
-                if e.figure is not None and (not call.startswith("brink") or e.panel == last.panel)
+                if e.figure is not None and (not benchmark.startswith("brink") or e.panel == latest.panel)
             ),
             None,
         )
-        out.append(
-            Standing(
-                call,
-                last,
-                before,
-                all(today.get(text.path) == text.sha256 for text in (*last.policy, *last.node)),
+        statuses.append(
+            BenchmarkStatus(
+                benchmark,
+                latest,
+                previous,
+                all(current.get(file.path) == file.sha256 for file in (*latest.policy, *latest.node)),
             )
         )
-    return out
+    return statuses
 
 
-def table(state: Iterable[Standing]) -> str:
-    """One line a call, plain text."""
+def table(statuses: Iterable[BenchmarkStatus]) -> str:
+    """A plain-text table with one line per benchmark."""
     rows = [("call", "figure", "change", "gate", "text", "when (UTC)", "trouble")]
-    for s in state:
-        figure = "-" if s.last.figure is None else f"{s.last.figure:.3f}"
+    for s in statuses:
+        figure = "-" if s.latest.figure is None else f"{s.latest.figure:.3f}"
         change = "-" if s.change is None else f"{s.change:+.3f}"
         rows.append(
             (
-                s.call,
+                s.benchmark,
                 figure,
                 change,
-                s.last.gate.partition(" ")[0] or "-",
-                "same" if s.same_text else "older",
-                s.last.at[0].replace("T", " ").rstrip("Z"),
-                s.trouble,
+                s.latest.gate.partition(" ")[0] or "-",
+                "same" if s.same_code else "older",
+                s.latest.at[0].replace("T", " ").rstrip("Z"),
+                s.problem,
             )
         )
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
@@ -198,15 +200,15 @@
     type=click.Path(file_okay=False, path_type=Path),
     default=Path("journal"),
     show_default=True,
-    help="The folder that the bench writes.",
+    help="Folder into which the bench writes its entries.",
 )
 def command(journal: Path) -> None:
-    """Print the latest figure of each call; status 1 if one on the text of today has to be seen to first."""
+    """Print the latest figure of each benchmark; exit status 1 if one of the current code needs attention."""
     try:
-        run = entries(journal)
-        state = standings(run, texts(journal.resolve().parent, run))
+        runs = entries(journal)
+        statuses = benchmark_statuses(runs, current_checksums(journal.resolve().parent, runs))
     except JournalError as error:
         click.echo(f"ospreyline: {error}", err=True)
         sys.exit(2)
-    click.echo(table(state))
-    sys.exit(1 if any(s.trouble and s.same_text for s in state) else 0)
+    click.echo(table(statuses))
+    sys.exit(1 if any(s.problem and s.same_code for s in statuses) else 0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 from ospreyline.__main__ import main
 from ospreyline.capacity import model
 from ospreyline.capacity.command import SECTIONS, Report, describe_limit, format_figure
-from ospreyline.capacity.size import GROWS, Size, SizeError, parse
+from ospreyline.capacity.size import SCALED_KEYS, Size, SizeError, parse
 from ospreyline.capacity.slopes import Slope, load
 from ospreyline.capacity.slopes import parse as parse_slopes
 from ospreyline.rig import slopefile
@@ -238,7 +238,9 @@
 def test_all_that_grows_with_the_fleet_is_scaled_and_no_budget_is():
     half = Size().scaled(0.5)
     assert half.balancers == 3_500 and half.cpu_pct == Size().cpu_pct
-    assert {key for key in Size.__struct_fields__ if getattr(half, key) != getattr(Size(), key)} == set(GROWS)
+    assert {key for key in Size.__struct_fields__ if getattr(half, key) != getattr(Size(), key)} == set(
+        SCALED_KEYS
+    )
 
 
 @pytest.mark.parametrize(("machines", "spare"), [(60, 5), (55, 0), (20, -1)])
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -1,4 +1,4 @@
-"""Two texts in turns: pairing, the interval, and a call that goes on where it was cut."""
+"""Alternating runs of two revisions: pairing, the confidence interval, resuming an interrupted comparison."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from ospreyline.__main__ import main
-from ospreyline.pairs import Compared, compared
+from ospreyline.pairs import Comparison, compare
 
 BENCH = """#!{python}
 import json, pathlib, sys, uuid
@@ -35,18 +35,18 @@
     ],
 )
 def test_a_difference_counts_only_outside_its_interval(old, new, verdict):
-    assert Compared("all", old, new).verdict == verdict
+    assert Comparison("all", old, new).verdict == verdict
 
 
 def test_the_interval_is_students_of_the_paired_differences():
-    found = Compared("all", (0.5, 0.6, 0.7), (0.6, 0.8, 0.8))
-    assert found.difference == pytest.approx(0.4 / 3)
-    assert found.half_width == pytest.approx(4.303 * 0.057735 / 3**0.5, rel=1e-3)
+    result = Comparison("all", (0.5, 0.6, 0.7), (0.6, 0.8, 0.8))
+    assert result.difference == pytest.approx(0.4 / 3)
+    assert result.half_width == pytest.approx(4.303 * 0.057735 / 3**0.5, rel=1e-3)
 
 
 def test_a_day_that_one_run_left_out_is_not_compared():
-    found = compared([{"all": 0.6, "a": 0.5}], [{"all": 0.7}])
-    assert [c.name for c in found] == ["all"]
+    result = compare([{"all": 0.6, "a": 0.5}], [{"all": 0.7}])
+    assert [c.name for c in result] == ["all"]
 
 
 @pytest.fixture
@@ -72,8 +72,8 @@
     return root
 
 
-def call(root, *more):
-    at = root.parent
+def run_pairs(root, *more):
+    folder = root.parent
     return CliRunner().invoke(
         main,
         [
@@ -81,42 +81,42 @@
             "HEAD~1",
             "HEAD",
             "--bench",
-            str(at / "bench"),
+            str(folder / "bench"),
             "--site",
-            str(at / "bench"),
+            str(folder / "bench"),
             "--work",
-            str(at / "work"),
+            str(folder / "work"),
             *more,
         ],
     )
 
 
 def test_texts_are_played_in_turns_and_a_second_call_goes_on(project):
-    assert call(project, "--rounds", "1").exit_code == 0
-    said = call(project, "--rounds", "3")
-    assert said.exit_code == 0, said.output
+    assert run_pairs(project, "--rounds", "1").exit_code == 0
+    result = run_pairs(project, "--rounds", "3")
+    assert result.exit_code == 0, result.output
     assert (project.parent / "order").read_text().split() == ["0.6", "0.7"] * 3
-    assert "+0.100 +- 0.000    above" in said.output
-    kept = [json.loads(p.read_text()) for p in (project / "journal").glob("*.json")]
-    assert len(kept) == 6
+    assert "+0.100 +- 0.000    above" in result.output
+    copied = [json.loads(p.read_text()) for p in (project / "journal").glob("*.json")]
+    assert len(copied) == 6
 
 
 @pytest.mark.parametrize(
-    ("args", "said"), [(["nothing", "HEAD"], "git rev-parse"), (["HEAD", "HEAD"], "the same revision")]
+    ("args", "message"), [(["nothing", "HEAD"], "git rev-parse"), (["HEAD", "HEAD"], "the same revision")]
 )
-def test_what_cannot_be_compared_is_one_line(project, args, said):
-    at = project.parent
-    found = CliRunner().invoke(
+def test_what_cannot_be_compared_is_one_line(project, args, message):
+    folder = project.parent
+    result = CliRunner().invoke(
         main,
         [
             "pairs",
             *args,
             "--bench",
-            str(at / "bench"),
+            str(folder / "bench"),
             "--site",
-            str(at / "bench"),
+            str(folder / "bench"),
             "--work",
-            str(at / "work"),
+            str(folder / "work"),
         ],
     )
-    assert found.exit_code == 2 and said in found.output and len(found.output.splitlines()) == 1
+    assert result.exit_code == 2 and message in result.output and len(result.output.splitlines()) == 1
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -1,4 +1,4 @@
-"""The regression's state as read from a journal: which entry counts, what it says, and of which text."""
+"""Regression status from a journal: which entry counts, its problem, and whether the code has changed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from ospreyline.__main__ import main
-from ospreyline.regression import entries, standings, texts
+from ospreyline.regression import benchmark_statuses, current_checksums, entries
 
 GATE = "day one\nGATE {}\nsnapshot"
 
@@ -39,13 +39,13 @@
     return folder
 
 
-def state_of(journal):
-    run = entries(journal)
-    return standings(run, texts(journal.parent, run))
+def statuses_of(journal):
+    runs = entries(journal)
+    return benchmark_statuses(runs, current_checksums(journal.parent, runs))
 
 
 @pytest.mark.parametrize(
-    ("more", "trouble"),
+    ("more", "problem"),
     [
         ({}, ""),
         ({"figure": 0.66}, "fell by 0.040"),
@@ -55,13 +55,13 @@
         ({"days": [{"name": "roll", "rules": {"drain": 2, "dup": 0}}]}, "rule broken, roll: drain"),
     ],
 )
-def test_what_has_to_be_seen_to_first_is_said(journal, more, trouble):
+def test_what_has_to_be_seen_to_first_is_said(journal, more, problem):
     entry(journal, "b", "2026-01-01T00:00:00Z")
     entry(journal, "a", "2026-01-02T00:00:00Z", **{"figure": 0.7, **more})
-    (found,) = state_of(journal)
-    assert found.trouble == trouble and found.last.id == "a"
-    said = CliRunner().invoke(main, ["regression", "--journal", str(journal)])
-    assert said.exit_code == (1 if trouble else 0) and trouble in said.output
+    (found,) = statuses_of(journal)
+    assert found.problem == problem and found.latest.id == "a"
+    result = CliRunner().invoke(main, ["regression", "--journal", str(journal)])
+    assert result.exit_code == (1 if problem else 0) and problem in result.output
 
 
 def test_calls_are_told_apart_and_edited_ones_passed_over(journal):
@@ -73,7 +73,7 @@
     entry(journal, "f", "2026-01-06T00:00:00Z", site=None, panel=None, ok=False)
     entry(journal, "g", "2026-01-07T00:00:00Z", cmd="replay")
     entry(journal, "h", "2026-01-08T00:00:00Z", site="quito-registro")
-    assert [(s.call, s.last.id) for s in state_of(journal)] == [
+    assert [(s.benchmark, s.latest.id) for s in statuses_of(journal)] == [
         ("in service, s, full", "c"),
         ("simulated, s, quick", "d"),
         ("standing, s, full", "a"),
@@ -82,14 +82,14 @@
 
 
 def test_brink_is_no_standing_test_and_other_seeds_are_other_days(journal):
-    # its figure stood as the standing test's, and another seed's as a fall
+    # brink figures were once taken for those of the standing test, and those of another seed for a drop
     brink = "real:s:{}:calm+brink+mass-1,roll+brink+mass-2"
     entry(journal, "a", "2026-01-01T00:00:00Z")
     for i, (seed, figure) in enumerate([(1, 0.8), (2, 0.9), (1, 0.7)]):
         entry(journal, f"b{i}", f"2026-01-02T00:00:0{i}Z", panel=brink.format(seed), figure=figure)
-    found = {s.call: s for s in state_of(journal)}
-    assert set(found) == {"standing, s, full", "brink, s"} and found["standing, s, full"].last.id == "a"
-    assert found["brink, s"].change == pytest.approx(-0.1) and not found["brink, s"].trouble
+    found = {s.benchmark: s for s in statuses_of(journal)}
+    assert set(found) == {"standing, s, full", "brink, s"} and found["standing, s, full"].latest.id == "a"
+    assert found["brink, s"].change == pytest.approx(-0.1) and not found["brink, s"].problem
     entry(
         journal,
         "c",
@@ -98,19 +98,19 @@
         figure=0.1,
         digest=GATE.format("failed: lost on roll+brink"),
     )
-    found = {s.call: s for s in state_of(journal)}
-    assert found["brink, s"].change is None and found["brink, s"].trouble.startswith("gate failed")
+    found = {s.benchmark: s for s in statuses_of(journal)}
+    assert found["brink, s"].change is None and found["brink, s"].problem.startswith("gate failed")
 
 
 def test_a_text_that_has_changed_since_is_said(journal):
     entry(journal, "a", "2026-01-01T00:00:00Z", ok=False, error="x")
-    assert state_of(journal)[0].same_text
+    assert statuses_of(journal)[0].same_code
     (journal.parent / "a.py").write_bytes(b"other")
-    assert not state_of(journal)[0].same_text
-    # its trouble is of a text that is gone
+    assert not statuses_of(journal)[0].same_code
+    # the problem belongs to code that no longer exists
     assert CliRunner().invoke(main, ["regression", "--journal", str(journal)]).exit_code == 0
     (journal.parent / "a.py").unlink()
-    assert not state_of(journal)[0].same_text
+    assert not statuses_of(journal)[0].same_code
 
 
 @pytest.mark.parametrize("text", ["{", '{"id": 3}'])
