--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -37,9 +37,8 @@
 )
 
 SETTLE_MS = 9_000.0  # a path ends this long after its last choice; sends must be allowed again by then
-LATEST_MS = (
-    START_MS + 4 * MUST_ASK_IN_MS - 1_000.0
-)  # from then on the list may be used again, whatever was lost
+# from then on the list may be used again, whatever was lost
+LATEST_MS = START_MS + 4 * MUST_ASK_IN_MS - 1_000.0
 STAYS_OPEN = Outcome("is answered, and stands", "answered")
 
 ENDS = (End.LAST_CHUNK, End.FIN, End.RESET, End.SILENCE)
@@ -77,15 +76,15 @@
     ),
 )
 CUT_OFF = tuple(
-    Outcome(f"is answered, {place_dechoicesion}, then it {end.value}", "answered", 0.0, place, end)
-    for place, place_dechoicesion in enumerate(CUT_PLACES)
+    Outcome(f"is answered, {place_description}, then it {end.value}", "answered", 0.0, place, end)
+    for place, place_description in enumerate(CUT_PLACES)
     for end in ABRUPT_ENDS
 )
 CUT_OFF_LATE = tuple(
     Outcome(
-        f"is answered after 0.1 s, {place_dechoicesion}, then it {end.value}", "answered", 100.0, place, end
+        f"is answered after 0.1 s, {place_description}, then it {end.value}", "answered", 100.0, place, end
     )
-    for place, place_dechoicesion in enumerate(CUT_PLACES)
+    for place, place_description in enumerate(CUT_PLACES)
     if place in (0, 4)
     for end in ABRUPT_ENDS
 )
@@ -141,14 +140,14 @@
 
     def __init__(
         self,
-        begin: str,
+        beginning: str,
         calls: int = 2,
         outcomes: Sequence[Outcome] = OUTCOMES,
         one_loss_at_a_time: bool = False,
     ) -> None:
-        """`begin`: a key of `BEGINNINGS`; `calls`: number of calls whose outcomes are explored."""
-        self.begin, self.calls, self.outcomes, self.one_loss_at_a_time = (
-            BEGINNINGS[begin],
+        """`beginning`: a key of `BEGINNINGS`; `calls`: number of calls whose outcomes are explored."""
+        self.beginning, self.calls, self.outcomes, self.one_loss_at_a_time = (
+            BEGINNINGS[beginning],
             calls,
             outcomes,
             one_loss_at_a_time,
@@ -189,7 +188,7 @@
         """Runs one path; returns its violation (empty if none), the number of steps, and the trace."""
         world, steps, violation = World(choices, self.outcomes, self.calls, fake_socket), 0, ""
         world.one_loss_at_a_time = self.one_loss_at_a_time
-        self.begin(world)
+        self.beginning(world)
         while not violation and world.now < min(world.last_choice_at + SETTLE_MS, LATEST_MS):
             if not (violation := check_grace(world)):
                 world.step()
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -56,9 +56,9 @@
     """What becomes of a call: the answer, where it is cut off, and how the connection ends."""
 
     description: str
-    kind: str  # refused, unreached, nothing, rejected, answered
+    kind: str  # refused, unreached (never connects), nothing (no answer), rejected (503), answered
     delay: float = 0.0  # ms from the request to the answer
-    cut_place: int | None = None  # index into `cut_places`; None: the answer arrives whole
+    cut_place: int | None = None  # index into `cut_places`, bytes if rejected; None: no cut
     end: End | None = None
     end_delay: float = 0.0  # ms from the answer to the end
     stall: float = 0.0  # ms for which the process stalls before it reads the answer
@@ -224,7 +224,7 @@
 
     async def create_connection(self, protocol: Callable[[], ListCall], host: str, port: int) -> None:
         call = protocol()
-        outcome = self.world.called(call)
+        outcome = self.world.on_call_started(call)
         if outcome.kind == "refused":
             raise ConnectionRefusedError("refused")
         if outcome.kind == "unreached":
@@ -378,12 +378,12 @@
             return
         data = chunk(list_body(connection.call.address, 1, True))
         places = (0, data.index(b"\n") + 1, len(data) // 2, len(data) - 3)
-        ways: list[tuple[int | None, End | None, float]] = [(None, None, 0.0), (None, None, STALL_MS)]
-        ways += [(cut_at, end, 0.0) for cut_at in places for end in (End.FIN, End.RESET, End.SILENCE)]
-        ways += [(0, end, STALL_MS) for end in (End.FIN, End.RESET)]
+        options: list[tuple[int | None, End | None, float]] = [(None, None, 0.0), (None, None, STALL_MS)]
+        options += [(cut_at, end, 0.0) for cut_at in places for end in (End.FIN, End.RESET, End.SILENCE)]
+        options += [(0, end, STALL_MS) for end in (End.FIN, End.RESET)]
         if self.one_loss_at_a_time and self._last_loss_at == self.now:
-            ways = ways[:2]
-        cut_at, end, stall = self.choose(ways)
+            options = options[:2]
+        cut_at, end, stall = self.choose(options)
         if end is not None:
             self._last_loss_at = self.now
         if cut_at is None or end is None:
@@ -407,8 +407,8 @@
         silent = connection.silent_from + NOTIFIED_AFTER_MS if connection.silent_from < inf else 0.0
         self.notified_by_write = min(self.notified_by_write, max(self.now, silent))
 
-    def called(self, call: ListCall) -> Outcome:
-        """A call begins to connect; returns its outcome."""
+    def on_call_started(self, call: ListCall) -> Outcome:
+        """A call starts to connect; returns its outcome."""
         self.offer_drain(f"before call {call.number} connects")
         if self.calls_left > 0:
             self.calls_left -= 1
@@ -509,8 +509,8 @@
         connection.end_seen = True
         if connection.cut_off:
             return
-        ways = (End.FIN, End.RESET)
-        end = self.choose((End.LAST_CHUNK, *ways) if connection.watch_answered else ways)
+        options = (End.FIN, End.RESET)
+        end = self.choose((End.LAST_CHUNK, *options) if connection.watch_answered else options)
         self.record(f"the service has seen it: call {connection.call.number} {end.value}")
         connection.end(end)
 
