--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,9 +18,7 @@
     "def test_torn(torn):\n    assert 1 == 2\n"
 )
 NO_XDIST, XDIST = [], ["-n", "3", "--dist", "loadfile"]
-with_and_without_xdist = pytest.mark.parametrize(
-    "xdist_arguments", [NO_XDIST, XDIST], ids=["alone", "workers"]
-)
+both = pytest.mark.parametrize("how", [NO_XDIST, XDIST], ids=["alone", "workers"])
 
 
 def line(name: str, cause: str = "one is not two", issue: str = "7") -> str:
@@ -48,17 +46,17 @@
     return result.returncode, result.stdout
 
 
-@with_and_without_xdist
-def test_listed_failures_are_let_pass_and_printed_with_their_cause(xdist_arguments, tmp_path):
+@both
+def test_listed_failures_are_let_pass_and_printed_with_their_cause(how, tmp_path):
     lines = ["# a comment", "", line("test_wrong"), line("test_two[2]", "two is more", "8")]
-    status, output = run(tmp_path, f"{TWO}\n\n{WRONG}", lines, *xdist_arguments)
+    status, output = run(tmp_path, f"{TWO}\n\n{WRONG}", lines, *how)
     assert status == 0 and "2 passed, 2 xfailed" in output, output
     assert "tests/test_a.py::test_wrong: one is not two (issue 7)" in output
     assert "  tests/test_a.py::test_wrong failed as known: assert 1 == 2" in output
     assert "tests/test_a.py::test_two[2]: two is more (issue 8)" in output and "RED:" not in output
 
 
-@with_and_without_xdist
+@both
 @pytest.mark.parametrize(
     ("suite", "name", "expected"),
     [
@@ -72,8 +70,8 @@
     ],
     ids=["passes", "one of it passes", "skipped", "breaks after it", "no test", "part of a name"],
 )
-def test_a_listed_test_that_does_not_fail_is_red(suite, name, expected, xdist_arguments, tmp_path):
-    status, output = run(tmp_path, suite, [line(name)], *xdist_arguments)
+def test_a_listed_test_that_does_not_fail_is_red(suite, name, expected, how, tmp_path):
+    status, output = run(tmp_path, suite, [line(name)], *how)
     assert status == 1 and f"RED: {expected}\n" in output, output
 
 
