--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -1,9 +1,9 @@
-"""Arms: what is compared. Ours, an earlier text of ours, plain policies, and one that sees the true state.
+"""Experiment arms: the policies that a run can use in place of the current `decide.py`.
 
-Baselines live here only. The plain ones keep the rules on repeats and drains and know no other: no
-health, no room, no cold budget; they show what a policy without them does. The far-seeing one knows each
-server's queue, speed and warmth at this moment, and keeps the budget for cold servers over all balancers;
-no real one can.
+An arm is the current `decide.py`, another revision or file of it, or one of the baselines below. The simple
+baselines keep the rules on repeats and drains and ignore health, capacity and the budget for cold servers;
+they show what a policy without these does. The oracle (`far-seeing`) knows each server's queue, speed and
+warmth at this moment and keeps the budget for cold servers over all balancers, which no real policy can.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from ospreyline.lab.words import ScenarioError
 
 
-class Held:
-    """The handle of a visit at a plain policy."""
+class PolicyVisit:
+    """The handle of one visit at a baseline policy (the calls of `decide.Visit`)."""
 
     __slots__ = (
         "_policy",
         "done",
         "ends",
         "expires",
-        "out",
+        "in_flight",
         "prefix",
         "sent_at",
         "tag",
@@ -40,7 +40,7 @@
         "upstreams",
     )
 
-    def __init__(self, policy: Plain, tag: int, prefix: PathPrefix, now: float, ttl: float) -> None:
+    def __init__(self, policy: BaselinePolicy, tag: int, prefix: PathPrefix, now: float, ttl: float) -> None:
         self._policy = policy
         self.tag = tag
         self.prefix = prefix
@@ -49,24 +49,24 @@
         self.upstreams: list[Listed] = []
         self.ends: list[End | None] = []
         self.sent_at: list[float] = []
-        self.out = 0
+        self.in_flight = 0
         self.done = False
 
     @property
     def settled(self) -> bool:
-        return self.done and not self.out
+        return self.done and not self.in_flight
 
     def ended(
         self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
     ) -> None:
         if self.ends[number] is None:
             self.ends[number] = end
-            self.out -= 1
+            self.in_flight -= 1
             self._policy.ended(self.upstreams[number].upstream, end, spent, now)
         if final:
             self.done = True
-        elif not self.done and not self.out:
-            self._policy.again(self, now)
+        elif not self.done and not self.in_flight:
+            self._policy.send_or_answer(self, now)
 
     def left(self, now: float) -> None:
         self.done = True
@@ -75,237 +75,253 @@
                 self._policy.host.cancel(self.tag, number)
 
 
-class Plain:
-    """A policy that picks among the ready servers; who inherits says how."""
+class BaselinePolicy:
+    """Base of the baselines: sends to a ready server that the subclass picks by `pick`."""
 
-    def __init__(self, host: Host, terms: Deployment, seed: int, now: float) -> None:
+    def __init__(self, host: Host, settings: Deployment, seed: int, now: float) -> None:
         self.host = host
-        self.terms = terms
+        self.settings = settings
         self.random = Random(seed).random
         self.listed: dict[int, Listed] = {}
         self.ready: list[Listed] = []
-        self.out: dict[int, int] = {}
-        self._watching = not terms.ask_for_list
-        self._ask_wait = 500.0
-        if terms.ask_for_list:
-            host.wake(now + self.random() * (500.0 + 10 * terms.balancers), self._ask)
+        self.in_flight: dict[int, int] = {}
+        self._watch_established = not settings.ask_for_list
+        self._watch_backoff = 500.0
+        if settings.ask_for_list:
+            host.wake(now + self.random() * (500.0 + 10 * settings.balancers), self._start_watch)
 
-    # the list
+    # the upstream list
 
-    def _ask(self, now: float) -> None:
-        if not self._watching:
+    def _start_watch(self, now: float) -> None:
+        """Starts a watch of the list unless one is established; retries until it is."""
+        if not self._watch_established:
             self.host.watch(True)
-            self.host.wake(now + 0.4 * self.terms.must_ask_in, self._ask)
+            self.host.wake(now + 0.4 * self.settings.must_ask_in, self._start_watch)
 
     def told_all(self, now: float, lines: list[Listed]) -> None:
         self.listed.clear()
-        self._take_in(lines)
+        self._update_listed(lines)
 
     def told_changes(self, now: float, lines: list[Listed]) -> None:
-        self._watching = True
-        self._ask_wait = 500.0
-        self._take_in(lines)
+        self._watch_established = True
+        self._watch_backoff = 500.0
+        self._update_listed(lines)
 
     def told_nothing(self, now: float) -> None:
-        self._watching = False
-        self.host.wake(now + self._ask_wait * (0.5 + self.random()), self._ask)
-        self._ask_wait = min(2 * self._ask_wait, 4_000.0)
+        self._watch_established = False
+        self.host.wake(now + self._watch_backoff * (0.5 + self.random()), self._start_watch)
+        self._watch_backoff = min(2 * self._watch_backoff, 4_000.0)
 
     def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
         pass
 
-    def _take_in(self, lines: list[Listed]) -> None:
+    def _update_listed(self, lines: list[Listed]) -> None:
         for line in lines:
             self.listed[line.upstream] = line
         self.ready = [line for line in self.listed.values() if line.readiness is Readiness.READY]
 
-    # visits
+    # visits and their fetches
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Held:
-        visit = Held(self, tag, self.terms.prefixes[prefix], now, ttl)
-        self.again(visit, now)
+    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> PolicyVisit:
+        visit = PolicyVisit(self, tag, self.settings.prefixes[prefix], now, ttl)
+        self.send_or_answer(visit, now)
         return visit
 
-    def again(self, visit: Held, now: float) -> None:
-        """A fetch where that is permitted, else the final answer."""
-        ran = next((i for i, end in enumerate(visit.ends) if end not in NEVER_RAN), None)
+    def send_or_answer(self, visit: PolicyVisit, now: float) -> None:
+        """Sends a fetch where the rules permit one, else gives the final answer."""
+        prior = next((i for i, end in enumerate(visit.ends) if end not in NEVER_RAN), None)
         line = None
-        if now < visit.expires and len(visit.ends) < self.terms.max_fetches:
-            allowed = [x for x in self.ready if self._may(visit, x, ran, now)]
+        if now < visit.expires and len(visit.ends) < self.settings.max_fetches:
+            allowed = [x for x in self.ready if self._may_send(visit, x, prior, now)]
             line = self.pick(visit, allowed, now) if allowed else None
         if line is None:
-            self._give_up(visit, ran)
+            self._give_up(visit, prior)
             return
         visit.upstreams.append(line)
         visit.ends.append(None)
         visit.sent_at.append(now)
-        visit.out += 1
-        self.out[line.upstream] = self.out.get(line.upstream, 0) + 1
+        visit.in_flight += 1
+        self.in_flight[line.upstream] = self.in_flight.get(line.upstream, 0) + 1
         self.host.send(visit.tag, line.upstream, visit.expires - now)
 
-    def _may(self, visit: Held, line: Listed, ran: int | None, now: float) -> bool:
-        if ran is None or visit.prefix.kind is Kind.READ_LIKE:
+    def _may_send(self, visit: PolicyVisit, line: Listed, prior: int | None, now: float) -> bool:
+        """Whether the rules on repeats allow this fetch; `prior`: the first fetch that may have run."""
+        if prior is None or visit.prefix.kind is Kind.READ_LIKE:
             return True
-        first = visit.upstreams[ran]
-        if visit.prefix.kind is Kind.MUTATING or now >= visit.sent_at[ran] + visit.prefix.window:
+        first = visit.upstreams[prior]
+        if visit.prefix.kind is Kind.MUTATING or now >= visit.sent_at[prior] + visit.prefix.window:
             return False
         return visit.prefix.scope is Scope.ALL or (
             first.zone == line.zone and (visit.prefix.scope is Scope.ZONE or first.cell == line.cell)
         )
 
-    def _give_up(self, visit: Held, ran: int | None) -> None:
+    def _give_up(self, visit: PolicyVisit, prior: int | None) -> None:
+        """Bounces the visit where a repeat is harmless, else fails it."""
         kind = visit.prefix.kind
-        if ran is None or kind is Kind.READ_LIKE or (kind is Kind.TAGGED and visit.prefix.scope is Scope.ALL):
-            self.host.bounce(visit.tag, self.terms.max_retry_after)
+        if (
+            prior is None
+            or kind is Kind.READ_LIKE
+            or (kind is Kind.TAGGED and visit.prefix.scope is Scope.ALL)
+        ):
+            self.host.bounce(visit.tag, self.settings.max_retry_after)
         else:
             self.host.fail(visit.tag)
         visit.done = True
 
     def ended(self, upstream: int, end: End, spent: float, now: float) -> None:
-        self.out[upstream] -= 1
+        self.in_flight[upstream] -= 1
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+        """One of the allowed upstreams (at least one), or None to answer without a fetch."""
         raise NotImplementedError
 
 
-class AtRandom(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+class RandomChoice(BaselinePolicy):
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
         return allowed[int(self.random() * len(allowed))]
 
 
-class RoundRobin(Plain):
-    _turn = -1
+class RoundRobin(BaselinePolicy):
+    _next = -1
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
-        if self._turn < 0:
-            self._turn = int(self.random() * len(allowed))  # or all would begin at the same one
-        self._turn += 1
-        return allowed[self._turn % len(allowed)]
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+        if self._next < 0:
+            self._next = int(self.random() * len(allowed))  # else all balancers begin at the same one
+        self._next += 1
+        return allowed[self._next % len(allowed)]
 
 
-class LeastInFlight(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
-        least = min(self.out.get(x.upstream, 0) for x in allowed)
-        among = [x for x in allowed if self.out.get(x.upstream, 0) == least]
+class LeastInFlight(BaselinePolicy):
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+        least = min(self.in_flight.get(x.upstream, 0) for x in allowed)
+        among = [x for x in allowed if self.in_flight.get(x.upstream, 0) == least]
         return among[int(self.random() * len(among))]
 
 
-class TwoSamples(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+class PowerOfTwoChoices(BaselinePolicy):
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
         a, b = (allowed[int(self.random() * len(allowed))] for _ in range(2))
-        return a if self.out.get(a.upstream, 0) <= self.out.get(b.upstream, 0) else b
+        return a if self.in_flight.get(a.upstream, 0) <= self.in_flight.get(b.upstream, 0) else b
 
 
-class OwnZone(TwoSamples):
-    """Two samples among the servers of the own zone, others only where it has none."""
+class LocalZoneFirst(PowerOfTwoChoices):
+    """Two random choices among the servers of the own zone; among all only where it has none."""
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
-        home = [x for x in allowed if x.zone == self.terms.zone]
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+        home = [x for x in allowed if x.zone == self.settings.zone]
         return super().pick(visit, home or allowed, now)
 
 
-class FarSeeing(Plain):
-    """The server that answers first by its true state; a visit that none answers in time is bounced."""
+class Oracle(BaselinePolicy):
+    """Picks the server that answers first by its true state; bounces a visit that none answers in time."""
 
-    def __init__(self, host: Host, terms: Deployment, seed: int, now: float) -> None:
-        super().__init__(host, terms, seed, now)
+    def __init__(self, host: Host, settings: Deployment, seed: int, now: float) -> None:
+        super().__init__(host, settings, seed, now)
         assert isinstance(host, Balancer)
-        self._around = host.around
+        self._simulation = host.around
         self._mean = host.around.scenario.mean_work()
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
-        around, home = self._around, self.terms.zone
-        left = visit.target_at - now
-        best, least = None, 1.0
+    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+        simulation, home = self._simulation, self.settings.zone
+        time_left = visit.target_at - now
+        best, least_cost = None, 1.0
         gain = visit.prefix.gain
         for line in allowed:
-            server = around.servers[line.upstream]
-            if not server.up or server.mute or server.draining or (home, server.zone) in around.links.cuts:
+            server = simulation.servers[line.upstream]
+            if (
+                not server.up
+                or server.mute
+                or server.draining
+                or (home, server.zone) in simulation.links.cuts
+            ):
                 continue
-            wait = self._wait(server)
-            cost = exp(-left / max(1e-3, wait)) if wait < inf else 1.0
-            cost += (self.terms.cross_fee / gain if gain else 0.0) if server.zone != home else 0.0
-            if cost < least:
-                best, least = line, cost
-        if best is not None and least < 0.6:
-            self._note(around.servers[best.upstream], now)
+            wait = self._completion_wait(server)
+            cost = exp(-time_left / max(1e-3, wait)) if wait < inf else 1.0
+            cost += (self.settings.cross_fee / gain if gain else 0.0) if server.zone != home else 0.0
+            if cost < least_cost:
+                best, least_cost = line, cost
+        if best is not None and least_cost < 0.6:
+            self._record_cold_send(simulation.servers[best.upstream], now)
             return best
         return None
 
-    def _wait(self, server: Server) -> float:
-        """Until one more visit of mean work is done there."""
+    def _completion_wait(self, server: Server) -> float:
+        """ms until one more visit of mean work is done there; `inf` where it must not be sent."""
         group = server.group
         capacity = server.capacity()
         if capacity <= 0:
             return inf
         crowd = group.crowd
         if crowd.at and server.held + 1 > 0.7 * (server.cores + crowd.at * server.cores**0.5):
-            return inf  # it would turn slow for long
-        if server.warmth() < 1 and not self._cold_room(server):
+            return inf  # it would stay overloaded, and slow, for long
+        if server.warmth() < 1 and not self._within_cold_budget(server):
             return inf
         return max(self._mean / server.speed(), self._mean * (server.held + 1) / capacity)
 
-    def _cold_room(self, server: Server) -> bool:
-        pushed = self._pushed(server)
-        now = self._around.world.now
-        while pushed and pushed[0] <= now - self.terms.tip_after:
-            pushed.pop(0)
-        able = server.capacity() * self.terms.tip_after / self._mean
-        return len(pushed) < 0.5 * self.terms.overload_factor * able
-
-    def _pushed(self, server: Server) -> list[float]:
-        # one list for all balancers of the day: this arm may know what no real one does
-        return self._around.seen.setdefault((server.index, server.incarnation), [])
-
-    def _note(self, server: Server, now: float) -> None:
+    def _within_cold_budget(self, server: Server) -> bool:
+        """Whether all balancers sent a cold server less than half of what overloads it within `tip_after`."""
+        sends = self._cold_sends(server)
+        now = self._simulation.world.now
+        while sends and sends[0] <= now - self.settings.tip_after:
+            sends.pop(0)
+        manageable = server.capacity() * self.settings.tip_after / self._mean
+        return len(sends) < 0.5 * self.settings.overload_factor * manageable
+
+    def _cold_sends(self, server: Server) -> list[float]:
+        """Times (ms) of recent sends to this start of a server while it was cold."""
+        # shared by all balancers of the run: the oracle knows what the others send
+        return self._simulation.seen.setdefault((server.index, server.incarnation), [])
+
+    def _record_cold_send(self, server: Server, now: float) -> None:
         if server.warmth() < 1:
-            self._pushed(server).append(now)
+            self._cold_sends(server).append(now)
 
 
-PLAIN: dict[str, type[Plain]] = {
-    "random": AtRandom,
+BASELINES: dict[str, type[BaselinePolicy]] = {
+    "random": RandomChoice,
     "round-robin": RoundRobin,
     "least-in-flight": LeastInFlight,
-    "two-samples": TwoSamples,
-    "own-zone": OwnZone,
-    "far-seeing": FarSeeing,
+    "two-samples": PowerOfTwoChoices,
+    "own-zone": LocalZoneFirst,
+    "far-seeing": Oracle,
 }
-HELP = "ours, rev:REVISION, file:PATH, " + ", ".join(PLAIN)
+HELP = "ours, rev:REVISION, file:PATH, " + ", ".join(BASELINES)
 
 
-def text_of(arm: str) -> str:
-    """The text of the module that an arm runs, which decides its results; `ScenarioError` if none."""
+def source_text(arm: str) -> str:
+    """Source text of the module that an arm runs; `ScenarioError` if there is no such arm or source."""
     if arm == "ours":
         return Path(decide.__file__).read_text("utf-8")
-    if arm in PLAIN:
+    if arm in BASELINES:
         return Path(__file__).read_text("utf-8")
-    kind, _, what = arm.partition(":")
-    if kind == "rev" and what:
-        return _earlier(what)
-    if kind == "file" and what:
+    kind, _, target = arm.partition(":")
+    if kind == "rev" and target:
+        return _source_at_revision(target)
+    if kind == "file" and target:
         try:
-            return Path(what).read_text("utf-8")
+            return Path(target).read_text("utf-8")
         except (OSError, UnicodeDecodeError) as error:
             raise ScenarioError(f"arm {arm}: {getattr(error, 'strerror', None) or error}") from error
     raise ScenarioError(f"arm {arm!r}: unknown, one of {HELP}")
 
 
-def _earlier(revision: str) -> str:
-    """`decide.py` as it stood at a revision of this repository."""
+def _source_at_revision(revision: str) -> str:
+    """`decide.py` at a revision of this repository; `ScenarioError` if git does not find it."""
     path = Path(decide.__file__)
-    found = subprocess.run(
+    shown = subprocess.run(
         ["git", "-C", str(path.parent), "show", f"{revision}:./decide.py"],
         capture_output=True,
         text=True,
         check=False,
     )
-    if found.returncode:
-        why = (found.stderr.strip().splitlines() or ["git failed"])[-1]
+    if shown.returncode:
+        why = (shown.stderr.strip().splitlines() or ["git failed"])[-1]
         raise ScenarioError(f"arm rev:{revision}: {why}")
-    return found.stdout
+    return shown.stdout
 
 
-def _module(text: str, name: str) -> ModuleType:
+def _load_module(text: str, name: str) -> ModuleType:
+    """Executes the source of an arm as a new module; `ScenarioError` if it does not load."""
     module = ModuleType("ospreyline_arm_" + "".join(c if c.isalnum() else "_" for c in name))
     module.__file__ = name
     sys.modules[module.__name__] = module  # dataclasses look their module up
@@ -317,18 +333,18 @@
     return module
 
 
-def maker(arm: str) -> Maker:
-    """What builds one balancer's decisions for an arm."""
+def policy_factory(arm: str) -> Maker:
+    """The factory of one balancer's decisions for an arm."""
     if arm == "ours":
-        return _from(decide.Balancer)
-    if arm in PLAIN:
-        return _from(PLAIN[arm])
-    return _from(_module(text_of(arm), arm).Balancer)
+        return _factory(decide.Balancer)
+    if arm in BASELINES:
+        return _factory(BASELINES[arm])
+    return _factory(_load_module(source_text(arm), arm).Balancer)
 
 
-def _from(build: Callable[..., Any]) -> Maker:
-    def make(host: Balancer, terms: Deployment, seed: int, now: float) -> Policy:
-        policy: Policy = build(host, terms, seed, now)
+def _factory(build: Callable[..., Any]) -> Maker:
+    def make(host: Balancer, settings: Deployment, seed: int, now: float) -> Policy:
+        policy: Policy = build(host, settings, seed, now)
         return policy
 
     return make
--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -109,7 +109,7 @@
             self.watching,
             self.servers,
             self.terms,
-            arms.maker(arm),
+            arms.policy_factory(arm),
         )
         self._starts = [0] * scenario.bank.count
         for number in range(scenario.bank.count):
--- a/ospreyline/lab/sweep.py
+++ b/ospreyline/lab/sweep.py
@@ -87,7 +87,7 @@
     for cell in cells:
         scenario.change(base, dict(cell.settings))
     for arm in sorted({cell.arm for cell in cells}):
-        arms.maker(arm)
+        arms.policy_factory(arm)
 
 
 def run(
@@ -102,7 +102,7 @@
     A `KeyboardInterrupt` ends the workers after the cells they are at and is passed on; nothing is lost.
     """
     check(base, cells)
-    texts = {arm: arms.text_of(arm) for arm in sorted({cell.arm for cell in cells})}
+    texts = {arm: arms.source_text(arm) for arm in sorted({cell.arm for cell in cells})}
     place = folder / "cells"
     try:
         place.mkdir(parents=True, exist_ok=True)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -133,10 +133,10 @@
 # -- the referee --------------------------------------------------------------------------------------------
 
 BAD = """
-from ospreyline.lab.arms import AtRandom, Plain
+from ospreyline.lab.arms import BaselinePolicy, RandomChoice
 from ospreyline.host import End, Kind
 
-class Balancer(AtRandom):
+class Balancer(RandomChoice):
 """
 PLANTED = {
     "lost": """
@@ -145,18 +145,18 @@
         visit.upstreams.append(self.ready[0])
         visit.ends.append(None)
         visit.sent_at.append(0.0)
-        visit.out += 1
-        self.out.setdefault(self.ready[0].upstream, 0)
-        self.out[self.ready[0].upstream] += 1
+        visit.in_flight += 1
+        self.in_flight.setdefault(self.ready[0].upstream, 0)
+        self.in_flight[self.ready[0].upstream] += 1
         self.host.send(visit.tag, self.ready[0].upstream, 100.0)
 """,
     "twice": """
-    def _may(self, visit, line, ran, now):
+    def _may_send(self, visit, line, ran, now):
         return True
 """,
     "drain": """
-    def _take_in(self, lines):
-        super()._take_in(lines)
+    def _update_listed(self, lines):
+        super()._update_listed(lines)
         self.ready = list(self.listed.values())
 """,
     "cold": """
@@ -187,9 +187,9 @@
     path.write_text(
         BAD
         + """
-    def again(self, visit, now):
+    def send_or_answer(self, visit, now):
         if visit.tag % 9:
-            super().again(visit, now)
+            super().send_or_answer(visit, now)
 """
     )
     assert play(small(), 1, f"file:{path}")["breaches"]["lost"]
@@ -301,7 +301,7 @@
     assert said[0] == said[1] != said[2]
 
 
-@pytest.mark.parametrize("arm", [*arms.PLAIN, "ours"])
+@pytest.mark.parametrize("arm", [*arms.BASELINES, "ours"])
 def test_every_arm_plays_a_day_of_faults(arm):
     summary = play(small(**{"chance.count": 2, "chance.kinds": ["crash", "slow"]}), 2, arm)
     assert summary["in_time"] > 0.5 and summary["breaches"]["lost"] == summary["breaches"]["twice"] == 0
@@ -403,9 +403,9 @@
     path = tmp_path / "arm.py"
     path.write_text(BAD + "    pass\n")
     cell = sweep.Cell((), 1, f"file:{path}")
-    before = sweep.key(small(), cell, arms.text_of(cell.arm))
+    before = sweep.key(small(), cell, arms.source_text(cell.arm))
     path.write_text(BAD + "    other = 1\n")
-    assert sweep.key(small(), cell, arms.text_of(cell.arm)) != before
+    assert sweep.key(small(), cell, arms.source_text(cell.arm)) != before
 
 
 @pytest.mark.parametrize(
