--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: a scenario, a seed and an arm, from the first visit to the last answer."""
+"""One simulated run of a scenario with a seed and an arm, from the first visit to the last answer."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from ospreyline.lab.world import Streams, World
 
 
-class Both:
-    """Tells the referee and the records what is on the wire."""
+class WireEvents:
+    """Passes each event on the wire to the referee and to the records, in this order."""
 
     __slots__ = (
         "_records",
@@ -39,23 +39,23 @@
     )
 
     def __init__(self, referee: Referee, records: Records) -> None:
-        def both(name: str) -> Any:
-            first, second = getattr(referee, name), getattr(records, name)
+        def forward(name: str) -> Any:
+            to_referee, to_records = getattr(referee, name), getattr(records, name)
 
-            def tell(*args: Any) -> None:
-                first(*args)
-                second(*args)
+            def notify(*args: Any) -> None:
+                to_referee(*args)
+                to_records(*args)
 
-            return tell
+            return notify
 
-        self.taken, self.sent, self.ended = both("taken"), both("sent"), both("ended")
-        self.answered, self.left = both("answered"), both("left")
-        # these concern the referee alone
+        self.taken, self.sent, self.ended = forward("taken"), forward("sent"), forward("ended")
+        self.answered, self.left = forward("answered"), forward("left")
+        # only the referee uses these
         self.arrived, self.ran, self.told = referee.arrived, referee.ran, referee.told
 
 
 class Run:
-    """Everything of one day. `go` plays it and gives the summary."""
+    """The model of one run; `go` runs it and returns the summary."""
 
     def __init__(
         self, scenario: Scenario, seed: int, arm: str = "ours", path: Path | None = None, visits: str = "none"
@@ -70,11 +70,11 @@
         self.folder = Folder(path)
         self.servers: list[Server] = []
         self.retired: set[Server] = set()
-        self._speeds = self.streams.uniform("speeds")
-        self._servers_draw = self.streams.uniform("servers")
+        self._speed_uniform = self.streams.uniform("speeds")
+        self._server_uniform = self.streams.uniform("servers")
         self.referee = Referee(self.world, scenario)
         self.records = Records(self.world, scenario, self.folder, self.servers, visits)
-        self.watching = Both(self.referee, self.records)
+        self.wire_events = WireEvents(self.referee, self.records)
         chance = scenario.chance
         self.script = Script(
             self,
@@ -106,49 +106,49 @@
             self.links,
             self.registry,
             Reports(self.world, scenario, self.streams.uniform("reports")),
-            self.watching,
+            self.wire_events,
             self.servers,
-            self.terms,
+            self.settings,
             arms.policy_factory(arm),
         )
         self._starts = [0] * scenario.bank.count
         for number in range(scenario.bank.count):
             self._start(number)
         self.clients = Clients(
-            self.world, scenario, self.links, self.streams, self.front, self._counted, self.records.tried
+            self.world, scenario, self.links, self.streams, self.front, self._want_ended, self.records.tried
         )
 
-    # -- who is there ----------------------------------------------------------------------------------------
+    # -- servers and balancers -------------------------------------------------------------------------------
 
     def add_server(self, group: Group, zone: int, cell: int = -1) -> Server:
-        """A further machine, not yet started."""
+        """Adds a server, not yet started; `cell` -1: the next one by the group's cell size."""
         index = len(self.servers)
         if cell < 0:
-            inside = sum(1 for s in self.servers if s.zone == zone)
-            cell = inside // group.cell_size if group.cell_size else 0
+            in_zone = sum(1 for s in self.servers if s.zone == zone)
+            cell = in_zone // group.cell_size if group.cell_size else 0
         server = Server(
             self.world,
             group,
             index,
             zone,
             cell,
-            self._drawn(group.speed),
-            self._drawn(group.crowd.slower),
-            self._servers_draw,
+            self._draw(group.speed),
+            self._draw(group.crowd.slower),
+            self._server_uniform,
         )
         server.fall = self.script.fell
         if group.pause_every_ms:
-            server.pauses(group.pause_every_ms, group.pause_ms, self._servers_draw)
+            server.pauses(group.pause_every_ms, group.pause_ms, self._server_uniform)
         self.servers.append(server)
         return server
 
-    def _drawn(self, span: Span) -> float:
+    def _draw(self, span: Span) -> float:
         if isinstance(span, tuple):
-            return span[0] + (span[1] - span[0]) * self._speeds()
+            return span[0] + (span[1] - span[0]) * self._speed_uniform()
         return float(span)
 
-    def terms(self, zone: int, number: int) -> Deployment:
-        """What a balancer is told at its start."""
+    def settings(self, zone: int, number: int) -> Deployment:
+        """The settings that a balancer gets when it starts."""
         s = self.scenario
         prefixes = tuple(
             PathPrefix(
@@ -185,11 +185,11 @@
         self.front.ready(Balancer(self.around, number, self.front.zones[number], seed, known, told))
 
     def start(self, number: int) -> None:
-        """A balancer's process starts; it takes visits once it is ready."""
+        """Starts a balancer's process; it takes visits after `bank.ready_ms`."""
         self.world.after(self.scenario.bank.ready_ms, self._start, number)
 
     def kill(self, number: int, told: bool = False) -> None:
-        """A balancer dies; told: it is asked to end, and finishes what it has taken."""
+        """Ends a balancer: at once, or (`told`) as by SIGTERM, after it has finished its visits."""
         balancer = self.front.living[number]
         if balancer is None:
             return
@@ -200,42 +200,44 @@
         else:
             balancer.die()
 
-    # -- the day ---------------------------------------------------------------------------------------------
+    # -- the run ---------------------------------------------------------------------------------------------
 
-    def _counted(self, want: Want) -> None:
+    def _want_ended(self, want: Want) -> None:
         self.records.wanted(want)
 
-    def _window(self) -> None:
+    def _end_window(self) -> None:
         self.records.window_ends(
             self._beliefs(), self.registry.calls, sum(b.probes for b in self.front.living if b is not None)
         )
         if self.world.now < self.scenario.day.seconds * 1e3 or self.clients.open:
-            self.world.after(self.scenario.day.window * 1e3, self._window)
+            self.world.after(self.scenario.day.window * 1e3, self._end_window)
 
     def _beliefs(self) -> list[dict[str, Any]]:
-        """What our balancers think of each zone, on the mean; nothing of other arms."""
-        living: list[Any] = [
+        """Mean estimates of each zone over the balancers; empty for an arm that keeps no localities."""
+        policies: list[Any] = [
             b.policy for b in self.front.living if b is not None and hasattr(b.policy, "_localities")
         ]
-        if not living or self.folder.path is None:
+        if not policies or self.folder.path is None:
             return []
-        now, n, out = self.world.now, len(living), []
+        now, n, out = self.world.now, len(policies), []
         for zone, name in enumerate(self.scenario.zones.names):
-            levels = [policy._localities[zone] for policy in living]
+            localities = [policy._localities[zone] for policy in policies]
             out.append(
                 {
                     "zone": name,
-                    "latency": round(sum(level.latency for level in levels) / n, 2),
-                    "healthy": round(sum(len(level.candidates) for level in levels) / n, 2),
-                    "out": sum(level.in_flight for level in levels),
-                    "capacity": round(sum(_capacity(policy, zone) for policy in living) / n, 3),
-                    "short": round(sum(now - policy._capacity_short_at < 1_000 for policy in living) / n, 3),
+                    "latency": round(sum(locality.latency for locality in localities) / n, 2),
+                    "healthy": round(sum(len(locality.candidates) for locality in localities) / n, 2),
+                    "out": sum(locality.in_flight for locality in localities),
+                    "capacity": round(sum(_capacity(policy, zone) for policy in policies) / n, 3),
+                    "short": round(
+                        sum(now - policy._capacity_short_at < 1_000 for policy in policies) / n, 3
+                    ),
                 }
             )
         return out
 
     def go(self) -> dict[str, Any]:
-        """Play the day until its last want is over; the summary."""
+        """Runs until the last want has ended; the summary."""
         day = self.scenario.day
         self.folder.whole(
             "run",
@@ -255,7 +257,7 @@
             },
         )
         self.clients.begin()
-        self.world.after(day.window * 1e3, self._window)
+        self.world.after(day.window * 1e3, self._end_window)
         self.world.run(day.seconds * 1e3)
         longest = max(p.timeout_ms for p in self.scenario.prefixes)
         self.world.run(day.seconds * 1e3 + 2 * longest + 1_000.0)
@@ -272,7 +274,7 @@
         return summary
 
     def summary(self) -> dict[str, Any]:
-        """The figures of the day after its settling time."""
+        """The figures of the run after `day.settle`."""
         total, records, s = self.records.total, self.records, self.scenario
         wanted = max(1, total.wanted)
         gain = total.gain / total.asked if total.asked else 0.0
@@ -318,13 +320,13 @@
 
 
 def _capacity(policy: Any, zone: int) -> float:
-    """What it thinks that a warm server of the zone carries for it; earlier texts had one figure for all."""
-    level = policy._localities[zone]
-    return float(level.capacity if hasattr(level, "capacity") else policy._capacity)
+    """Estimated capacity of a warm server of the zone; older revisions have one for all zones."""
+    locality = policy._localities[zone]
+    return float(locality.capacity if hasattr(locality, "capacity") else policy._capacity)
 
 
 def play(
     scenario: Scenario, seed: int, arm: str = "ours", path: Path | None = None, visits: str = "none"
 ) -> dict[str, Any]:
-    """Play one day."""
+    """Runs the scenario once; the summary. Records go to `path`, if given."""
     return Run(scenario, seed, arm, path, visits).go()
--- a/ospreyline/lab/scenario.py
+++ b/ospreyline/lab/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: what is modelled, read from TOML, checked, and with defaults, in one place.
+"""Scenario files (TOML) of the simulator: all keys with their defaults, reading and checking.
 
-A `Scenario` is the file as it is in force; `load` reads one, `change` sets one key by its dotted path
-(for sweeps). A number written as `[low, high]` is drawn from that range for each run. Errors are
-`ScenarioError`, one line that names the key and the nearest known one.
+`load` reads a `Scenario`, `change` sets keys by their dotted paths (for sweeps). A number written as
+`[low, high]` is drawn from that range for each run. Errors are `ScenarioError`: one line that names the key
+and the nearest known one.
 """
 
 from __future__ import annotations
@@ -20,47 +20,47 @@
 from ospreyline.lab import words
 from ospreyline.lab.words import FAULTS, Chance, Fault, Part, ScenarioError, numbers, worded
 
-Span = float | tuple[float, float]  # a value, or the range it is drawn from
+Span = float | tuple[float, float]  # a value, or the range that it is drawn from for each run
 
 
 class Day(Part):
     seconds: float = 60.0
-    settle: float = 0.0  # s at the start that no figure counts
-    window: float = 1.0  # s of one row of the records over time
+    settle: float = 0.0  # s at the start that the summary leaves out
+    window: float = 1.0  # s that one row of time.jsonl covers
 
 
 class Bank(Part):
     """The balancers."""
 
     count: int = 3
-    skew: float = 0.0  # coefficient of variation of what each gets within its zone
-    turn_us: float = 0.0  # core time a visit or end of a fetch costs; 0: none
-    cores: float = 1.0  # of a core, for that
+    skew: float = 0.0  # coefficient of variation of the traffic of the balancers of a zone
+    turn_us: float = 0.0  # CPU time that a visit or the end of a fetch costs; 0: none
+    cores: float = 1.0  # cores that a balancer has for this
     ready_ms: float = 300.0  # from a start until it is ready
-    notice_ms: tuple[float, float] = (1_000.0, 4_000.0)  # until the front in front of it sees it dead
-    known_age_ms: float = 0.0  # how old the list is that one starts from
-    copies: bool = False  # second copies of a visit are allowed
+    notice_ms: tuple[float, float] = (1_000.0, 4_000.0)  # until the traffic split notices a dead balancer
+    known_age_ms: float = 0.0  # age of the upstream list that a balancer starts from
+    copies: bool = False  # a second fetch may be sent while the first is out
     max_fetches: int = 3
 
 
 class Zones(Part):
     names: list[str] = msgspec.field(default_factory=lambda: ["a"])
-    traffic: list[float] = msgspec.field(default_factory=list)  # weights, even where left out
+    traffic: list[float] = msgspec.field(default_factory=list)  # weight of each zone; empty: all equal
 
 
 class Crowd(Part):
-    """Servers that turn slow when they hold too much, and stay so until they have rested."""
+    """Servers that slow down when overloaded and recover only after a time of low load."""
 
-    at: float = 0.0  # times the root of the cores, over the cores, held on the mean; 0: never
-    over_ms: float = 2_000.0  # that the mean is taken over
+    at: float = 0.0  # mean of visits held that overloads it: cores + at * sqrt(cores); 0: never
+    over_ms: float = 2_000.0  # time constant of this mean
     slower: Span = 2.5
-    below: float = 0.35  # share of the cores in use under which it rests
+    below: float = 0.35  # share of busy cores under which it recovers
     rest_ms: float = 3_000.0
     most_ms: float = 25_000.0
 
 
 class Memory(Part):
-    """Keys that a server met of late cost it less."""
+    """A server's cache: visits whose key it has met recently cost less work."""
 
     gain: float = 0.0  # share of the work saved; 0: none
     for_ms: float = 5_000.0
@@ -68,45 +68,43 @@
 
 
 class Group(Part):
-    """Servers of one make."""
+    """A group of servers with the same properties."""
 
     count: int = 6
     zone: str = ""  # empty: spread evenly over all
     cores: int = 4
     speed: Span = 1.0
-    slots_per_core: float = 1.0  # visits in work at once; they share the cores evenly; 0: no limit
-    queue_per_core: float = 32.0  # visits that wait, beyond that one is turned away; 0: no limit
+    slots_per_core: float = 1.0  # visits worked on at once, sharing the cores evenly; 0: no limit
+    queue_per_core: float = 32.0  # visits that may wait; further ones are rejected; 0: no limit
     cold_from: float = 0.25  # share of capacity right after a start
-    warm_ms: float = 10_000.0  # until it is warm at the latest
-    warm_visits: float = 0.0  # done, that warm it sooner; 0: time alone does
-    thrash: float = 0.0  # less efficient by 1 / (1 + this x held a core over thrash_at)
+    warm_ms: float = 10_000.0  # after which it is warm in any case
+    warm_visits: float = 0.0  # visits done after which it is warm sooner; 0: only time warms it
+    thrash: float = 0.0  # efficiency 1 / (1 + thrash * visits held per core above thrash_at); 0: none
     thrash_at: float = 4.0
     pause_every_ms: float = 0.0  # 0: none
     pause_ms: float = 20.0
     error_rate: float = 0.0
-    cancel: Literal["none", "queued", "all"] = "queued"  # what stops when a fetch is given up
+    cancel: Literal["none", "queued", "all"] = "queued"  # which cancelled visits the server stops
     drops_expired: bool = False
-    connections: int = 0  # open at most; 0: no limit
-    handshake_ms: float = 0.5  # of work, on the first visit of a connection
-    tips: float = (
-        0.0  # times its capacity over tip_ms that pushes it over while cold, so that it dies; 0: never
-    )
+    connections: int = 0  # most open connections; 0: no limit
+    handshake_ms: float = 0.5  # extra work on the first visit of a connection
+    tips: float = 0.0  # times its capacity within tip_ms that kills it while it is cold; 0: never
     tip_ms: float = 2_000.0
     restart_ms: float = 5_000.0  # until a dead one is up again
-    cell_size: int = 0  # servers of a cell; 0: the zone is one
+    cell_size: int = 0  # servers in a cell; 0: the whole zone is one cell
     crowd: Crowd = msgspec.field(default_factory=Crowd)
     memory: Memory = msgspec.field(default_factory=Memory)
 
 
 class Links(Part):
-    """The network, one way."""
+    """The network; times are one way."""
 
     same_ms: float = 0.2
     cross_ms: float = 1.0
     client_ms: float = 0.5
-    jitter: float = 0.2  # mean of an exponential part on top, as a share
-    loss: float = 0.0  # of messages, each costing a retransmission
-    again_ms: float = 200.0  # that a retransmission takes
+    jitter: float = 0.2  # mean of an exponentially distributed addition, as a share
+    loss: float = 0.0  # share of messages lost; each is retransmitted
+    again_ms: float = 200.0  # delay of a retransmission
     connect_timeout_ms: float = 250.0
     handshake_trips: float = 2.0
     keepalive_ms: float = 15_000.0
@@ -116,11 +114,11 @@
     """The list service."""
 
     mode: Literal["push", "ask"] = "push"
-    notice_ms: tuple[float, float] = (500.0, 1_500.0)  # until it knows of a start, drain or death
-    silent_ms: tuple[float, float] = (4_000.0, 8_000.0)  # until it knows of one that has vanished
-    period_ms: float = 500.0  # changes go out in batches
+    notice_ms: tuple[float, float] = (500.0, 1_500.0)  # until it notices a start, a drain or a crash
+    silent_ms: tuple[float, float] = (4_000.0, 8_000.0)  # until it notices a server that vanished silently
+    period_ms: float = 500.0  # changes are published in batches this often
     spread_ms: float = 100.0
-    calls_per_s: float = 0.0  # that it answers; 0: no limit
+    calls_per_s: float = 0.0  # most calls answered; 0: no limit
     timeout_ms: float = 2_000.0  # a call that would wait longer fails
     must_ask_ms: float = 10_000.0
 
@@ -130,35 +128,35 @@
 
     via: Literal["none", "answers", "probe"] = "none"
     fields: list[str] = msgspec.field(default_factory=lambda: ["in-flight"])
-    period_ms: float = 200.0  # a server's figures are as old as this at the most, when they leave
+    period_ms: float = 200.0  # greatest age of a server's figures when it sends them
     noise: float = 0.0  # standard deviation, as a share
     probes: bool = False
     probe_timeout_ms: float = 250.0
 
 
 class Load(Part):
-    """Visits a second, either as such or as a share of what warm servers can do."""
+    """Load: visits a second, or a share of the capacity of all servers when warm."""
 
     rate: float = 0.0
     share: float = 0.0
-    swing: float = 0.0  # of a sine over the mean
-    period_s: float = 60.0  # of that sine
-    ramp: float = 0.0  # rises by this share until the end
-    keys: int = 0  # distinct ones; 0: none
+    swing: float = 0.0  # amplitude of a sine, as a share of the mean
+    period_s: float = 60.0  # period of this sine
+    ramp: float = 0.0  # share by which the load rises until the end
+    keys: int = 0  # distinct keys of visits; 0: visits have none
     zipf: float = 0.9
-    closed: int = 0  # clients that send again only after an answer, beside the open stream
+    closed: int = 0  # closed-loop clients (send again only after an answer), beside the open load
     think_ms: float = 1_000.0
 
 
 class Clients(Part):
     retries: int = 0  # after a first try
-    patience: float = 1.0  # share of the client timeout that one try is given
+    patience: float = 1.0  # share of the client timeout that one try may take
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: float = 50.0
-    honour: float = 1.0  # share of the clients that wait as long as they are told
-    after_errors: bool = True  # read-like and tagged visits are tried again after an error, too
-    marks: bool = True  # repeats are marked as such
-    impatient: float = 0.0  # share that leaves at a random moment
+    honour: float = 1.0  # share of the clients that obey Retry-After
+    after_errors: bool = True  # read-like and tagged visits are also retried after an error
+    marks: bool = True  # retries are marked as repeats
+    impatient: float = 0.0  # share of the clients that disconnect at a random moment
 
 
 class Prefix(Part):
@@ -176,7 +174,7 @@
     work_ms: float = 10.0  # of one core at speed 1, mean
     dist: Literal["const", "exp", "lognormal", "pareto"] = "exp"
     cv: float = 1.0
-    wait_ms: float = 0.0  # that it holds its slot without a core, after the work
+    wait_ms: float = 0.0  # time after the work during which it holds its slot but uses no core
 
 
 class Tenant(Part):
@@ -186,16 +184,16 @@
 
 class Rules(Part):
     drain_grace_ms: float = 500.0
-    overload_factor: float = 3.0  # of a cold server's capacity
+    overload_factor: float = 3.0  # times a cold server's capacity that it may get
     tip_ms: float = 2_000.0
-    slack_ms: float = 50.0  # that every time limit is longer for the referee
+    slack_ms: float = 50.0  # tolerance that the referee adds to each time limit
 
 
 class Goal(Part):
     cross_fee: float = 0.0  # share of the mean gain, for each fetch to another zone
     probe_fee: float = 0.0
     worst_prefix: float = 0.0  # weight of the worst-served path prefix
-    max_retry_after_ms: float = 1_000.0  # 0: clients are given no advice
+    max_retry_after_ms: float = 1_000.0  # 0: bounces carry no Retry-After
 
 
 class Scenario(Part):
@@ -218,16 +216,16 @@
     chance: Chance = msgspec.field(default_factory=Chance)
 
     def mean_work(self) -> float:
-        """ms of a core at speed 1 that a visit costs, on the mean."""
+        """Mean work of a visit, in ms of a core at speed 1."""
         shares = sum(p.share for p in self.prefixes)
         return sum(p.share * p.work_ms for p in self.prefixes) / shares
 
     def capacity(self) -> float:
-        """Visits a second that all servers, warm, can do (ranges of speed at their middle)."""
+        """Visits a second that all servers can do when warm (the middle where speed is a range)."""
         return sum(g.count * g.cores * middle(g.speed) for g in self.servers) * 1e3 / self.mean_work()
 
     def rate(self) -> float:
-        """First tries a second, on the mean of a day without swing."""
+        """Mean first tries a second, without swing and ramp."""
         return self.load.rate or self.load.share * self.capacity()
 
 
@@ -240,7 +238,7 @@
 
 
 def shipped() -> dict[str, str]:
-    """The scenarios that come with the laboratory: their names and their text."""
+    """The scenarios that come with the simulator: TOML text by name."""
     folder = resources.files("ospreyline.lab") / "scenarios"
     return {
         entry.name.removesuffix(".toml"): entry.read_text("utf-8")
@@ -250,7 +248,7 @@
 
 
 def load(name: str) -> Scenario:
-    """A scenario by the path of its file, or by the name of a shipped one."""
+    """Reads a scenario by the path of its file or by the name of a shipped one."""
     path = Path(name)
     try:
         text = path.read_text("utf-8") if path.suffix == ".toml" or path.exists() else shipped().get(name)
@@ -274,7 +272,7 @@
 
 
 def build(tree: Mapping[str, Any]) -> Scenario:
-    """A checked scenario from plain tables."""
+    """A checked scenario from decoded TOML."""
     try:
         scenario = msgspec.convert(tree, Scenario, strict=True)
     except msgspec.ValidationError as error:
@@ -289,8 +287,8 @@
     tree = msgspec.to_builtins(scenario)
     for path, value in settings.items():
         at: Any = tree
-        *way, last = path.split(".")
-        for step in [*way, last]:
+        *parents, last = path.split(".")
+        for step in [*parents, last]:
             known = (
                 [str(i) for i in range(len(at))]
                 if isinstance(at, list)
@@ -311,7 +309,7 @@
 
 
 def known_keys() -> Iterator[str]:
-    """All keys of all tables."""
+    """All keys of all tables, for suggestions."""
     tables = (
         Scenario,
         Day,
@@ -337,7 +335,7 @@
 
 
 def problems(s: Scenario, kinds: Mapping[str, str]) -> Iterator[tuple[str, str]]:
-    """What the types do not say: the first of these is the error; `kinds` are the faults that there are."""
+    """Key and text of each problem that the types do not exclude; `kinds` are the known fault kinds."""
     yield from numbers("", msgspec.to_builtins(s))
     if not s.day.seconds > s.day.settle:
         yield "day.seconds", f"{s.day.seconds:g} leaves nothing after day.settle"
@@ -363,10 +361,10 @@
             yield f"{at}.speed", "0 is no speed"
         if not 0 < g.cold_from <= 1:
             yield f"{at}.cold_from", f"{g.cold_from:g} is no share of the capacity"
-    held = {g.zone for g in s.servers if g.zone}
+    zones_with_servers = {g.zone for g in s.servers if g.zone}
     if all(g.zone for g in s.servers):
         for zone in s.zones.names:
-            if zone not in held:
+            if zone not in zones_with_servers:
                 yield "zones.names", f"no server is in {zone!r}"
     if not s.prefixes:
         yield "prefixes", "one is needed"
--- a/ospreyline/lab/words.py
+++ b/ospreyline/lab/words.py
@@ -1,7 +1,7 @@
-"""The words for what goes wrong, for the laboratory and the rig alike: kinds, their figures, drawn days.
+"""Faults as scenario files describe them, for the simulator and the test rig: kinds, keys, random faults.
 
-A `Fault` is one line of a script: what happens, when, to whom and how hard. What `part`, `size` and `extra`
-mean for a kind is said in `FAULTS`. Errors are `ScenarioError`, one line that names the key.
+A `Fault` is one entry of a fault script: what fails, when, where and how severely. `FAULTS` says what
+`part`, `size` and `extra` mean for each kind. Errors are `ScenarioError`, one line that names the key.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario, or what was asked of one, cannot be used; one line that names the key."""
+    """Invalid scenario, or an invalid request on one; one line that names the key."""
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=False):
-    """A table of the file; an unknown key is an error."""
+    """Base of the tables of a scenario file; an unknown key is an error."""
 
 
 class Fault(Part):
-    """Something that goes wrong; what each key means for each kind is in docs/lab.md."""
+    """One injected fault; docs/lab.md says what each key means for each kind."""
 
     kind: str
     at_s: float = 10.0
     for_s: float = 10.0
-    part: float = 0.0  # share of the servers or balancers it meets
+    part: float = 0.0  # share of the servers or balancers that it affects
     zone: str = ""
     to_zone: str = ""
     size: float = 0.0
@@ -41,11 +41,11 @@
 
 
 class Chance(Part):
-    """Faults drawn for each run from ranges."""
+    """Random faults, drawn for each run from `RANGES`."""
 
     count: int = 0
     kinds: list[str] = []  # empty: all
-    mildness: float = 0.0  # 0: the whole ranges, 1: their mildest end only
+    mildness: float = 0.0  # 0: whole ranges; 1: only their mildest end
 
 
 # each kind of fault, and what `part`, `size` and `extra` mean for it
@@ -74,7 +74,7 @@
     "skew": "a zone gets size times its share of the visits",
 }
 
-# ranges that drawn faults come from, mildest end first: for_s, part, size, extra
+# ranges of random faults, mildest end first: for_s, part, size, extra
 RANGES: dict[str, tuple[tuple[float, float], ...]] = {
     "slow": ((5, 20), (0.05, 0.25), (2, 8), (0, 0)),
     "pause": ((5, 20), (0.1, 0.4), (50, 500), (3, 1)),
@@ -104,13 +104,13 @@
 def drawn(
     chance: Chance, kinds: Sequence[str], seconds: float, zones: Sequence[str], generator: np.random.Generator
 ) -> list[Fault]:
-    """Faults of one day of so many s, from the ranges above; the same generator gives the same day."""
+    """Random faults of a run of so many s, from `RANGES`; decided by the generator alone."""
     out = []
     for _ in range(chance.count):
         kind = kinds[int(generator.integers(len(kinds)))]
-        hardness = [float(generator.random()) * (1 - chance.mildness) for _ in range(4)]
+        severities = [float(generator.random()) * (1 - chance.mildness) for _ in range(4)]
         for_s, part, size, extra = (
-            low + h * (high - low) for h, (low, high) in zip(hardness, RANGES[kind], strict=True)
+            low + h * (high - low) for h, (low, high) in zip(severities, RANGES[kind], strict=True)
         )
         for_s = min(for_s, 0.7 * seconds)
         at_s = 0.1 * seconds + float(generator.random()) * max(0.0, 0.8 * seconds - for_s)
@@ -134,7 +134,7 @@
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """`, 'that'?` for the known word that is the nearest, or nothing."""
+    """A suggestion (`, 'count'?`) of the known word nearest to a wrong one, or nothing."""
     near = get_close_matches(word, sorted(known), 1)
     return f", {near[0]!r}?" if near else ""
 
@@ -142,7 +142,7 @@
 def problems(
     faults: Sequence[Fault], kinds: Mapping[str, str], zones: Sequence[str], prefixes: Sequence[str]
 ) -> Iterator[tuple[str, str]]:
-    """Key and problem of each fault that cannot be carried out."""
+    """Key and text of each problem of the faults."""
     for i, fault in enumerate(faults):
         at = f"faults[{i}]"
         if fault.kind not in kinds:
@@ -157,17 +157,17 @@
 
 
 def worded(text: str, known: Iterable[str]) -> str:
-    """What msgspec says, the key first, and the nearest known one."""
-    what, at, path = text.partition(" - at `$")
+    """A validation error of msgspec with its key first and a suggestion for an unknown key."""
+    message, at, path = text.partition(" - at `$")
     where = path.rstrip("`").removeprefix(".")
-    if unknown := _UNKNOWN.match(what):
+    if unknown := _UNKNOWN.match(message):
         key = unknown[1]
         return f"{where + '.' if where else ''}{key}: unknown key" + nearest(key, known)
-    return f"{where}: {what}" if at and where else what
+    return f"{where}: {message}" if at and where else message
 
 
 def numbers(path: str, value: Any) -> Iterator[tuple[str, str]]:
-    """No figure of a scenario may be under 0 or not finite, and a range goes upwards."""
+    """Key and text of each number that is negative, not finite or huge, and of each falling range."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from numbers(f"{path}.{key}" if path else key, inner)
