--- a/ospreyline/lab/explain.py
+++ b/ospreyline/lab/explain.py
@@ -17,7 +17,7 @@
         raise records.RecordError(f"{path}: no visits were kept; run with --visits all")
     found: list[dict[str, Any]] = []
     want = None
-    for row in records.rows(folder, "visits"):
+    for row in records.read_rows(folder, "visits"):
         if row["visit"] == visit:
             want = row["want"]
         found.append(row)
--- a/ospreyline/lab/plot.py
+++ b/ospreyline/lab/plot.py
@@ -69,13 +69,13 @@
 
 def run_parts(folder: Path) -> list[tuple[str, bytes]]:
     """The pictures of one run: outcomes, latency, load by zone and by server, what was believed."""
-    time = list(records.rows(folder, "time"))
-    servers = list(records.rows(folder, "servers"))
+    time = list(records.read_rows(folder, "time"))
+    servers = list(records.read_rows(folder, "servers"))
     if not time:
         raise records.RecordError(f"{folder}: no window was recorded")
     most = max(row["wanted"] for row in time)
     time = [row for row in time if row["wanted"] >= 0.05 * most]  # what comes after the day's end is left out
-    faults = list(records.rows(folder, "faults")) if (folder / "faults.jsonl").exists() else []
+    faults = list(records.read_rows(folder, "faults")) if (folder / "faults.jsonl").exists() else []
     t = [row["t"] for row in time]
 
     def outcomes(figure: Figure) -> None:
@@ -150,7 +150,7 @@
 def _beliefs(
     folder: Path, servers: Sequence[Mapping[str, Any]], faults: Sequence[Mapping[str, Any]]
 ) -> Callable[[Figure], None]:
-    beliefs = list(records.rows(folder, "beliefs"))
+    beliefs = list(records.read_rows(folder, "beliefs"))
 
     def draw(figure: Figure) -> None:
         left, right = figure.subplots(1, 2)
@@ -230,7 +230,7 @@
     """Draw what a folder holds, a run or a sweep; the files written, the page last."""
     notes: list[str] = []
     if (folder / "time.jsonl").exists():
-        summary = records.whole(folder, "summary")
+        summary = records.read_json(folder, "summary")
         parts = run_parts(folder)
         title = f"{summary['name']}, seed {summary['seed']}, {summary['arm']}"
         table = {k: v for k, v in summary.items() if not isinstance(v, dict)}
--- a/ospreyline/lab/records.py
+++ b/ospreyline/lab/records.py
@@ -1,23 +1,25 @@
-"""What a run leaves: rows over time, rows a visit, and a summary, as JSON lines in a folder.
-
-Rows are written as they come, so memory goes with what is open. The same run gives the same bytes. The
-forms:
-
-- `run.json`: the scenario in force, seed, arm, the faults as they were carried out.
-- `time.jsonl`: one row a window: `t` (s, its begin), `wanted`, `in_time`, `late`, `failed` (first tries
-  that began in it, by how they ended), `gain` and `asked` (gain earned and wanted), `tries`, `bounced`,
-  `errored`, `cut`, `fetches`, `crossed`, how fetches ended (`ends`), `p50`, `p90`, `p99` of delivered
-  visits in ms, `calls` for the list, `probes`.
-- `servers.jsonl`: one row a window and server: `t`, `server`, `zone`, `up`, `warmth`, `slow` (times,
-  crowded or by a fault), `held`, `busy` (of its cores, mean), `done`, `turned_away`.
-- `beliefs.jsonl`: one row a window and zone, where the arm has them (ours): means over its balancers of
-  `latency`, `room` (share of balancers that would send there), `healthy`, `capacity`, `short` (share that
-  is short of room).
+"""Records of a run: JSON files in a folder, one row a line where the name ends in `.jsonl`.
+
+Rows are written as they arise, so memory depends only on what is open. The same run gives the same bytes. A
+want is what a client wants of one visit: its first try and the retries. The files:
+
+- `run.json`: the scenario in force, seed, arm and servers.
+- `time.jsonl`: one row a window: `t` (begin, s), `wanted`, `in_time`, `late`, `failed` (wants that began
+  in it, by their outcome), `gain` and `asked` (gain earned and possible), `tries`, `bounced`, `errored`,
+  `cut`, `fetches`, `crossed` (to another zone), `ends` (fetches by how they ended), `p50`, `p90`, `p99` of
+  delivered visits in ms, and so far `calls` of the list service and `probes`.
+- `servers.jsonl`: one row a window and server: `t`, `server`, `zone`, `up`, `warmth`, `slow` (factor, by
+  overload or a fault), `held` (mean), `busy` (mean share of its cores), `done`, `turned_away`.
+- `beliefs.jsonl`: one row a window and zone, where the arm has localities: over its balancers the means of
+  `latency` (ms), `healthy` (candidates) and `capacity`, the sum `out` (fetches in flight), and `short`
+  (share that lacked capacity within the last second).
 - `visits.jsonl`: one row a try, if asked for: `visit`, `want`, `prefix`, `zone`, `balancer`, `sent`,
   `ttl`, `repeat`, `answer`, `at`, `retry_after`, `outcome` (of its want), `fetches` (each `server`,
-  `zone`, `begun`, `written`, `end`, `at`, `ran`).
+  `zone`, `begun`, `written`, `end`, `at`, `ran`); times in ms.
 - `breaches.jsonl`: one row a broken rule.
-- `summary.json`: the figures of the whole day after `day.settle`.
+- `faults.jsonl`: one row a fault that was injected.
+- `log.jsonl`: one row a line that a balancer logged.
+- `summary.json`: the figures of the run after `day.settle`.
 """
 
 from __future__ import annotations
@@ -37,18 +39,18 @@
 from ospreyline.lab.servers import Server
 from ospreyline.lab.world import World
 
-MOST_US = 600_000_000  # the longest latency kept apart
+MAX_LATENCY_US = 600_000_000  # longer latencies are counted as this
 QUANTILES = (50.0, 90.0, 99.0)
 _JSON = msgspec.json.Encoder(order="deterministic")
 
 
 class RecordError(ValueError):
-    """A folder of records cannot be written or read; one line."""
+    """Records cannot be written or read; one line that names the path."""
 
 
 def histogram() -> HdrHistogram:
-    """Of latencies in microseconds, two digits kept."""
-    return HdrHistogram(1, MOST_US, 2)
+    """A histogram of latencies in microseconds with two significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, 2)
 
 
 def quantiles(of: HdrHistogram) -> dict[str, float]:
@@ -80,8 +82,8 @@
     p99: float = 0.0
 
 
-class Folder:
-    """Where rows go; nothing is kept in memory. Without a path rows are dropped."""
+class RecordFolder:
+    """Writes records as they come, into a folder; without a path they are discarded."""
 
     def __init__(self, path: Path | None) -> None:
         self.path = path
@@ -94,7 +96,7 @@
             except OSError as error:
                 raise RecordError(f"{path}: {error.strerror}") from error
 
-    def row(self, name: str, row: Any) -> None:
+    def write_row(self, name: str, row: Any) -> None:
         if self.path is None:
             return
         file = self._files.get(name)
@@ -102,7 +104,7 @@
             file = self._files[name] = (self.path / f"{name}.jsonl").open("wb")
         file.write(_JSON.encode(row) + b"\n")
 
-    def whole(self, name: str, value: Any) -> None:
+    def write_json(self, name: str, value: Any) -> None:
         if self.path is not None:
             (self.path / f"{name}.json").write_bytes(msgspec.json.format(_JSON.encode(value)) + b"\n")
 
@@ -112,8 +114,8 @@
         self._files.clear()
 
 
-def rows(folder: Path, name: str) -> Iterator[dict[str, Any]]:
-    """The rows of one file of a run."""
+def read_rows(folder: Path, name: str) -> Iterator[dict[str, Any]]:
+    """The rows of NAME.jsonl in a folder; `RecordError` names a broken line."""
     path = folder / f"{name}.jsonl"
     try:
         with path.open("rb") as file:
@@ -126,7 +128,8 @@
         raise RecordError(f"{path}: {error.strerror}") from error
 
 
-def whole(folder: Path, name: str) -> dict[str, Any]:
+def read_json(folder: Path, name: str) -> dict[str, Any]:
+    """The object in NAME.json of a folder."""
     path = folder / f"{name}.json"
     try:
         value = msgspec.json.decode(path.read_bytes())
@@ -135,80 +138,85 @@
     except msgspec.MsgspecError as error:
         raise RecordError(f"{path}: {error}") from error
     if not isinstance(value, dict):
-        raise RecordError(f"{path}: no table")
+        raise RecordError(f"{path}: not a JSON object")
     return value
 
 
 class Records:
-    """Told all that is on the wire and how wants end; writes rows and keeps sums."""
+    """Receives all events on the wire and the outcome of each want; counts them and writes rows."""
 
     def __init__(
-        self, world: World, scenario: Scenario, folder: Folder, servers: list[Server], visits: str = "none"
+        self,
+        world: World,
+        scenario: Scenario,
+        folder: RecordFolder,
+        servers: list[Server],
+        visits: str = "none",
     ) -> None:
         self._world = world
         self._scenario = scenario
         self._folder = folder
         self._servers = servers
-        self._visits = visits  # none, odd (those that did not end in time) or all
-        self._window = scenario.day.window * 1e3
-        self._settle = scenario.day.settle * 1e3
-        self._rows: dict[int, Row] = {}  # windows that may still change
-        self._delays: dict[int, HdrHistogram] = {}
+        self._visits = visits  # written one by one: none, odd (wants not served in time) or all
+        self._window_ms = scenario.day.window * 1e3
+        self._settle_until = scenario.day.settle * 1e3
+        self._rows: dict[int, Row] = {}  # by window number; windows that may still change
+        self._latencies: dict[int, HdrHistogram] = {}
         self._written = 0
-        self._longest = max(p.timeout_ms for p in scenario.prefixes)
+        self._longest_timeout = max(p.timeout_ms for p in scenario.prefixes)
         self.total = Row(0.0)
-        self.delays = histogram()
+        self.latencies = histogram()
         n = len(scenario.prefixes)
         self.by_prefix = [Row(0.0) for _ in range(n)]
         self.tenants: dict[int, Row] = {}
-        self._areas: dict[Server, tuple[float, float, int, int]] = {}
+        self._server_totals: dict[Server, tuple[float, float, int, int]] = {}
         mean = sum(p.share * p.gain for p in scenario.prefixes) / sum(p.share for p in scenario.prefixes)
-        self._gains = [p.gain / (mean or 1.0) for p in scenario.prefixes]
-        self._stretch: list[tuple[float, float, float]] = []  # each window: its begin in s, asked, gained
+        self._relative_gains = [p.gain / (mean or 1.0) for p in scenario.prefixes]
+        self._window_gains: list[tuple[float, float, float]] = []  # each window: begin (s), asked, gain
         self._open = 0  # visits at balancers
-        self._open_at = self._area = self._sojourn = 0.0
+        self._open_since = self._open_area = self._open_time_sum = 0.0
 
     # -- counts ----------------------------------------------------------------------------------------------
 
-    def _row(self, at: float) -> Row:
-        place = int(at / self._window)
-        row = self._rows.get(place)
+    def _window_row(self, at: float) -> Row:
+        window = int(at / self._window_ms)
+        row = self._rows.get(window)
         if row is None:
-            row = self._rows[place] = Row(place * self._window / 1e3)
+            row = self._rows[window] = Row(window * self._window_ms / 1e3)
             row.ends = {}
         return row
 
-    def _each(self, at: float) -> tuple[Row, ...]:
-        """The rows that something at a time counts in."""
-        return (self._row(at), self.total) if at >= self._settle else (self._row(at),)
+    def _counting_rows(self, at: float) -> tuple[Row, ...]:
+        """The rows in which an event at a time (ms) counts: its window, and the total after `day.settle`."""
+        return (self._window_row(at), self.total) if at >= self._settle_until else (self._window_row(at),)
 
-    def tried(self, ask: Ask) -> None:
-        for row in self._each(ask.sent):
+    def try_sent(self, ask: Ask) -> None:
+        for row in self._counting_rows(ask.sent):
             row.tries += 1
 
     def taken(self, ask: Ask) -> None:
-        self._at_balancers(1)
+        self._change_open(1)
 
     def left(self, ask: Ask) -> None:
-        self._at_balancers(-1)
-        self._sojourn += self._world.now - ask.came
+        self._change_open(-1)
+        self._open_time_sum += self._world.now - ask.came
 
-    def _at_balancers(self, by: int) -> None:
+    def _change_open(self, by: int) -> None:
         now = self._world.now
-        self._area += self._open * (now - self._open_at)
-        self._open_at = now
+        self._open_area += self._open * (now - self._open_since)
+        self._open_since = now
         self._open += by
 
-    def little(self) -> tuple[float, float]:
-        """Little's law on the run itself: visits at balancers over time, and the sum of their stays, in ms.
+    def littles_law(self) -> tuple[float, float]:
+        """Integral of the visits at balancers over time, and the sum of their times there, both in ms.
 
-        The two are the same unless a visit's end was not told; visits that are still open count in the first.
+        Equal by Little's law unless the end of a visit was not reported; open visits count in the first only.
         """
-        return self._area, self._sojourn
+        return self._open_area, self._open_time_sum
 
     def sent(self, shot: Shot) -> None:
         crossed = shot.server.zone != shot.balancer.zone
-        for row in self._each(shot.sent):
+        for row in self._counting_rows(shot.sent):
             row.fetches += 1
             row.crossed += crossed
 
@@ -221,11 +229,11 @@
     def ended(self, shot: Shot) -> None:
         assert shot.end is not None
         name = shot.end.name.lower()
-        for row in self._each(shot.ended_at):
+        for row in self._counting_rows(shot.ended_at):
             row.ends[name] = row.ends.get(name, 0) + 1
 
     def answered(self, ask: Ask) -> None:
-        for row in self._each(ask.answered_at):
+        for row in self._counting_rows(ask.answered_at):
             if ask.answer == "bounced":
                 row.bounced += 1
             elif ask.answer == "failed":
@@ -233,32 +241,32 @@
             elif ask.answer == "cut":
                 row.cut += 1
         if ask.came < inf:
-            self._at_balancers(-1)
-            self._sojourn += self._world.now - ask.came
+            self._change_open(-1)
+            self._open_time_sum += self._world.now - ask.came
         if ask.answer == "delivered":
             spent = ask.answered_at - ask.came
-            self._delay(ask.answered_at, spent)
+            self._record_latency(ask.answered_at, spent)
 
-    def _delay(self, at: float, spent: float) -> None:
-        place, figure = int(at / self._window), max(1, int(spent * 1e3))
-        if place not in self._delays:
-            self._delays[place] = histogram()
-            self._row(at)
-        self._delays[place].record_value(figure)
-        if at >= self._settle:
-            self.delays.record_value(figure)
+    def _record_latency(self, at: float, spent: float) -> None:
+        window, latency_us = int(at / self._window_ms), max(1, int(spent * 1e3))
+        if window not in self._latencies:
+            self._latencies[window] = histogram()
+            self._window_row(at)
+        self._latencies[window].record_value(latency_us)
+        if at >= self._settle_until:
+            self.latencies.record_value(latency_us)
 
     def told(self, balancer: Balancer, server: Server, readiness: Readiness) -> None:
         pass
 
-    def wanted(self, want: Want) -> None:
-        """A want has come to its end; it counts in the window in which it began."""
+    def want_ended(self, want: Want) -> None:
+        """Counts a want that has ended in the window in which it began."""
         earned = {"in time": 1.0, "late": self._scenario.prefixes[want.prefix].late_gain}.get(
             want.outcome, 0.0
         )
-        gain = self._gains[want.prefix]
-        counted = [*self._each(want.since)]
-        if want.since >= self._settle:
+        gain = self._relative_gains[want.prefix]
+        counted = [*self._counting_rows(want.since)]
+        if want.since >= self._settle_until:
             counted.append(self.by_prefix[want.prefix])
             if want.tenant >= 0:
                 counted.append(self.tenants.setdefault(want.tenant, Row(0.0)))
@@ -274,13 +282,13 @@
                 row.failed += 1
 
         for ask in want.asks:
-            self._visit(ask)
+            self._write_visit(ask)
 
-    def _visit(self, ask: Ask) -> None:
-        """A try is over, its want too."""
+    def _write_visit(self, ask: Ask) -> None:
+        """Writes the row of a try whose want has ended."""
         if self._visits == "none" or (self._visits == "odd" and ask.want.outcome == "in time"):
             return
-        self._folder.row(
+        self._folder.write_row(
             "visits",
             {
                 "visit": ask.number,
@@ -313,16 +321,21 @@
     # -- rows over time --------------------------------------------------------------------------------------
 
     def window_ends(self, beliefs: list[dict[str, Any]], calls: int, probes: int) -> None:
-        """A window has ended: what its servers did, and the rows that can change no more."""
-        at = self._world.now - self._window
+        """Writes the server rows of the window that has ended, and the older rows that are final."""
+        at = self._world.now - self._window_ms
         t = round(at / 1e3, 3)
-        row = self._row(at)
+        row = self._window_row(at)
         row.calls, row.probes = calls, probes
         for server in self._servers:
             server.changed()
-            held, busy, done, away = self._areas.get(server, (0.0, 0.0, 0, 0))
-            self._areas[server] = (server.held_area, server.busy_area, server.done, server.turned_away)
-            self._folder.row(
+            held, busy, done, away = self._server_totals.get(server, (0.0, 0.0, 0, 0))
+            self._server_totals[server] = (
+                server.held_area,
+                server.busy_area,
+                server.done,
+                server.turned_away,
+            )
+            self._folder.write_row(
                 "servers",
                 {
                     "t": t,
@@ -333,37 +346,38 @@
                     "slow": round(
                         server.slow * (server.crowded if self._world.now < server.crowded_until else 1.0), 3
                     ),
-                    "held": round((server.held_area - held) / self._window, 3),
-                    "busy": round((server.busy_area - busy) / self._window / server.cores, 3),
+                    "held": round((server.held_area - held) / self._window_ms, 3),
+                    "busy": round((server.busy_area - busy) / self._window_ms / server.cores, 3),
                     "done": server.done - done,
                     "turned_away": server.turned_away - away,
                 },
             )
         for belief in beliefs:
-            self._folder.row("beliefs", {"t": t, **belief})
-        # a want may end as long as its client timeout after its window
-        self._write(int((self._world.now - self._longest - 1_000.0) / self._window))
-
-    def _write(self, before: int) -> None:
-        for place in sorted(p for p in self._rows if p < before):
-            row = self._rows.pop(place)
-            delays = self._delays.pop(place, None)
-            if delays is not None:
-                figures = quantiles(delays)
+            self._folder.write_row("beliefs", {"t": t, **belief})
+        # a want may end up to its client timeout after its window
+        self._write_windows(int((self._world.now - self._longest_timeout - 1_000.0) / self._window_ms))
+
+    def _write_windows(self, before: int) -> None:
+        """Writes the rows of all windows with a number under `before`."""
+        for window in sorted(p for p in self._rows if p < before):
+            row = self._rows.pop(window)
+            latencies = self._latencies.pop(window, None)
+            if latencies is not None:
+                figures = quantiles(latencies)
                 row.p50, row.p90, row.p99 = figures["p50"], figures["p90"], figures["p99"]
-            self._folder.row("time", row)
-            if row.t * 1e3 >= self._settle:
-                self._stretch.append((row.t, row.asked, row.gain))
+            self._folder.write_row("time", row)
+            if row.t * 1e3 >= self._settle_until:
+                self._window_gains.append((row.t, row.asked, row.gain))
 
-    def end(self) -> None:
-        self._write(1 << 60)
+    def finish(self) -> None:
+        self._write_windows(1 << 60)
 
-    def worst(self, span: float = 10.0) -> float:
-        """The gain over what was asked in the worst stretch of so many s."""
+    def worst_gain(self, span: float = 10.0) -> float:
+        """The lowest share of the possible gain that was earned in any `span` seconds."""
         shares = []
-        for t, _, _ in self._stretch:
-            inside = [(a, g) for at, a, g in self._stretch if t <= at < t + span]
+        for t, _, _ in self._window_gains:
+            inside = [(a, g) for at, a, g in self._window_gains if t <= at < t + span]
             asked = sum(a for a, _ in inside)
-            if t + span <= self._stretch[-1][0] + self._window / 1e3 + 1e-6 and asked:
+            if t + span <= self._window_gains[-1][0] + self._window_ms / 1e3 + 1e-6 and asked:
                 shares.append(sum(g for _, g in inside) / asked)
         return min(shares, default=self.total.gain / self.total.asked if self.total.asked else 0.0)
--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -13,7 +13,7 @@
 from ospreyline.lab.clients import Clients, Front, Want
 from ospreyline.lab.faults import Script
 from ospreyline.lab.links import Links
-from ospreyline.lab.records import Folder, Records, quantiles
+from ospreyline.lab.records import RecordFolder, Records, quantiles
 from ospreyline.lab.referee import Referee
 from ospreyline.lab.registry import Registry
 from ospreyline.lab.scenario import KINDS, SCOPES, Group, Scenario, Span
@@ -67,7 +67,7 @@
         self.streams = Streams(seed)
         self.links = Links(scenario.links, self.streams.uniform("links"))
         self.registry = Registry(self.world, scenario.registry, self.streams.uniform("registry"))
-        self.folder = Folder(path)
+        self.folder = RecordFolder(path)
         self.servers: list[Server] = []
         self.retired: set[Server] = set()
         self._speed_uniform = self.streams.uniform("speeds")
@@ -115,7 +115,13 @@
         for number in range(scenario.bank.count):
             self._start(number)
         self.clients = Clients(
-            self.world, scenario, self.links, self.streams, self.front, self._want_ended, self.records.tried
+            self.world,
+            scenario,
+            self.links,
+            self.streams,
+            self.front,
+            self._want_ended,
+            self.records.try_sent,
         )
 
     # -- servers and balancers -------------------------------------------------------------------------------
@@ -203,7 +209,7 @@
     # -- the run ---------------------------------------------------------------------------------------------
 
     def _want_ended(self, want: Want) -> None:
-        self.records.wanted(want)
+        self.records.want_ended(want)
 
     def _end_window(self) -> None:
         self.records.window_ends(
@@ -239,7 +245,7 @@
     def go(self) -> dict[str, Any]:
         """Runs until the last want has ended; the summary."""
         day = self.scenario.day
-        self.folder.whole(
+        self.folder.write_json(
             "run",
             {
                 "scenario": msgspec.to_builtins(self.scenario),
@@ -261,15 +267,15 @@
         self.world.run(day.seconds * 1e3)
         longest = max(p.timeout_ms for p in self.scenario.prefixes)
         self.world.run(day.seconds * 1e3 + 2 * longest + 1_000.0)
-        self.records.end()
+        self.records.finish()
         summary = self.summary()
         for breach in self.referee.breaches:
-            self.folder.row("breaches", breach)
+            self.folder.write_row("breaches", breach)
         for entry in self.script.log:
-            self.folder.row("faults", entry)
+            self.folder.write_row("faults", entry)
         for at, number, text in self.around.logged:
-            self.folder.row("log", {"at": round(at, 3), "balancer": number, "text": text})
-        self.folder.whole("summary", summary)
+            self.folder.write_row("log", {"at": round(at, 3), "balancer": number, "text": text})
+        self.folder.write_json("summary", summary)
         self.folder.close()
         return summary
 
@@ -279,7 +285,7 @@
         wanted = max(1, total.wanted)
         gain = total.gain / total.asked if total.asked else 0.0
         crossing = s.goal.cross_fee * total.crossed / wanted
-        area, sojourn = records.little()
+        area, sojourn = records.littles_law()
         return {
             "name": s.name,
             "seed": self.seed,
@@ -287,7 +293,7 @@
             "gain": round(gain, 6),
             "net_gain": round(gain - crossing, 6),
             "crossing": round(crossing, 6),
-            "worst": round(records.worst(), 6),
+            "worst": round(records.worst_gain(), 6),
             "wanted": total.wanted,
             "in_time": round(total.in_time / wanted, 6),
             "late": round(total.late / wanted, 6),
@@ -299,7 +305,7 @@
             "fetches": total.fetches,
             "crossed": total.crossed,
             "ends": dict(sorted(total.ends.items())),
-            **quantiles(records.delays),
+            **quantiles(records.latencies),
             "prefixes": {
                 p.name: round(r.gain / r.asked, 6) if r.asked else None
                 for p, r in zip(s.prefixes, records.by_prefix, strict=True)
@@ -309,7 +315,7 @@
                 for i, r in sorted(records.tenants.items())
             },
             "breaches": self.referee.counts(),
-            "pushed": round(self.referee.pushed, 4),
+            "pushed": round(self.referee.cold_peak_share, 4),
             "effects_twice": self.referee.effects_twice,
             "calls": self.registry.calls,
             "calls_failed": self.registry.failed,
--- a/ospreyline/lab/sweep.py
+++ b/ospreyline/lab/sweep.py
@@ -150,9 +150,9 @@
 def read(folder: Path) -> list[dict[str, Any]]:
     """The rows of a sweep that was played, or the one row of a single run."""
     if (folder / "rows.jsonl").exists():
-        return list(records.rows(folder, "rows"))
+        return list(records.read_rows(folder, "rows"))
     if (folder / "summary.json").exists():
-        summary = records.whole(folder, "summary")
+        summary = records.read_json(folder, "summary")
         return [{"settings": {}, "seed": summary["seed"], "arm": summary["arm"], "summary": summary}]
     raise records.RecordError(f"{folder}: neither a run nor a sweep that was played to its end")
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -109,7 +109,7 @@
         assert (tmp_path / "one" / name).read_bytes() == (tmp_path / "two" / name).read_bytes(), name
     cells = sweep.grid({"chance.count": [3]}, [5, 6, 7], ["ours"])
     together = sweep.run(small(), cells, tmp_path / "many", jobs=3)
-    assert together[0]["summary"] == records.whole(tmp_path / "one", "summary")
+    assert together[0]["summary"] == records.read_json(tmp_path / "one", "summary")
 
 
 # -- the model against theory -------------------------------------------------------------------------------
@@ -439,7 +439,7 @@
     assert invoke("plot", tmp_path / "run").exit_code == 0
     page = (tmp_path / "run" / "index.html").read_text()
     assert page.count("data:image/png;base64,") == 4 and "http" not in page
-    rows = list(records.rows(tmp_path / "run", "visits"))
+    rows = list(records.read_rows(tmp_path / "run", "visits"))
     crossed = next(r for r in rows if len(r["fetches"]) > 1)
     told = invoke("explain", tmp_path / "run", crossed["visit"]).output
     assert "fetch 2 to server" in told and "final answer" in told and "the client ended as" in told
