--- a/ospreyline/lab/command.py
+++ b/ospreyline/lab/command.py
@@ -1,4 +1,4 @@
-"""`ospreyline lab`: the laboratory on the command line."""
+"""The commands of the simulator, `ospreyline lab`."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     multiple=True,
     default=("net_gain",),
     show_default=True,
-    help="Of the summary, by dotted path.",
+    help="A figure of the summary, by dotted path.",
 )
 FOLDER = click.Path(file_okay=False, path_type=Path)
-ARM = click.option("--arm", "arms", multiple=True, help=f"What is played: {HELP}. Default: ours.")
+ARM = click.option("--arm", "arms", multiple=True, help=f"The arm to run: {HELP}. Default: ours.")
 SET = click.option(
     "--set",
     "settings",
     multiple=True,
     metavar="KEY=VALUE",
-    help="A key of the scenario by its dotted path, such as bank.count=30.",
+    help="Set a key of the scenario by its dotted path, such as bank.count=30.",
 )
 
 
-def _told(call: Callable[..., None]) -> Callable[..., None]:
-    """What is wrong with the input comes out as one line, and status 2."""
+def _reports_errors(call: Callable[..., None]) -> Callable[..., None]:
+    """Reports an error in the input as one line on stderr, with exit status 2."""
 
     @wraps(call)
     def wrapped(*args: Any, **kwargs: Any) -> None:
@@ -51,7 +51,8 @@
     return wrapped
 
 
-def _loaded(name: str, settings: tuple[str, ...]) -> Scenario:
+def _load(name: str, settings: tuple[str, ...]) -> Scenario:
+    """The scenario with the `--set` options applied."""
     from ospreyline.lab.sweep import parse_setting
 
     changes = {}
@@ -63,7 +64,8 @@
     return scenarios.change(scenarios.load(name), changes)
 
 
-def _line(summary: dict[str, Any]) -> str:
+def _summary_line(summary: dict[str, Any]) -> str:
+    """The summary of a run as one line."""
     broken = {rule: n for rule, n in summary["breaches"].items() if n}
     return (
         f"{summary['arm']}, seed {summary['seed']}: gain {summary['gain']:.4f}, less crossing "
@@ -75,13 +77,13 @@
 
 @click.group()
 def lab() -> None:
-    """Try designs on a model of fleets in simulated time."""
+    """Test designs on a simulated fleet."""
 
 
 @lab.command(name="list")
-@_told
+@_reports_errors
 def list_them() -> None:
-    """Name the scenarios that come with it."""
+    """List the shipped scenarios."""
     for name, text in scenarios.shipped().items():
         found = scenarios.parse(text)
         servers = sum(group.count for group in found.servers)
@@ -94,55 +96,60 @@
 @lab.command()
 @click.argument("scenario")
 @SET
-@_told
+@_reports_errors
 def show(scenario: str, settings: tuple[str, ...]) -> None:
-    """Print SCENARIO as it is in force, every key, as JSON."""
+    """Print all keys of SCENARIO with their values in force, as JSON."""
     import msgspec
 
-    found = _loaded(scenario, settings)
+    found = _load(scenario, settings)
     click.echo(msgspec.json.format(msgspec.json.encode(found)).decode())
 
 
 @lab.command()
 @click.argument("scenario", default="quiet")
-@click.option("--seed", default=1, show_default=True, help="Of all chance.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random draws.")
 @ARM
 @SET
-@click.option("--out", type=FOLDER, help="Folder for the records; without it only the summary is printed.")
+@click.option("--out", type=FOLDER, help="Folder for the records. Default: only print the summary.")
 @click.option(
     "--visits",
     type=click.Choice(["none", "odd", "all"]),
     default="none",
     show_default=True,
-    help="Which visits are kept one by one; odd: those whose client was not served in time.",
+    help="Which visits are recorded one by one; odd: those whose client was not served in time.",
 )
-@_told
+@_reports_errors
 def run(
     scenario: str, seed: int, arms: tuple[str, ...], settings: tuple[str, ...], out: Path | None, visits: str
 ) -> None:
-    """Play one day of SCENARIO, a file or the name of a shipped one."""
+    """Run SCENARIO once, a file or the name of a shipped one."""
     from ospreyline.lab.run import play
 
-    found = _loaded(scenario, settings)
+    found = _load(scenario, settings)
     names = arms or ("ours",)
     for arm in names:
         folder = out / arm.replace("/", "_").replace(":", "_") if out and len(names) > 1 else out
         begun = perf_counter()
         summary = play(found, seed, arm, folder, visits)
-        click.echo(f"{_line(summary)}; {perf_counter() - begun:.1f} s")
+        click.echo(f"{_summary_line(summary)}; {perf_counter() - begun:.1f} s")
         if folder:
             click.echo(f"records in {folder}")
 
 
 @lab.command()
 @click.argument("scenario")
-@click.option("--out", type=FOLDER, required=True, help="Folder; the same call goes on where it was.")
-@click.option("--seeds", default=5, show_default=True, help="How many, from 1 on.")
+@click.option(
+    "--out",
+    type=FOLDER,
+    required=True,
+    help="Folder for the results; the same command resumes a stopped sweep.",
+)
+@click.option("--seeds", default=5, show_default=True, help="Number of seeds, counted from 1.")
 @ARM
-@click.option("--grid", "grids", multiple=True, metavar="KEY=V,V", help="A key and the values that it takes.")
+@click.option("--grid", "grids", multiple=True, metavar="KEY=V,V", help="A key and the values to try.")
 @SET
-@click.option("--jobs", default=0, help="Processes; 0: one a core.")
-@_told
+@click.option("--jobs", default=0, help="Processes; 0: one for each core.")
+@_reports_errors
 def sweep(
     scenario: str,
     out: Path,
@@ -152,14 +159,14 @@
     settings: tuple[str, ...],
     jobs: int,
 ) -> None:
-    """Play SCENARIO over a grid of keys, seeds and arms. Ctrl-C loses nothing: call it again."""
+    """Run SCENARIO over a grid of keys, seeds and arms. After Ctrl-C the same command resumes."""
     from ospreyline.lab import sweep as sweeps
 
-    base = _loaded(scenario, settings)
+    base = _load(scenario, settings)
     cells = sweeps.grid(
         dict(sweeps.parse_setting(text) for text in grids), range(1, seeds + 1), arms or ("ours",)
     )
-    sweeps.check(base, cells)
+    sweeps.check_cells(base, cells)
     with click.progressbar(length=len(cells), label="runs", file=sys.stderr) as bar:
 
         def progress(done: int, total: int) -> None:
@@ -186,11 +193,13 @@
 @lab.command()
 @click.argument("a")
 @click.argument("b")
-@click.option("--in", "folder", type=FOLDER, help="A sweep whose arms A and B are; else they are folders.")
+@click.option(
+    "--in", "folder", type=FOLDER, help="A sweep with the arms A and B. Default: A and B are folders."
+)
 @FIGURE
-@_told
+@_reports_errors
 def compare(a: str, b: str, folder: Path | None, figures: tuple[str, ...]) -> None:
-    """Hold B against A, paired by settings and seed."""
+    """Compare B with A, paired by settings and seed."""
     from ospreyline.lab import compare as comparing
     from ospreyline.lab.sweep import read
 
@@ -214,9 +223,9 @@
 @lab.command()
 @click.argument("folder", type=FOLDER)
 @FIGURE
-@_told
+@_reports_errors
 def plot(folder: Path, figures: tuple[str, ...]) -> None:
-    """Draw a run or a sweep: PNG files and one page, index.html."""
+    """Plot a run or a sweep: PNG files and one page, index.html."""
     from ospreyline.lab.plot import plot as draw
 
     for path in draw(folder, figures):
@@ -226,48 +235,48 @@
 @lab.command()
 @click.argument("folder", type=FOLDER)
 @click.argument("visit", type=int)
-@_told
+@_reports_errors
 def explain(folder: Path, visit: int) -> None:
-    """Tell the life of one visit of a run that kept its visits."""
-    from ospreyline.lab.explain import explain as tell
+    """Show the course of one visit of a run that recorded its visits."""
+    from ospreyline.lab.explain import explain as describe
 
-    click.echo(tell(folder, visit))
+    click.echo(describe(folder, visit))
 
 
 @lab.command()
-@click.option("--visits", default=200_000, show_default=True, help="For each case.")
+@click.option("--visits", default=200_000, show_default=True, help="Visits in each case.")
 @click.option("--seed", default=1, show_default=True)
-@_told
+@_reports_errors
 def theory(visits: int, seed: int) -> None:
-    """Hold the model of a server against queueing theory; status 1 if one case does not agree."""
+    """Compare the simulated server with queueing theory; status 1 if a case does not agree."""
     from ospreyline.lab import theory as theories
 
     if visits < 40 * theories.BATCHES:
         raise ScenarioError(f"--visits: {visits} is too few for {theories.BATCHES} batches")
     click.echo(f"{'case':58} {'theory':>9} {'model':>9} {'error':>8} {'95% +-':>8}")
-    well = True
-    verdicts = [theories.judge(case, visits, seed) for case in theories.CASES]
-    verdicts += [theories.little(case, visits // 4, seed) for case in theories.CASES[:3]]
+    all_agree = True
+    verdicts = [theories.check_case(case, visits, seed) for case in theories.CASES]
+    verdicts += [theories.check_littles_law(case, visits // 4, seed) for case in theories.CASES[:3]]
     for v in verdicts:
-        well = well and v.holds
+        all_agree = all_agree and v.holds
         click.echo(
             f"{v.name:58} {v.theory:9.4f} {v.model:9.4f} {v.error:+8.2%} {v.half_width:8.4f}"
             + ("" if v.holds else "  DOES NOT AGREE")
         )
-    sys.exit(0 if well else 1)
+    sys.exit(0 if all_agree else 1)
 
 
 @lab.command()
 @click.argument("scenario", default="large")
-@click.option("--sizes", default="3,10,30,100,300,1000", show_default=True, help="Of the bank.")
-@click.option("--profile", is_flag=True, help="One run as it is, with the time of each function.")
+@click.option("--sizes", default="3,10,30,100,300,1000", show_default=True, help="Sizes of the bank.")
+@click.option("--profile", is_flag=True, help="Profile one run of the scenario instead.")
 @SET
-@_told
+@_reports_errors
 def bench(scenario: str, sizes: str, profile: bool, settings: tuple[str, ...]) -> None:
-    """Measure how fast the model runs, by the size of the bank."""
+    """Measure the speed of the simulator by the size of the bank."""
     from ospreyline.lab import speed
 
-    found = _loaded(scenario, settings)
+    found = _load(scenario, settings)
     if profile:
         click.echo(speed.profile(found))
         return
@@ -279,14 +288,20 @@
 
 
 @lab.command()
-@click.option("--sizes", default="3,30,100,400,1000", show_default=True, help="Of the bank.")
-@click.option("--calls-per-s", default=250.0, show_default=True, help="What the list service can do.")
-@click.option("--down", default=0.0, show_default=True, help="s for which it is down from the start.")
-@click.option("--boot", default=2.0, show_default=True, help="s within which all processes are up.")
+@click.option("--sizes", default="3,30,100,400,1000", show_default=True, help="Sizes of the bank.")
+@click.option(
+    "--calls-per-s", default=250.0, show_default=True, help="Calls that the list service can answer."
+)
+@click.option(
+    "--down", default=0.0, show_default=True, help="Seconds for which the list service is down at first."
+)
+@click.option(
+    "--boot", default=2.0, show_default=True, help="Seconds within which all processes have started."
+)
 @click.option("--seed", default=1, show_default=True)
-@_told
+@_reports_errors
 def start(sizes: str, calls_per_s: float, down: float, boot: float, seed: int) -> None:
-    """The opening calls of a bank that starts at once, with and without the pace of the operator's file."""
+    """Simulate the list calls of a bank that starts at once, with and without the operator file's pacing."""
     from ospreyline.lab.start import HEADER, opening
 
     if not all(word.isdigit() and int(word) for word in sizes.split(",")):
@@ -300,18 +315,18 @@
 
 
 @lab.command()
-@click.option("--sizes", default="3,10,20,30,200,1000", show_default=True, help="Of the bank.")
-@click.option("--budgets", default="1,3,10,30,100", show_default=True, help="N: visits in a window.")
-@click.option("--shape", "shapes", multiple=True, help="What is asked of whom. Default: all.")
-@click.option("--without", default="", help="A part of the rule that is taken out: means, half or chance.")
+@click.option("--sizes", default="3,10,20,30,200,1000", show_default=True, help="Sizes of the bank.")
+@click.option("--budgets", default="1,3,10,30,100", show_default=True, help="N: visits allowed in a window.")
+@click.option("--shape", "shapes", multiple=True, help="Which balancers get the visits. Default: all shapes.")
+@click.option("--without", default="", help="A part of the rule to leave out: means, half or chance.")
 @click.option("--draws", default=50, show_default=True)
 @click.option("--jobs", default=1, show_default=True, help="Processes.")
-@_told
+@_reports_errors
 def cold(sizes: str, budgets: str, shapes: tuple[str, ...], without: str, draws: int, jobs: int) -> None:
-    """What all balancers together send to a cold server, against N + 2 root N + 2; status 1 if over.
+    """Compare what all balancers together send to a cold server with N + 2 sqrt(N) + 2; status 1 if over.
 
-    over: windows over the bound; broken: those of them with two thirds from balancers that had been told;
-    most/N, used: the fullest window and the mean one.
+    over: windows over the bound; broken: those of them with two thirds from balancers that knew of the
+    start; most/N, used: the fullest window and the mean one.
     """
     from concurrent.futures import ProcessPoolExecutor
     from itertools import product, repeat
@@ -337,13 +352,15 @@
 
 
 @lab.command()
-@click.option("--sizes", default="10,50,100,300", show_default=True, help="Of the bank.")
+@click.option("--sizes", default="10,50,100,300", show_default=True, help="Sizes of the bank.")
 @click.option("--loss", default=0.0, show_default=True, help="Share of messages that are lost.")
-@click.option("--seconds", default=60.0, show_default=True, help="At rest, before members are lost.")
+@click.option(
+    "--seconds", default=60.0, show_default=True, help="Seconds of steady state before members are lost."
+)
 @click.option("--seed", default=1, show_default=True)
-@_told
+@_reports_errors
 def mesh(sizes: str, loss: float, seconds: float, seed: int) -> None:
-    """Membership of a bank: messages at rest, the time until a dead one is known, wrong deaths."""
+    """Measure membership: messages in steady state, time until a death is noticed, false deaths."""
     from ospreyline.lab.mesh import measured
 
     if not all(word.isdigit() and int(word) > 3 for word in sizes.split(",")):
--- a/ospreyline/lab/compare.py
+++ b/ospreyline/lab/compare.py
@@ -1,8 +1,7 @@
-"""Two arms or two sweeps held against each other, paired by settings and seed.
+"""Compares two arms or two sweeps, paired by settings and seed.
 
-The difference of the means gets a 95% interval by bootstrap over the pairs (10,000 resamples, a fixed
-seed, so the same rows give the same words). With fewer than six pairs the interval is said to be too few
-to trust.
+The difference of the means gets a 95% interval by bootstrap over the pairs (10,000 resamples, a fixed seed,
+so the same rows give the same sentence). Under six pairs the sentence says that they are too few.
 """
 
 from __future__ import annotations
@@ -15,12 +14,12 @@
 import numpy as np
 
 RESAMPLES = 10_000
-FEW = 6  # pairs that are too few for an interval
+MIN_PAIRS = 6  # fewer are too few for an interval
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """B less A of one figure, over pairs."""
+    """B minus A of one figure, over pairs; `low` and `high` bound the 95% interval."""
 
     figure: str
     pairs: int
@@ -34,11 +33,11 @@
         return self.b - self.a
 
     def sentence(self, a: str, b: str) -> str:
-        """What it says, in plain words."""
+        """The result as one sentence."""
         if not self.pairs:
             return f"{a} and {b} have no run with the same settings and seed"
         by = f"{self.mean:+.4f} ({self.a:.4f} to {self.b:.4f}, 95% from {self.low:+.4f} to {self.high:+.4f})"
-        if self.pairs < FEW:
+        if self.pairs < MIN_PAIRS:
             return f"{self.figure}: {b} against {a} {by}; {self.pairs} pairs are too few to say more"
         if self.low > 0 or self.high < 0:
             return (
@@ -48,7 +47,7 @@
 
 
 def figure(row: Mapping[str, Any], name: str) -> float:
-    """A figure of a row's summary by dotted path, such as `net_gain` or `breaches.cold`."""
+    """A figure of a row's summary by dotted path, such as `breaches.cold`; `KeyError` if there is none."""
     value: Any = row["summary"]
     for step in name.split("."):
         if not isinstance(value, Mapping) or step not in value:
@@ -69,18 +68,18 @@
 
 
 def paired(a: Sequence[Mapping[str, Any]], b: Sequence[Mapping[str, Any]], name: str) -> Difference:
-    """B less A over the runs that have the same settings and seed; an arm's name plays no part in pairing."""
+    """B minus A over the runs with the same settings and seed; the arm's name plays no part in pairing."""
 
-    def keyed(rows: Sequence[Mapping[str, Any]]) -> dict[bytes, float]:
+    def by_pair(rows: Sequence[Mapping[str, Any]]) -> dict[bytes, float]:
         return {
             msgspec.json.encode([row["settings"], row["seed"]], order="deterministic"): figure(row, name)
             for row in rows
         }
 
-    first, second = keyed(a), keyed(b)
-    both = [k for k in first if k in second]
-    if not both:
+    first, second = by_pair(a), by_pair(b)
+    common = [k for k in first if k in second]
+    if not common:
         return Difference(name, 0, 0.0, 0.0, 0.0, 0.0)
-    x, y = [first[k] for k in both], [second[k] for k in both]
+    x, y = [first[k] for k in common], [second[k] for k in common]
     low, high = interval([q - p for p, q in zip(x, y, strict=True)])
-    return Difference(name, len(both), sum(x) / len(x), sum(y) / len(y), low, high)
+    return Difference(name, len(common), sum(x) / len(x), sum(y) / len(y), low, high)
--- a/ospreyline/lab/explain.py
+++ b/ospreyline/lab/explain.py
@@ -1,6 +1,4 @@
-"""The life of one visit, as a table: its client's tries, what each balancer was asked, each fetch and its
-end.
-"""
+"""The course of one visit as a table: the client's tries, the balancer of each, each fetch and its end."""
 
 from __future__ import annotations
 
@@ -11,7 +9,7 @@
 
 
 def explain(folder: Path, visit: int) -> str:
-    """The story of a visit by its number, with the other tries of the same client."""
+    """Describes a visit by its number, with the other tries of its want; `RecordError` if not recorded."""
     path = folder / "visits.jsonl"
     if not path.exists():
         raise records.RecordError(f"{path}: no visits were kept; run with --visits all")
@@ -26,10 +24,10 @@
         raise records.RecordError(f"{path}: no visit {visit} is kept there (numbers go to {last})")
     tries = sorted((row for row in found if row["want"] == want), key=lambda row: row["sent"])
     first = tries[0]["sent"]
-    table = [("ms", "what")]
+    lines = [("ms", "what")]
 
     def line(at: float | None, text: str) -> None:
-        table.append(("" if at is None else f"{at - first:10.1f}", text))
+        lines.append(("" if at is None else f"{at - first:10.1f}", text))
 
     for row in tries:
         mark = " (the one asked for)" if row["visit"] == visit and len(tries) > 1 else ""
@@ -58,4 +56,4 @@
         if row["at"] is None:
             line(None, f"  no answer came to the client ({row['answer'] or 'none'})")
     line(None, f"the client ended as: {tries[-1]['outcome'] or 'still open'}")
-    return "\n".join(f"{at:>10}  {text}" for at, text in table)
+    return "\n".join(f"{at:>10}  {text}" for at, text in lines)
--- a/ospreyline/lab/plot.py
+++ b/ospreyline/lab/plot.py
@@ -1,4 +1,4 @@
-"""Plots of a run or a sweep: PNG files, and one HTML page that holds them and needs nothing else."""
+"""Plots of a run or a sweep: PNG files and one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -22,28 +22,29 @@
 from ospreyline.lab.compare import interval
 from ospreyline.lab.sweep import by_settings, read
 
-STYLE = {"in time": "#3a7d44", "late": "#e0a030", "failed": "#b03030"}
+OUTCOME_COLOURS = {"in time": "#3a7d44", "late": "#e0a030", "failed": "#b03030"}
 
 
 def _page(
     title: str, parts: Sequence[tuple[str, bytes]], table: Mapping[str, Any], notes: Sequence[str]
 ) -> str:
     rows = "".join(f"<tr><th>{escape(str(k))}</th><td>{escape(str(v))}</td></tr>" for k, v in table.items())
-    pictures = "".join(
+    images = "".join(
         f'<h2>{escape(name)}</h2><img alt="{escape(name)}" src="data:image/png;base64,'
         f'{base64.b64encode(png).decode()}">'
         for name, png in parts
     )
-    said = "".join(f"<p>{escape(note)}</p>" for note in notes)
+    paragraphs = "".join(f"<p>{escape(note)}</p>" for note in notes)
     return (
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{escape(title)}</title>"
         "<style>body{font:15px sans-serif;margin:2em;max-width:75em}img{max-width:100%}"
         "th{text-align:left;padding-right:2em;font-weight:normal;color:#555}</style>"
-        f"<h1>{escape(title)}</h1>{said}<table>{rows}</table>{pictures}</html>\n"
+        f"<h1>{escape(title)}</h1>{paragraphs}<table>{rows}</table>{images}</html>\n"
     )
 
 
-def _drawn(draw: Callable[[Figure], None], height: float = 3.4) -> bytes:
+def _render(draw: Callable[[Figure], None], height: float = 3.4) -> bytes:
+    """PNG data of a figure `height` inches high."""
     figure = plt.figure(figsize=(11, height), layout="constrained")
     draw(figure)
     buffer = BytesIO()
@@ -53,7 +54,7 @@
 
 
 def _shade(axes: Axes, faults: Sequence[Mapping[str, Any]]) -> None:
-    """The spans of the faults, named at the top."""
+    """Shades the time spans of the faults and labels them at the top."""
     for fault in faults:
         axes.axvspan(fault["from"], fault["to"], color="#888888", alpha=0.13, lw=0)
         axes.text(
@@ -67,21 +68,21 @@
         )
 
 
-def run_parts(folder: Path) -> list[tuple[str, bytes]]:
-    """The pictures of one run: outcomes, latency, load by zone and by server, what was believed."""
+def run_plots(folder: Path) -> list[tuple[str, bytes]]:
+    """The plots of one run, as titles and PNG data: outcomes, latency, load, balancers' estimates."""
     time = list(records.read_rows(folder, "time"))
     servers = list(records.read_rows(folder, "servers"))
     if not time:
         raise records.RecordError(f"{folder}: no window was recorded")
     most = max(row["wanted"] for row in time)
-    time = [row for row in time if row["wanted"] >= 0.05 * most]  # what comes after the day's end is left out
+    time = [row for row in time if row["wanted"] >= 0.05 * most]  # not the windows after the load has ended
     faults = list(records.read_rows(folder, "faults")) if (folder / "faults.jsonl").exists() else []
     t = [row["t"] for row in time]
 
     def outcomes(figure: Figure) -> None:
         left, right = figure.subplots(1, 2)
         parts = [[row[k] for row in time] for k in ("in_time", "late", "failed")]
-        left.stackplot(t, *parts, labels=list(STYLE), colors=list(STYLE.values()))
+        left.stackplot(t, *parts, labels=list(OUTCOME_COLOURS), colors=list(OUTCOME_COLOURS.values()))
         left.set(xlabel="s", ylabel="first tries by window", title="by how they ended")
         left.legend(loc="lower left", fontsize=8)
         share = [row["gain"] / row["asked"] if row["asked"] else float("nan") for row in time]
@@ -128,7 +129,7 @@
         for row in servers:
             if row["up"]:
                 grid[place[row["server"]]][at[row["t"]]] = row["held"]
-        picture = right.imshow(
+        image = right.imshow(
             grid,
             aspect="auto",
             origin="lower",
@@ -136,18 +137,21 @@
             cmap="viridis",
             extent=(times[0], times[-1], -0.5, len(numbers) - 0.5),
         )
-        figure.colorbar(picture, ax=right, label="held")
+        figure.colorbar(image, ax=right, label="held")
         right.set(xlabel="s", ylabel="server", title="held by each server (white: not up)")
 
-    parts = [("Outcomes", _drawn(outcomes)), ("Latency", _drawn(latency)), ("Load", _drawn(load, 4.2))]
+    parts = [("Outcomes", _render(outcomes)), ("Latency", _render(latency)), ("Load", _render(load, 4.2))]
     if (folder / "beliefs.jsonl").exists():
         parts.append(
-            ("What the balancers believed, and what was so", _drawn(_beliefs(folder, servers, faults), 4.0))
+            (
+                "What the balancers believed, and what was so",
+                _render(_plot_estimates(folder, servers, faults), 4.0),
+            )
         )
     return parts
 
 
-def _beliefs(
+def _plot_estimates(
     folder: Path, servers: Sequence[Mapping[str, Any]], faults: Sequence[Mapping[str, Any]]
 ) -> Callable[[Figure], None]:
     beliefs = list(records.read_rows(folder, "beliefs"))
@@ -155,15 +159,17 @@
     def draw(figure: Figure) -> None:
         left, right = figure.subplots(1, 2)
         for zone in sorted({row["zone"] for row in beliefs}):
-            mine = [row for row in beliefs if row["zone"] == zone]
+            zone_rows = [row for row in beliefs if row["zone"] == zone]
             left.plot(
-                [row["t"] for row in mine], [row["latency"] for row in mine], label=f"{zone}, believed ms"
+                [row["t"] for row in zone_rows],
+                [row["latency"] for row in zone_rows],
+                label=f"{zone}, believed ms",
             )
         first = beliefs[0]["zone"]
-        mine = [row for row in beliefs if row["zone"] == first]
+        zone_rows = [row for row in beliefs if row["zone"] == first]
         left.plot(
-            [row["t"] for row in mine],
-            [1e3 * row["short"] for row in mine],
+            [row["t"] for row in zone_rows],
+            [1e3 * row["short"] for row in zone_rows],
             "k:",
             lw=1,
             label="short of room, share x 1000",
@@ -186,9 +192,9 @@
     return draw
 
 
-def sweep_parts(rows: Sequence[Mapping[str, Any]], name: str) -> list[tuple[str, bytes]]:
-    """A figure over the first key that varies, one line an arm, with 95% bootstrap intervals."""
-    varied = _varied(rows)
+def sweep_plots(rows: Sequence[Mapping[str, Any]], name: str) -> list[tuple[str, bytes]]:
+    """A plot of one figure over the key that varies most, a line for each arm, 95% bootstrap intervals."""
+    varied = _most_varied_key(rows)
     names = sorted({row["arm"] for row in rows})
 
     def draw(figure: Figure) -> None:
@@ -214,11 +220,11 @@
             axes.set_xscale("log")
         axes.legend(fontsize=8)
 
-    return [(name, _drawn(draw, 4.2))]
+    return [(name, _render(draw, 4.2))]
 
 
-def _varied(rows: Sequence[Mapping[str, Any]]) -> str:
-    """The key that takes the most values."""
+def _most_varied_key(rows: Sequence[Mapping[str, Any]]) -> str:
+    """The key that takes the most values; empty if the rows have no settings."""
     values: dict[str, set[str]] = {}
     for row in rows:
         for path, value in row["settings"].items():
@@ -227,18 +233,18 @@
 
 
 def plot(folder: Path, figures: Sequence[str] = ("net_gain",)) -> list[Path]:
-    """Draw what a folder holds, a run or a sweep; the files written, the page last."""
+    """Plots the run or sweep in a folder; the paths of the files written, the page last."""
     notes: list[str] = []
     if (folder / "time.jsonl").exists():
         summary = records.read_json(folder, "summary")
-        parts = run_parts(folder)
+        parts = run_plots(folder)
         title = f"{summary['name']}, seed {summary['seed']}, {summary['arm']}"
         table = {k: v for k, v in summary.items() if not isinstance(v, dict)}
         table |= {f"breaches of {rule}": n for rule, n in summary["breaches"].items()}
     else:
         rows = read(folder)
         try:
-            parts = [part for name in figures for part in sweep_parts(rows, name)]
+            parts = [part for name in figures for part in sweep_plots(rows, name)]
         except KeyError as error:
             raise records.RecordError(f"{folder}: no figure {error.args[0]!r} in its rows") from error
         title = f"{rows[0]['summary']['name']}: a sweep of {len(rows)} runs"
--- a/ospreyline/lab/speed.py
+++ b/ospreyline/lab/speed.py
@@ -1,6 +1,4 @@
-"""How fast the model runs: events and visits a second of real time, by the size of the bank, and where time
-goes.
-"""
+"""Speed of the simulator: events and visits a second of real time by the size of the bank; a profile."""
 
 from __future__ import annotations
 
@@ -21,9 +19,10 @@
     visits: int
     events: int
     seconds: float  # of real time
-    memory: float  # MiB, the most of this process so far
+    memory: float  # MiB, peak of this process so far
 
     def line(self) -> str:
+        """A row under `HEADER`."""
         return (
             f"{self.balancers:9d}  {self.visits:8d}  {self.events:10d}  {self.seconds:8.1f}  "
             f"{self.events / self.seconds:12.0f}  {self.visits / self.seconds:12.0f}  {self.memory:9.0f}"
@@ -34,7 +33,7 @@
 
 
 def measure(base: Scenario, balancers: int, seed: int = 1) -> Speed:
-    """Play a scenario with so many balancers, in this process, nothing written."""
+    """Runs a scenario with so many balancers, in this process, without records."""
     run = Run(change(base, {"bank.count": balancers}), seed)
     begun = perf_counter()
     summary = run.go()
@@ -44,7 +43,7 @@
 
 
 def profile(base: Scenario, seed: int = 1, lines: int = 25) -> str:
-    """Where the time of one run goes, by own time of each function."""
+    """Profile of one run, sorted by the own time of the functions."""
     run = Run(base, seed)
     profiler = cProfile.Profile()
     profiler.enable()
--- a/ospreyline/lab/sweep.py
+++ b/ospreyline/lab/sweep.py
@@ -1,9 +1,8 @@
-"""Many runs: a grid over keys, seeds and arms, in all cores, resumable.
+"""Sweeps: runs over a grid of keys, seeds and arms, in parallel processes, resumable.
 
-Every cell (settings, seed, arm) is played alone and its summary written whole, by renaming, under
-`cells/`, named by a hash of all that decides its result. A sweep that was stopped is begun again by the
-same call: what stands there is not played again, what was cut short left nothing. The order of cells
-changes no result.
+Each cell (settings, seed, arm) is run on its own. Its summary is written atomically (by a rename) under
+`cells/`, named by a hash of all that decides the result. The same command resumes a stopped sweep: finished
+cells are not run again, unfinished ones leave no result. The order of cells changes no result.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 def grid(settings: Mapping[str, Sequence[Any]], seeds: Sequence[int], names: Sequence[str]) -> list[Cell]:
-    """All cells, arms of one seed beside each other."""
+    """All cells of the grid; the arms of one seed are adjacent."""
     paths = list(settings)
     return [
         Cell(tuple(zip(paths, values, strict=True)), seed, arm)
@@ -45,21 +44,21 @@
 
 
 def parse_setting(text: str) -> tuple[str, list[Any]]:
-    """`bank.count=3,10,30` as a path and its values, each read as TOML where it is, else as text."""
+    """`bank.count=3,10,30` as a path and its values, each read as JSON if possible, else as text."""
     path, equals, values = text.partition("=")
     if not equals or not path or not values:
         raise ScenarioError(f"{text}: not of the form key=value,value")
     out: list[Any] = []
-    for word in values.split(","):
+    for value in values.split(","):
         try:
-            out.append(msgspec.json.decode(word.strip()))
+            out.append(msgspec.json.decode(value.strip()))
         except msgspec.DecodeError:
-            out.append(word.strip())
+            out.append(value.strip())
     return path.strip(), out
 
 
-def key(base: Scenario, cell: Cell, text: str) -> str:
-    """What decides a cell's result, as a name: scenario in force, seed, arm and the text of its module."""
+def cell_key(base: Scenario, cell: Cell, text: str) -> str:
+    """Hash of all that decides a cell's result: scenario in force, seed, arm and the source of its module."""
     whole = msgspec.json.encode(
         [msgspec.to_builtins(scenario.change(base, dict(cell.settings))), cell.seed, cell.arm, text],
         order="deterministic",
@@ -67,23 +66,24 @@
     return xxhash.xxh3_128_hexdigest(whole)
 
 
-def _ignore() -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # guards: Ctrl-C is for the parent, which then ends in order
+def _ignore_sigint() -> None:
+    # only the parent handles Ctrl-C, and then stops the workers in order
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def _play(base: Scenario, cell: Cell, target: Path) -> dict[str, Any]:
-    """Play one cell and put its summary where it belongs, whole or not at all."""
+def _run_cell(base: Scenario, cell: Cell, target: Path) -> dict[str, Any]:
+    """Runs one cell and writes its row to `target` atomically."""
     changed = scenario.change(base, dict(cell.settings))
     summary = play(changed, cell.seed, cell.arm)
     row = {"settings": dict(cell.settings), "seed": cell.seed, "arm": cell.arm, "summary": summary}
-    part = target.with_suffix(f".{os.getpid()}.part")
-    part.write_bytes(msgspec.json.encode(row, order="deterministic") + b"\n")
-    part.replace(target)
+    partial = target.with_suffix(f".{os.getpid()}.part")
+    partial.write_bytes(msgspec.json.encode(row, order="deterministic") + b"\n")
+    partial.replace(target)
     return row
 
 
-def check(base: Scenario, cells: Sequence[Cell]) -> None:
-    """Raise `ScenarioError` for what cannot be played, before anything is."""
+def check_cells(base: Scenario, cells: Sequence[Cell]) -> None:
+    """Raises `ScenarioError` for a cell that cannot be run; called before any is run."""
     for cell in cells:
         scenario.change(base, dict(cell.settings))
     for arm in sorted({cell.arm for cell in cells}):
@@ -97,17 +97,17 @@
     jobs: int,
     progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> list[dict[str, Any]]:
-    """Play all cells that have no result yet; the rows of all, in the order of the cells.
+    """Runs all cells that have no result yet; returns the rows of all, in the order of the cells.
 
-    A `KeyboardInterrupt` ends the workers after the cells they are at and is passed on; nothing is lost.
+    On `KeyboardInterrupt` the workers finish their current cells, whose results are kept; it is re-raised.
     """
-    check(base, cells)
+    check_cells(base, cells)
     texts = {arm: arms.source_text(arm) for arm in sorted({cell.arm for cell in cells})}
-    place = folder / "cells"
+    cells_folder = folder / "cells"
     try:
-        place.mkdir(parents=True, exist_ok=True)
-        for left in place.glob("*.part"):
-            left.unlink()
+        cells_folder.mkdir(parents=True, exist_ok=True)
+        for partial in cells_folder.glob("*.part"):
+            partial.unlink()
         (folder / "sweep.json").write_bytes(
             msgspec.json.format(
                 msgspec.json.encode(
@@ -122,13 +122,13 @@
         )
     except OSError as error:
         raise records.RecordError(f"{folder}: {error.strerror}") from error
-    targets = [place / f"{key(base, cell, texts[cell.arm])}.json" for cell in cells]
+    targets = [cells_folder / f"{cell_key(base, cell, texts[cell.arm])}.json" for cell in cells]
     missing = [(cell, target) for cell, target in zip(cells, targets, strict=True) if not target.exists()]
     done = len(cells) - len(missing)
     progress(done, len(cells))
     if missing:
-        with ProcessPoolExecutor(max(1, min(jobs, len(missing))), initializer=_ignore) as pool:
-            waiting: set[Future[dict[str, Any]]] = {pool.submit(_play, base, *m) for m in missing}
+        with ProcessPoolExecutor(max(1, min(jobs, len(missing))), initializer=_ignore_sigint) as pool:
+            waiting: set[Future[dict[str, Any]]] = {pool.submit(_run_cell, base, *m) for m in missing}
             try:
                 while waiting:
                     ended, waiting = wait(waiting, return_when=FIRST_COMPLETED)
@@ -148,7 +148,7 @@
 
 
 def read(folder: Path) -> list[dict[str, Any]]:
-    """The rows of a sweep that was played, or the one row of a single run."""
+    """The rows of a finished sweep, or the one row of a single run."""
     if (folder / "rows.jsonl").exists():
         return list(records.read_rows(folder, "rows"))
     if (folder / "summary.json").exists():
@@ -160,7 +160,7 @@
 def by_settings(
     rows: Sequence[Mapping[str, Any]],
 ) -> Iterator[tuple[dict[str, Any], list[Mapping[str, Any]]]]:
-    """Rows of the same settings together, in the order in which they come first."""
+    """Groups rows by their settings, in the order of their first rows."""
     groups: dict[bytes, list[Mapping[str, Any]]] = {}
     for row in rows:
         groups.setdefault(msgspec.json.encode(row["settings"], order="deterministic"), []).append(row)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -117,17 +117,17 @@
 
 @pytest.mark.parametrize("case", theory.CASES, ids=lambda case: case.name)
 def test_the_server_agrees_with_theory(case):
-    assert theory.judge(case, visits=20_000).holds
+    assert theory.check_case(case, visits=20_000).holds
 
 
 @pytest.mark.parametrize("case", theory.CASES[:3], ids=lambda case: case.name)
 def test_held_on_the_mean_is_rate_times_time(case):
-    assert theory.little(case, visits=5_000).holds
+    assert theory.check_littles_law(case, visits=5_000).holds
 
 
 def test_a_server_of_the_wrong_speed_does_not_agree(monkeypatch):
     monkeypatch.setattr(servers.Server, "speed", lambda self: 0.9)
-    assert not theory.judge(theory.CASES[1], visits=20_000).holds
+    assert not theory.check_case(theory.CASES[1], visits=20_000).holds
 
 
 # -- the referee --------------------------------------------------------------------------------------------
@@ -403,9 +403,9 @@
     path = tmp_path / "arm.py"
     path.write_text(BAD + "    pass\n")
     cell = sweep.Cell((), 1, f"file:{path}")
-    before = sweep.key(small(), cell, arms.source_text(cell.arm))
+    before = sweep.cell_key(small(), cell, arms.source_text(cell.arm))
     path.write_text(BAD + "    other = 1\n")
-    assert sweep.key(small(), cell, arms.source_text(cell.arm)) != before
+    assert sweep.cell_key(small(), cell, arms.source_text(cell.arm)) != before
 
 
 @pytest.mark.parametrize(
