--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The simulator: its clock, the model against queueing theory, the referee, faults, and the commands."""
+"""The simulator: clock, model against queueing theory, referee, faults, scenarios, sweeps and commands."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
     for name in "abc":
         world.at(5.0, seen.append, name)
     World.drop(world.at(5.0, seen.append, "dropped"))
-    world.at(1.0, lambda: world.at(0.0, seen.append, "late"))  # in the past: runs now
+    world.at(1.0, lambda: world.at(0.0, seen.append, "late"))  # in the past: runs at once
     world.run(10.0)
     assert seen == ["late", "a", "b", "c"]
     assert world.now == 10.0
@@ -132,16 +132,16 @@
 
 # -- the referee --------------------------------------------------------------------------------------------
 
-BAD = """
+RULE_BREAKING_ARM = """
 from ospreyline.lab.arms import BaselinePolicy, RandomChoice
 from ospreyline.host import End, Kind
 
 class Balancer(RandomChoice):
 """
-PLANTED = {
+VIOLATIONS = {
     "lost": """
-    def _give_up(self, visit, ran):
-        super()._give_up(visit, ran)
+    def _give_up(self, visit, prior):
+        super()._give_up(visit, prior)
         visit.upstreams.append(self.ready[0])
         visit.ends.append(None)
         visit.sent_at.append(0.0)
@@ -151,7 +151,7 @@
         self.host.send(visit.tag, self.ready[0].upstream, 100.0)
 """,
     "twice": """
-    def _may_send(self, visit, line, ran, now):
+    def _may_send(self, visit, line, prior, now):
         return True
 """,
     "drain": """
@@ -167,10 +167,10 @@
 }
 
 
-@pytest.mark.parametrize("rule", PLANTED)
+@pytest.mark.parametrize("rule", VIOLATIONS)
 def test_a_planted_breach_is_found(rule, tmp_path):
     path = tmp_path / "bad.py"
-    path.write_text(BAD + PLANTED[rule])
+    path.write_text(RULE_BREAKING_ARM + VIOLATIONS[rule])
     faults = {
         "lost": [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 0.5, "size": 0.5}],
         "twice": [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 0.5, "size": 0.5}],
@@ -185,7 +185,7 @@
 def test_a_visit_that_nobody_answers_is_found(tmp_path):
     path = tmp_path / "bad.py"
     path.write_text(
-        BAD
+        RULE_BREAKING_ARM
         + """
     def send_or_answer(self, visit, now):
         if visit.tag % 9:
@@ -198,9 +198,9 @@
 def test_a_bounce_that_promises_too_much_is_found(tmp_path):
     path = tmp_path / "bad.py"
     path.write_text(
-        BAD
+        RULE_BREAKING_ARM
         + """
-    def _give_up(self, visit, ran):
+    def _give_up(self, visit, prior):
         self.host.bounce(visit.tag, 0.0)
         visit.done = True
 """
@@ -211,14 +211,14 @@
 
 def test_a_mutating_visit_that_truly_ran_twice_is_counted(tmp_path):
     path = tmp_path / "bad.py"
-    path.write_text(BAD + PLANTED["twice"])
+    path.write_text(RULE_BREAKING_ARM + VIOLATIONS["twice"])
     assert play(small(**{"servers.0.error_rate": 0.2}), 1, f"file:{path}")["effects_twice"]
     assert not play(small(**{"servers.0.error_rate": 0.2}), 1)["effects_twice"]
 
 
 def test_a_server_pushed_over_while_cold_dies_and_comes_back(tmp_path):
     path = tmp_path / "bad.py"
-    path.write_text(BAD + PLANTED["cold"])
+    path.write_text(RULE_BREAKING_ARM + VIOLATIONS["cold"])
     settings = {
         "servers.0.tips": 2.0,
         "servers.0.restart_ms": 500.0,
@@ -239,27 +239,27 @@
     extra = {"zone-loss": 1.0, "heavy-tail": 0.05, "uneven": 2.0}.get(kind, 0.5)
     fault = {"kind": kind, "at_s": 1.5, "for_s": 2.5, "part": 0.4, "size": size, "extra": extra, "zone": ""}
     quiet = play(small(**{"registry.mode": mode}), 3)
-    met = play(small(faults=[fault], **{"registry.mode": mode}), 3)
-    assert not any(met["breaches"].values())
-    assert met["effects_twice"] == 0 and met["open"] == 0
-    assert met["little"]["area"] == pytest.approx(met["little"]["sojourn"], rel=1e-9)
-    assert met["events"] != quiet["events"]  # the fault had an effect
+    faulty = play(small(faults=[fault], **{"registry.mode": mode}), 3)
+    assert not any(faulty["breaches"].values())
+    assert faulty["effects_twice"] == 0 and faulty["open"] == 0
+    assert faulty["little"]["area"] == pytest.approx(faulty["little"]["sojourn"], rel=1e-9)
+    assert faulty["events"] != quiet["events"]  # the fault had an effect
 
 
 def test_a_rested_connection_is_replaced_in_the_laboratory(monkeypatch):
-    # The simulated balancer could not close idle connections, so a run with unresponsive servers failed.
+    # Fails if the simulated balancer cannot close idle connections: unresponsive servers then break the run.
     fault = {"kind": "mute", "at_s": 1.5, "for_s": 2.5, "part": 0.4}
-    drop, idle = bank.Balancer.drop, []
+    drop, idle_counts = bank.Balancer.drop, []
 
-    def dropped(self, upstream):
+    def counting_drop(self, upstream):
         before = len(self.idle.get(upstream, ()))
         drop(self, upstream)
-        idle.append((before, len(self.idle.get(upstream, ()))))
+        idle_counts.append((before, len(self.idle.get(upstream, ()))))
 
-    monkeypatch.setattr(bank.Balancer, "drop", dropped)
-    met = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
-    assert any(before for before, _ in idle) and not any(after for _, after in idle)
-    assert not any(met["breaches"].values()) and met["open"] == 0
+    monkeypatch.setattr(bank.Balancer, "drop", counting_drop)
+    faulty = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
+    assert any(before for before, _ in idle_counts) and not any(after for _, after in idle_counts)
+    assert not any(faulty["breaches"].values()) and faulty["open"] == 0
 
 
 @pytest.mark.parametrize("front", [bank.Balancer, Instance, Turn])
@@ -294,11 +294,11 @@
 
 def test_drawn_days_differ_by_seed_and_are_the_same_for_the_same():
     days = [Run(small(**{"chance.count": 4}), seed) for seed in (1, 1, 2)]
-    said = []
+    logs = []
     for run in days:
         run.world.run(6_000)
-        said.append(run.script.log)
-    assert said[0] == said[1] != said[2]
+        logs.append(run.script.log)
+    assert logs[0] == logs[1] != logs[2]
 
 
 @pytest.mark.parametrize("arm", [*arms.BASELINES, "ours"])
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("[bank]\ncuont = 3", "bank.cuont: unknown key, 'count'?"),
         ("[load]\nrate = -1", "load.rate: -1 is not a figure from 0 on"),
@@ -337,17 +337,17 @@
         ("[load", "Expected ']' at the end of a table declaration"),
     ],
 )
-def test_what_is_wrong_with_a_scenario_is_one_line_that_names_the_key(text, said, tmp_path):
+def test_what_is_wrong_with_a_scenario_is_one_line_that_names_the_key(text, message, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text(text)
     found = invoke("run", path)
     assert found.exit_code == 2
-    assert found.output.strip().startswith(f"ospreyline: {path}: {said}")
+    assert found.output.strip().startswith(f"ospreyline: {path}: {message}")
     assert len(found.output.strip().splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("args", "said"),
+    ("args", "message"),
     [
         (["run", "quite"], "no such file or shipped scenario, 'quiet'?"),
         (["run", "quiet", "--set", "bank.cuont=3"], "bank.cuont: no such key, 'count'?"),
@@ -361,9 +361,9 @@
         (["bench", "quiet", "--sizes", "3,x"], "--sizes: '3,x' are no whole numbers"),
     ],
 )
-def test_what_is_wrong_with_a_call_is_one_line(args, said, tmp_path):
+def test_what_is_wrong_with_a_call_is_one_line(args, message, tmp_path):
     found = invoke(*(arg.format(tmp=tmp_path) for arg in args))
-    assert found.exit_code == 2 and said in found.output and "Traceback" not in found.output
+    assert found.exit_code == 2 and message in found.output and "Traceback" not in found.output
     assert len(found.output.strip().splitlines()) == 1
 
 
@@ -390,7 +390,7 @@
         sweep.run(base, cells, tmp_path / "a", 2, stop)
     kept = {p.name: p.stat().st_mtime_ns for p in (tmp_path / "a" / "cells").glob("*.json")}
     assert 3 <= len(kept) < len(cells)
-    (tmp_path / "a" / "cells" / "x.123.part").write_bytes(b"{")  # as a process killed while writing leaves it
+    (tmp_path / "a" / "cells" / "x.123.part").write_bytes(b"{")  # what a process killed while writing leaves
     calls = []
     again = sweep.run(base, cells, tmp_path / "a", 2, lambda done, total: calls.append(done))
     assert calls[0] == len(kept)
@@ -401,15 +401,15 @@
 
 def test_another_text_of_an_arm_is_played_anew(tmp_path):
     path = tmp_path / "arm.py"
-    path.write_text(BAD + "    pass\n")
+    path.write_text(RULE_BREAKING_ARM + "    pass\n")
     cell = sweep.Cell((), 1, f"file:{path}")
     before = sweep.cell_key(small(), cell, arms.source_text(cell.arm))
-    path.write_text(BAD + "    other = 1\n")
+    path.write_text(RULE_BREAKING_ARM + "    other = 1\n")
     assert sweep.cell_key(small(), cell, arms.source_text(cell.arm)) != before
 
 
 @pytest.mark.parametrize(
-    ("differences", "said"),
+    ("differences", "message"),
     [
         ([0.1, 0.12, 0.08, 0.11, 0.1, 0.09], "b is above a"),
         ([-0.1, -0.12, -0.08, -0.11, -0.1, -0.09], "b is below a"),
@@ -418,15 +418,15 @@
         ([], "no run with the same settings and seed"),
     ],
 )
-def test_a_comparison_says_what_it_shows(differences, said):
-    def rows(by):
+def test_a_comparison_says_what_it_shows(differences, message):
+    def rows(offsets):
         return [
             {"settings": {"x": 1}, "seed": i, "arm": "z", "summary": {"net_gain": 0.5 + d}}
-            for i, d in enumerate(by)
+            for i, d in enumerate(offsets)
         ]
 
     found = compare.paired(rows([0.0] * len(differences)), rows(differences), "net_gain")
-    assert said in found.sentence("a", "b")
+    assert message in found.sentence("a", "b")
 
 
 def test_commands_from_the_run_to_the_page(tmp_path):
@@ -441,8 +441,12 @@
     assert page.count("data:image/png;base64,") == 4 and "http" not in page
     rows = list(records.read_rows(tmp_path / "run", "visits"))
     crossed = next(r for r in rows if len(r["fetches"]) > 1)
-    told = invoke("explain", tmp_path / "run", crossed["visit"]).output
-    assert "fetch 2 to server" in told and "final answer" in told and "the client ended as" in told
+    explained = invoke("explain", tmp_path / "run", crossed["visit"]).output
+    assert (
+        "fetch 2 to server" in explained
+        and "final answer" in explained
+        and "the client ended as" in explained
+    )
     assert "no visit 999999 is kept" in invoke("explain", tmp_path / "run", 999999).output
     swept = invoke(
         "sweep",
