--- a/ospreyline/__main__.py
+++ b/ospreyline/__main__.py
@@ -12,10 +12,12 @@
 
 import click
 
-from ospreyline import __version__, facts
+from ospreyline import __version__
+from ospreyline.config import ConfigError, ProxyConfig, top_level_keys
+from ospreyline.config import load as load_config
 
 if TYPE_CHECKING:
-    from ospreyline.operator import Operator
+    from ospreyline.operator_settings import OperatorSettings
 
 CONFIG = click.argument("config", envvar="PROXY_CONFIG", type=click.Path(dir_okay=False, path_type=Path))
 
@@ -29,24 +31,24 @@
 )
 
 
-def _load_config(path: Path) -> facts.Post:
+def _load_config(path: Path) -> ProxyConfig:
     """Read the configuration; on an error print one line that says what is wrong, and exit with status 2."""
     try:
-        return facts.load(path, os.environ)
-    except facts.FactError as error:
+        return load_config(path, os.environ)
+    except ConfigError as error:
         click.echo(f"ospreyline: {error}", err=True)
         sys.exit(2)
 
 
-def _load_operator(path: Path | None) -> Operator | None:
+def _load_operator(path: Path | None) -> OperatorSettings | None:
     """Read the operator file, with the same error handling; without one its module is not imported."""
     if path is None:
         return None
-    from ospreyline import operator
+    from ospreyline import operator_settings
 
     try:
-        return operator.load(path)
-    except facts.FactError as error:
+        return operator_settings.load(path)
+    except ConfigError as error:
         click.echo(f"ospreyline: {error}", err=True)
         sys.exit(2)
 
@@ -101,15 +103,15 @@
 
 
 def _serve(config: Path, operator_file: Path | None) -> None:
-    post, operator = _load_config(config), _load_operator(operator_file)
+    proxy_config, operator = _load_config(config), _load_operator(operator_file)
 
-    def load_again() -> tuple[facts.Post, Operator | None]:
-        post = facts.load(config, os.environ, again=True)
+    def load_again() -> tuple[ProxyConfig, OperatorSettings | None]:
+        proxy_config = load_config(config, os.environ, reload=True)
         if operator_file is None:
-            return post, None
-        from ospreyline.operator import load
+            return proxy_config, None
+        from ospreyline.operator_settings import load
 
-        return post, load(operator_file)
+        return proxy_config, load(operator_file)
 
     # libuv starts an io_uring thread that polls on our core for a while after each signal; where CPU time is
     # limited by stopping the process, that alone kept it at the limit.
@@ -120,9 +122,9 @@
 
     service.start_log()
     try:
-        uvloop.run(service.serve(post, load_again, operator))
+        uvloop.run(service.serve(proxy_config, load_again, operator))
     except OSError as error:
-        at = f"{post.listen[0]}:{post.listen[1]}"
+        at = f"{proxy_config.listen[0]}:{proxy_config.listen[1]}"
         click.echo(f"ospreyline: cannot listen on {at}: {error.strerror}", err=True)
         sys.exit(1)
 
@@ -132,12 +134,13 @@
 @OPERATOR
 def check(config: Path, operator_file: Path | None) -> None:
     """Read CONFIG and the operator file as `serve` would and print what they contain."""
-    post, operator = _load_config(config), _load_operator(operator_file)
+    proxy_config, operator = _load_config(config), _load_operator(operator_file)
     click.echo(
-        f"{post.name}: listens on {post.listen[0]}:{post.listen[1]}, "
-        f"zone {post.zone_names[post.terms.zone]!r}, {post.sockets} descriptors"
+        f"{proxy_config.name}: listens on {proxy_config.listen[0]}:{proxy_config.listen[1]}, "
+        f"zone {proxy_config.zone_names[proxy_config.deployment.zone]!r}, "
+        f"{proxy_config.max_descriptors} descriptors"
     )
-    terms = post.terms
+    terms = proxy_config.deployment
     list_mode = "polled" if terms.ask_for_list else "pushed"
     messages = "allowed, but not carried on sockets" if terms.may_tell else "off"
     click.echo(
@@ -145,10 +148,10 @@
         f"the list is {list_mode}, messages {messages}"
     )
     click.echo(
-        f"of the goal: worst prefix {terms.worst_prefix:.3g}, nines {post.nines:.3g} "
-        f"(in full at {post.full_at_nines:g})"
+        f"of the goal: worst prefix {terms.worst_prefix:.3g}, nines {proxy_config.nines_weight:.3g} "
+        f"(in full at {proxy_config.full_at_nines:g})"
     )
-    for name, prefix in zip(post.prefix_names, terms.prefixes, strict=True):
+    for name, prefix in zip(proxy_config.prefix_names, terms.prefixes, strict=True):
         click.echo(
             f"/{name}: {prefix.kind.value}, target latency {prefix.target_latency:g} ms, "
             f"client timeout {prefix.client_timeout:g} ms, gain {prefix.gain:g}"
@@ -176,18 +179,18 @@
 @OPERATOR
 def show(config: Path, operator_file: Path | None) -> None:
     """Print the effective values, where each comes from, and what SIGHUP applies of them."""
-    from ospreyline import operator as parts
+    from ospreyline import operator_settings as parts
 
-    post, operator = _load_config(config), _load_operator(operator_file)
-    from_file = facts.given(config)
+    proxy_config, operator = _load_config(config), _load_operator(operator_file)
+    from_file = top_level_keys(config)
     for key, value, variable, sighup in (
-        ("name", post.name, "PROXY_NAME", False),
-        ("listen", "{}:{}".format(*post.listen), "PROXY_LISTEN", False),
-        ("discovery", "{}:{}".format(*post.discovery), "PROXY_DISCOVERY", True),
-        ("seed", f"{post.seed:x}", "", False),
-        ("limits.sockets", post.sockets, "", False),
-        ("limits.memory_mb", post.memory >> 20, "", False),
-        ("settings", f"{len(post.prefix_names)} path prefixes", "", True),
+        ("name", proxy_config.name, "PROXY_NAME", False),
+        ("listen", "{}:{}".format(*proxy_config.listen), "PROXY_LISTEN", False),
+        ("discovery", "{}:{}".format(*proxy_config.discovery), "PROXY_DISCOVERY", True),
+        ("seed", f"{proxy_config.seed:x}", "", False),
+        ("limits.sockets", proxy_config.max_descriptors, "", False),
+        ("limits.memory_mb", proxy_config.memory_bytes >> 20, "", False),
+        ("settings", f"{len(proxy_config.prefix_names)} path prefixes", "", True),
     ):
         origin = (
             variable
@@ -198,7 +201,7 @@
     for entry in parts.keys(operator or parts.OFF, operator_file):
         click.echo(
             f"{entry.name} = {entry.value!r}  # {entry.origin}; "
-            f"SIGHUP {'applies it' if entry.sighup else 'does not apply it'}; {entry.about}"
+            f"SIGHUP {'applies it' if entry.reloadable else 'does not apply it'}; {entry.description}"
         )
 
 
--- a/ospreyline/asking.py
+++ b/ospreyline/call_schedule.py
@@ -35,7 +35,7 @@
     )
 
 
-class Asking:
+class CallSchedule:
     """The call schedule of one balancer: the next call is `due`, in ms; inf while none is planned."""
 
     def __init__(self, place: float) -> None:
--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -1,6 +1,6 @@
 """Every order of what a list service writes, loses and ends, and until when a balancer sends by its list.
 
-The code explored is `lease.py`, `net/list_call.py` and `net/discovery.py` themselves, and `asking.py` for
+The code explored is `lease.py`, `net/list_call.py`, `net/discovery.py` themselves, and `call_schedule.py` for
 when the next call goes out; `list_world` has the service and the connections. One server begins to drain at
 any of the moments that matter; it counts as told when that is written on any call of this balancer, 6 s after
 a call has fallen silent on which it was written, or 6 s after it began at a service that can be reached,
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -1,8 +1,8 @@
 """A list service that knows what it wrote, one balancer, and the connections between them; no sockets.
 
-The balancer is the real `Discovery` with its real calls, `ListLease` and `Asking`, driven by bytes on a clock
-of its own (ms). Whatever may come in more than one way is put to `choose`; `list_lease` goes through all.
-One server, u0, begins to drain at a moment that is chosen.
+The balancer is the real `Discovery` with its real calls, `ListLease` and `CallSchedule`, driven by bytes on a
+clock of its own (ms). Whatever may come in more than one way is put to `choose`; `list_lease` goes through
+all. One server, u0, begins to drain at a moment that is chosen.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from math import inf
 from typing import Any, Protocol, TypeVar, cast
 
-from ospreyline.asking import Asking
+from ospreyline.call_schedule import CallSchedule
 from ospreyline.lease import LeaseMessage, ListLease, UpdateRead
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.list_call import ListCall
@@ -240,7 +240,7 @@
         self.lease = ListLease()
         self.lease.fit(GRACE, MUST_ASK_IN, False)
         self.lease.begin(world.now)
-        self.asking = Asking(0.5)
+        self.asking = CallSchedule(0.5)
         self.asking.fit(BALANCERS, MUST_ASK_IN)
         self._noted: list[Callable[[], None]] = []
         self.lists = Discovery(
--- a/ospreyline/facts.py
+++ b/ospreyline/config.py
@@ -1,8 +1,8 @@
 """Configuration: the one place where it is read, checked and given defaults, for both frontends.
 
-`read()` turns the settings (JSON, microseconds) into a `Deployment`, the input of the decisions. `post()`
-turns the configuration file of a balancer on sockets into a `Post`: the settings, addresses and limits.
-Invalid configuration raises a `FactError` that names the faulty key.
+`parse_settings()` turns the settings (JSON, microseconds) into a `Deployment`, the input of the decisions.
+`parse()` turns the configuration file of a balancer on sockets into a `ProxyConfig`: the settings, addresses
+and limits. Invalid configuration raises a `ConfigError` that names the faulty key.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from ospreyline.host import Deployment, Kind, PathPrefix, Scope
 
 
-class FactError(ValueError):
+class ConfigError(ValueError):
     """The configuration is invalid; the text names the key."""
 
 
@@ -129,104 +129,104 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
+class ProxyConfig:
     """The configuration of a balancer on sockets: addresses, limits and settings."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int  # limit of file descriptors in total
-    memory: int  # bytes, limit in total
-    known: bytes  # the initial upstream list, in the list service's format
-    terms: Deployment
+    max_descriptors: int  # limit of file descriptors in total
+    memory_bytes: int  # limit in total
+    initial_list: bytes  # the initial upstream list, in the list service's format
+    deployment: Deployment
     prefix_names: tuple[str, ...]
     zone_names: tuple[str, ...]
-    connect_time_out: float  # ms
-    keep_idle: float  # ms for which an upstream keeps an idle connection
-    nines: float  # weight of the nines in the goal; checked and shown, but no decision uses it
+    connect_timeout_ms: float
+    upstream_keepalive_ms: float  # for which an upstream keeps an idle connection
+    nines_weight: float  # weight of the nines in the goal; checked and shown, but no decision uses it
     full_at_nines: float  # likewise
 
-    def needs_restart(self, new: Post) -> list[str]:
+    def needs_restart(self, new: ProxyConfig) -> list[str]:
         """The keys that differ in a new file and that a reload does not apply.
 
         `seed` and `known` matter only at a start, so they are not compared.
         """
-        groups = {"name": ("name",), "listen": ("listen",), "limits": ("sockets", "memory")}
+        groups = {"name": ("name",), "listen": ("listen",), "limits": ("max_descriptors", "memory_bytes")}
         return [
             key for key, fields in groups.items() if any(getattr(self, f) != getattr(new, f) for f in fields)
         ]
 
 
-def read(text: bytes) -> Deployment:
-    """Decodes the settings for the decisions; `FactError` if invalid."""
+def parse_settings(text: bytes) -> Deployment:
+    """Decodes the settings for the decisions; `ConfigError` if invalid."""
     return _to_deployment(_decode_settings(text, ""))
 
 
-def load(path: Path, env: Mapping[str, str], again: bool = False) -> Post:
-    """Reads a configuration file; `again` (a reload): PROXY_DISCOVERY does not override the file.
+def load(path: Path, env: Mapping[str, str], reload: bool = False) -> ProxyConfig:
+    """Reads a configuration file; `reload`: PROXY_DISCOVERY does not override the file.
 
-    `FactError` names file and key.
+    `ConfigError` names file and key.
     """
-    if again:
+    if reload:
         # the variable still holds the address from the start, and would win over a new one in the file
         env = {key: value for key, value in env.items() if key != "PROXY_DISCOVERY"}
     try:
-        return post(path.read_bytes(), env)
+        return parse(path.read_bytes(), env)
     except OSError as error:
-        raise FactError(f"{path}: {error.strerror}") from error
-    except FactError as error:
-        raise FactError(f"{path}: {error}") from error
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from error
 
 
-def given(path: Path) -> frozenset[str]:
+def top_level_keys(path: Path) -> frozenset[str]:
     """The top-level keys that a configuration file sets; `load` must have accepted the file."""
     return frozenset(msgspec.json.decode(path.read_bytes(), type=dict[str, msgspec.Raw]))
 
 
-def post(text: bytes, env: Mapping[str, str]) -> Post:
+def parse(text: bytes, env: Mapping[str, str]) -> ProxyConfig:
     """Decodes a configuration file; environment variables that are set override it."""
     try:
         file = _FILE_DECODER.decode(text)
     except msgspec.MsgspecError as error:
-        raise FactError(_error_text(error, "")) from error
+        raise ConfigError(_error_text(error, "")) from error
     settings = _decode_settings(bytes(file.settings), "settings.")
     sockets = file.limits.sockets
     if sockets < 64:
-        raise FactError(f"limits.sockets: {sockets} is too small, the minimum is 64")
+        raise ConfigError(f"limits.sockets: {sockets} is too small, the minimum is 64")
     if not 16 <= file.limits.memory_mb < 1e6:
-        raise FactError(f"limits.memory_mb: {file.limits.memory_mb:g} is not between 16 and 1000000")
+        raise ConfigError(f"limits.memory_mb: {file.limits.memory_mb:g} is not between 16 and 1000000")
     try:
         seed = file.seed if isinstance(file.seed, int) else int(file.seed, 16)
     except ValueError:
-        raise FactError(f"seed: {file.seed!r} is not a hexadecimal number") from None
+        raise ConfigError(f"seed: {file.seed!r} is not a hexadecimal number") from None
     names = tuple(p.name for p in settings.path_prefixes)
     seen: set[str] = set()
     for i, name in enumerate(names):
         if not name or "/" in name or name in seen:
-            raise FactError(
+            raise ConfigError(
                 f"settings.PathPrefixes[{i}].Name: {name!r} is empty, contains a slash or is used twice"
             )
         seen.add(name)
-    return Post(
+    return ProxyConfig(
         name=env.get("PROXY_NAME") or file.name,
         listen=_require_address("listen", env.get("PROXY_LISTEN") or file.listen, lowest_port=0),
         discovery=_require_address("discovery", env.get("PROXY_DISCOVERY") or file.discovery),
         seed=seed,
-        sockets=sockets,
-        memory=int(file.limits.memory_mb * (1 << 20)),
-        known=bytes(file.known),
-        terms=_to_deployment(settings),
+        max_descriptors=sockets,
+        memory_bytes=int(file.limits.memory_mb * (1 << 20)),
+        initial_list=bytes(file.known),
+        deployment=_to_deployment(settings),
         prefix_names=names,
         zone_names=tuple(settings.dcs) or ("",),
-        connect_time_out=settings.caps.connect_timeout_us / 1e3,
-        keep_idle=settings.caps.keepalive_us / 1e3,
-        nines=settings.goal.availability / max(1e-9, settings.goal.total()),
+        connect_timeout_ms=settings.caps.connect_timeout_us / 1e3,
+        upstream_keepalive_ms=settings.caps.keepalive_us / 1e3,
+        nines_weight=settings.goal.availability / max(1e-9, settings.goal.total()),
         full_at_nines=settings.goal.full_at_nines,
     )
 
 
-def address(text: str, lowest_port: int = 1) -> tuple[str, int] | None:
+def parse_address(text: str, lowest_port: int = 1) -> tuple[str, int] | None:
     """Host and port of `host:port`; None if it has not that form."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not lowest_port <= int(port) < 65_536:
@@ -235,9 +235,9 @@
 
 
 def _require_address(key: str, text: str, lowest_port: int = 1) -> tuple[str, int]:
-    found = address(text, lowest_port)
+    found = parse_address(text, lowest_port)
     if found is None:
-        raise FactError(f"{key}: {text!r} is not an address of the form host:port")
+        raise ConfigError(f"{key}: {text!r} is not an address of the form host:port")
     return found
 
 
@@ -253,15 +253,15 @@
     try:
         settings = _SETTINGS_DECODER.decode(text)
     except msgspec.MsgspecError as error:
-        raise FactError(_error_text(error, root)) from error
+        raise ConfigError(_error_text(error, root)) from error
     for i, p in enumerate(settings.path_prefixes):
         at = f"{root}PathPrefixes[{i}]."
         if p.semantics not in _KINDS:
-            raise FactError(f"{at}Semantics: unknown {p.semantics!r}")
+            raise ConfigError(f"{at}Semantics: unknown {p.semantics!r}")
         if p.key_scope not in _SCOPES:
-            raise FactError(f"{at}KeyScope: unknown {p.key_scope!r}")
+            raise ConfigError(f"{at}KeyScope: unknown {p.key_scope!r}")
         if not p.client_timeout_us > 0:
-            raise FactError(f"{at}ClientTimeoutUs: {p.client_timeout_us} is not a positive duration")
+            raise ConfigError(f"{at}ClientTimeoutUs: {p.client_timeout_us} is not a positive duration")
         for key, number in (
             ("TargetLatencyUs", p.target_latency_us),
             ("WindowUs", p.window_us),
@@ -269,13 +269,13 @@
             ("LateGain", p.late_gain),
         ):
             if not 0 <= number < inf:
-                raise FactError(f"{at}{key}: {number} is negative or not finite")
+                raise ConfigError(f"{at}{key}: {number} is negative or not finite")
     for key, duration in (
         ("ConnectTimeoutUs", settings.caps.connect_timeout_us),
         ("KeepaliveUs", settings.caps.keepalive_us),
     ):
         if not duration > 0:
-            raise FactError(f"{root}Caps.{key}: {duration} is not a positive duration")
+            raise ConfigError(f"{root}Caps.{key}: {duration} is not a positive duration")
     rules, goal = settings.invariants, settings.goal
     for key, number in (
         ("Caps.MaxRetryAfterUs", settings.caps.max_retry_after_us),
@@ -292,22 +292,22 @@
         ("Invariants.WarmWithinUs", rules.warm_within_us),
     ):
         if not 0 <= number < inf:
-            raise FactError(f"{root}{key}: {number} is negative or not finite")
+            raise ConfigError(f"{root}{key}: {number} is negative or not finite")
     if not 0 < goal.full_at_nines < inf:
-        raise FactError(f"{root}Goal.FullAtNines: {goal.full_at_nines} is not positive and finite")
+        raise ConfigError(f"{root}Goal.FullAtNines: {goal.full_at_nines} is not positive and finite")
     if not rules.must_ask_in_us > 0:
-        raise FactError(f"{root}Invariants.MustAskInUs: {rules.must_ask_in_us} is not a positive duration")
+        raise ConfigError(f"{root}Invariants.MustAskInUs: {rules.must_ask_in_us} is not a positive duration")
     if not rules.drain_grace_us >= 0:
-        raise FactError(f"{root}Invariants.DrainGraceUs: {rules.drain_grace_us} is negative")
+        raise ConfigError(f"{root}Invariants.DrainGraceUs: {rules.drain_grace_us} is negative")
     if settings.discovery not in ("ask", "push"):
-        raise FactError(f"{root}Discovery: unknown {settings.discovery!r}, must be 'ask' or 'push'")
+        raise ConfigError(f"{root}Discovery: unknown {settings.discovery!r}, must be 'ask' or 'push'")
     if settings.balancers < 1 or settings.caps.most_backend_fetches < 1:
         key = "Balancers" if settings.balancers < 1 else "Caps.MostBackendFetches"
-        raise FactError(f"{root}{key}: is less than 1")
+        raise ConfigError(f"{root}{key}: is less than 1")
     if len(set(settings.dcs)) < len(settings.dcs):
-        raise FactError(f"{root}Dcs: a zone is listed twice")
+        raise ConfigError(f"{root}Dcs: a zone is listed twice")
     if settings.zone < 0 or settings.zone >= max(1, len(settings.dcs)):
-        raise FactError(f"{root}Zone: {settings.zone} is not the index of a zone in Dcs")
+        raise ConfigError(f"{root}Zone: {settings.zone} is not the index of a zone in Dcs")
     return settings
 
 
--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -8,7 +8,7 @@
 
 From top to bottom: constants, records, then the balancer: calls from outside, the rules and the one method
 that sends, choice of an upstream, queue, retries, periodic work. `state` has the types without decisions,
-`asking` decides when the list service is called.
+`call_schedule` decides when the list service is called.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from random import Random
 from struct import Struct
 
-from ospreyline.asking import Asking
+from ospreyline.call_schedule import CallSchedule
 from ospreyline.host import Deployment, End, Host, Kind, Listed, Readiness, Scope
 from ospreyline.lease import ListLease
 from ospreyline.state import Fetch, Lane, Visit
@@ -190,7 +190,7 @@
         # the latest; long and short idle times are compared
         self._recent_fetches: deque[Fetch] = deque(maxlen=99)
         self._wanted_upstreams = self._probes_due = 0.0  # upstreams in use, were all healthy
-        self._call_schedule = Asking(self._random())  # when to call the list service
+        self._call_schedule = CallSchedule(self._random())  # when to call the list service
         self.lease = ListLease()  # until when the upstream list may be used
         self._upstreams: dict[int, Upstream] = {}
         self._ring: list[Upstream] = []  # hash ring, the same at every balancer
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -11,7 +11,7 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.decide import Balancer
 from ospreyline.host import End, Listed, Readiness
 from ospreyline.state import Visit
@@ -73,7 +73,7 @@
         self._indices: dict[bytes, int] = {}
         self._timers: dict[int, Callable[[float], None]] = {}
         self._last_timer = 0
-        self.balancer = Balancer(self, facts.read(settings), seed, now)
+        self.balancer = Balancer(self, config.parse_settings(settings), seed, now)
 
     def _index_of(self, address: bytes) -> int:
         """The index of an upstream's address; a new one if it is unknown."""
@@ -303,7 +303,7 @@
             raise FrameError("the settings are longer than their batch")
         try:
             self._instances[instance_id] = Instance(seed, body[start : start + size], now)
-        except facts.FactError as error:
+        except config.ConfigError as error:
             raise FrameError(f"instance {instance_id}: unusable settings: {error}") from error
         return start + size
 
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.fleet.frames import (
     ALIVE,
     DEAD,
@@ -104,7 +104,7 @@
 
     async def start(self) -> None:
         """Accepts links and begins to tick. `OSError` if the address cannot be bound."""
-        at = facts.address(self._settings.listen, lowest_port=0)
+        at = config.parse_address(self._settings.listen, lowest_port=0)
         assert at is not None  # checked when the operator file was read
         bound = await self.links.listen(at)
         if not self._settings.address:
@@ -155,7 +155,7 @@
             if self.takeover.news:
                 self._on_takeover_news()
         for name, message in out:
-            self.links.send(name, facts.address(self.members.address(name)), message)
+            self.links.send(name, config.parse_address(self.members.address(name)), message)
         for entry, before in changes:
             if entry.state >= SUSPECT or before > ALIVE:
                 self._log.info("member", peer=entry.name, state=STATE_NAMES[entry.state], zone=entry.zone)
--- a/ospreyline/fleet/pace.py
+++ b/ospreyline/fleet/pace.py
@@ -11,14 +11,14 @@
 
 from math import inf
 
-from ospreyline.asking import Asking
+from ospreyline.call_schedule import CallSchedule
 
 CALL_RATE_SHARE = 0.8  # of the service's call rate, that the bank as a whole uses
 HONOUR = 2_800.0  # ms, limit for a Retry-After of the service: a list counts as notified after 6 s
 RARE_CALL_SHARE = 0.75  # of the allowed time without a call: the wait where relays serve us
 
 
-class Pace(Asking):
+class Pace(CallSchedule):
     """The calls of one balancer to the list service."""
 
     def __init__(self, number: int, count: int, calls_per_s: float, must_ask_in: float) -> None:
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/covering.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from ospreyline.net.turn import Taken, Turn
-    from ospreyline.operator import Takeover as TakeoverSettings
+    from ospreyline.operator_settings import TakeoverSettings
 
 _LETTERS = {kind: letter for letter, kind in KIND_BY_BYTE.items()}
 _ENCODER = msgspec.msgpack.Encoder()
--- a/ospreyline/net/listing.py
+++ b/ospreyline/net/listing.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ospreyline import facts
+from ospreyline import config
 
 _JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # contains no line feed
 
@@ -88,7 +88,7 @@
                 continue
             # not skipped, as the entry may say that its server drains
             target = Target(uid, state="unreadable")
-        address = facts.address(target.endpoint)
+        address = config.parse_address(target.endpoint)
         if address is None and target.state not in ("left", "unreadable"):
             log.warning("entry of the list without an address", uid=target.uid, endpoint=target.endpoint)
         targets.append((target, address))
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -14,66 +14,71 @@
 
 import structlog
 
-from ospreyline.facts import FactError, Post
+from ospreyline.config import ConfigError, ProxyConfig
 from ospreyline.net.clients import Clients
 from ospreyline.net.turn import Turn, clock
 
 if TYPE_CHECKING:
-    from ospreyline.operator import Operator
+    from ospreyline.operator_settings import OperatorSettings
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 MAINTENANCE_INTERVAL_S = 0.25  # interval of cleaning up idle connections and unresponsive list calls
 COUNTS_EVERY_ROUNDS = 20  # maintenance rounds between two "counts" log lines
 KEEP_ACCEPTING_S = 0.5  # after the signal to stop, new connections are still accepted for this long
-RELOADED_FIELDS = ("terms", "prefix_names", "zone_names", "connect_time_out", "keep_idle")
+RELOADED_FIELDS = ("deployment", "prefix_names", "zone_names", "connect_timeout_ms", "upstream_keepalive_ms")
 FINAL_ANSWER_GRACE_S = 0.6  # on top of the longest client timeout; then open visits are answered anyway
 MAX_DRAIN_S = 3.0  # the longest client timeout that a shutdown waits for, whatever the settings say
 # time for the last answers to leave our buffers; the process is killed 0.04 s later at the earliest
 FLUSH_GRACE_S = 0.06
 
 
-def _longest_client_timeout_s(post: Post) -> float:
+def _longest_client_timeout_s(config: ProxyConfig) -> float:
     """The longest client timeout, in seconds."""
-    return max((p.client_timeout for p in post.terms.prefixes), default=0.0) / 1e3
+    return max((p.client_timeout for p in config.deployment.prefixes), default=0.0) / 1e3
 
 
 class Service:
     """One balancer process, from start to shutdown."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, post: Post, operator: Operator | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, config: ProxyConfig, operator: OperatorSettings | None = None
+    ) -> None:
         self._loop = loop
-        self._post = post
+        self._config = config
         self._operator = operator  # None: no optional feature is enabled
         self._log = structlog.get_logger()
-        self.turn = Turn(loop, post, operator)
+        self.turn = Turn(loop, config, operator)
         self.clients = Clients(loop, self.turn, self.turn.max_clients, self.turn.events)
-        self.at = post.listen
+        self.at = config.listen
         self._maintenance_rounds = 0
         self._maintenance_timer: asyncio.TimerHandle | None = None
         self._bank_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start listening and serving."""
-        self.at = self.clients.listen(self._post.listen)
+        self.at = self.clients.listen(self._config.listen)
         self._run_maintenance()
         if self.turn.bank is not None:
             self._bank_task = self._loop.create_task(self.turn.bank.start())
         self._log.info(
-            "serving", name=self._post.name, listen=f"{self.at[0]}:{self.at[1]}", sockets=self._post.sockets
+            "serving",
+            name=self._config.name,
+            listen=f"{self.at[0]}:{self.at[1]}",
+            sockets=self._config.max_descriptors,
         )
 
-    def reload(self, load_again: Callable[[], tuple[Post, Operator | None]]) -> None:
+    def reload(self, load_again: Callable[[], tuple[ProxyConfig, OperatorSettings | None]]) -> None:
         """Reload the files and apply all changes that need no restart."""
         if self.turn.closing:
             return
         try:
             new, operator = load_again()
-        except FactError as error:
+        except ConfigError as error:
             self._log.error("configuration not reloaded, the old one stays", problem=str(error))
             return
-        restart = self._post.needs_restart(new)
+        restart = self._config.needs_restart(new)
         if operator is not None and self._operator is not None:
-            from ospreyline.operator import needs_restart
+            from ospreyline.operator_settings import needs_restart
 
             restart += needs_restart(self._operator, operator)
         if restart:
@@ -82,15 +87,15 @@
         # values that need a restart stay as they are
         new = replace(
             new,
-            name=self._post.name,
-            listen=self._post.listen,
-            sockets=self._post.sockets,
-            memory=self._post.memory,
+            name=self._config.name,
+            listen=self._config.listen,
+            max_descriptors=self._config.max_descriptors,
+            memory_bytes=self._config.memory_bytes,
         )
-        settings = any(getattr(self._post, key) != getattr(new, key) for key in RELOADED_FIELDS)
+        settings = any(getattr(self._config, key) != getattr(new, key) for key in RELOADED_FIELDS)
         if settings:
             self.turn.apply_config(new)
-        self._post = new
+        self._config = new
         if operator is not None and operator != self._operator:
             self.turn.apply_operator(operator)
             self._operator = operator
@@ -107,7 +112,7 @@
         self.turn.closing = True
         # Uses the current settings. A visit that began under longer timeouts is answered early, as the time
         # until the process is killed depends on its latest settings.
-        deadline = began + min(_longest_client_timeout_s(self._post), MAX_DRAIN_S) + FINAL_ANSWER_GRACE_S
+        deadline = began + min(_longest_client_timeout_s(self._config), MAX_DRAIN_S) + FINAL_ANSWER_GRACE_S
         await asyncio.sleep(KEEP_ACCEPTING_S)
         while self._loop.time() < deadline:
             listening = not self.clients.stop_listening()
@@ -198,14 +203,16 @@
 
 
 async def serve(
-    post: Post, load_again: Callable[[], tuple[Post, Operator | None]], operator: Operator | None = None
+    config: ProxyConfig,
+    load_again: Callable[[], tuple[ProxyConfig, OperatorSettings | None]],
+    operator: OperatorSettings | None = None,
 ) -> None:
     """Run a balancer until SIGTERM or SIGINT; SIGHUP reloads its files."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for signal_number in SIGNALS[:2]:
         loop.add_signal_handler(signal_number, stop_requested.set)
-    service = Service(loop, post, operator)
+    service = Service(loop, config, operator)
     loop.add_signal_handler(signal.SIGHUP, service.reload, load_again)
     service.start()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -20,9 +20,9 @@
 import structlog
 from msgspec import json, structs
 
-from ospreyline.asking import period_of
+from ospreyline.call_schedule import period_of
+from ospreyline.config import ProxyConfig
 from ospreyline.decide import Balancer
-from ospreyline.facts import Post
 from ospreyline.host import End, Kind, Listed, PathPrefix, Readiness
 from ospreyline.lease import CallSilent, LeaseMessage, UpdateLost, UpdateRead
 from ospreyline.net.clients import Client, Request
@@ -46,7 +46,7 @@
     from ospreyline.fleet.kept import Keeping
     from ospreyline.fleet.pace import Pace
     from ospreyline.net.covering import Covering
-    from ospreyline.operator import Operator
+    from ospreyline.operator_settings import OperatorSettings
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
 LATE_TIMER_MS = 20.0  # if a timer fires later than this, sockets are read before due timers run
@@ -110,9 +110,11 @@
 class Turn:
     """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, post: Post, operator: Operator | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, config: ProxyConfig, operator: OperatorSettings | None = None
+    ) -> None:
         self.logger: Any = structlog.get_logger()
-        self._operator: Operator | None = None
+        self._operator: OperatorSettings | None = None
         self._pace: Pace | None = None  # paces calls to the list service, if enabled
         self._list_cache: Keeping | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
@@ -125,7 +127,7 @@
         self.latencies_ms: list[float] = []  # of the visits delivered since the last "counts" log line
         self.max_timer_lag_ms = 0.0  # maximum timer delay since the last "counts" log line
         self._loop = loop
-        self._use_config(post)
+        self._use_config(config)
         self._last_tag = 0
         self._queued_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self._pending_actions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
@@ -152,20 +154,32 @@
         # Descriptor budget: 32 are reserved for the event loop, the listener and discovery; the rest is split
         # evenly between clients and upstreams.
         max_per_side = (
-            post.sockets - 32 - (FLEET_DESCRIPTORS if operator is not None and operator.fleet.bank else 0)
+            config.max_descriptors
+            - 32
+            - (FLEET_DESCRIPTORS if operator is not None and operator.fleet.bank else 0)
         ) // 2
         self.max_clients = max_per_side
-        self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(post.seed + 2).random
+        self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(config.seed + 2).random
         self.upstreams = ConnectionPools(
-            loop, clock, max_per_side, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
+            loop,
+            clock,
+            max_per_side,
+            config.connect_timeout_ms,
+            config.upstream_keepalive_ms,
+            config.memory_bytes // 8,
+            self.events,
         )
         if operator is not None:
             self._enable_features(operator)
-        kept = self._list_cache.known(post.known) if self._list_cache is not None else post.known
+        kept = (
+            self._list_cache.known(config.initial_list)
+            if self._list_cache is not None
+            else config.initial_list
+        )
         known = read(kept, self.logger)
         self.discovery = Discovery(
             loop,
-            post.discovery,
+            config.discovery,
             known.rev if known else 0,
             self.logger,
             tell=self._enqueue_list_update,
@@ -174,7 +188,7 @@
         )
         self._configure_discovery()
         now = clock()
-        self.balancer = Balancer(self, post.terms, post.seed, now)
+        self.balancer = Balancer(self, config.deployment, config.seed, now)
         self.balancer.lease.begin(now)
         self.upstreams.sends_blocked = self._sends_blocked
         self.balancer.told_all(now, self._list_entries(known) if known else [])
@@ -183,18 +197,18 @@
         if self._pace is not None:
             later = 0.0
             if self.bank is not None and self.bank.lists is not None and not self.bank.lists.passing:
-                later = self.bank.lists.late(post.terms.must_ask_in)
+                later = self.bank.lists.late(config.deployment.must_ask_in)
             self._pace.start(now, later)
             self._schedule_list_call()
-        elif not post.terms.ask_for_list:
+        elif not config.deployment.ask_for_list:
             # a pushed list: the decisions never ask for it, so a watch is opened here
             self.discovery.watch(True)
         self.note(lambda now: None)  # the first batch executes the actions requested during construction
 
-    def _enable_features(self, operator: Operator) -> None:
+    def _enable_features(self, operator: OperatorSettings) -> None:
         """Set up the features that the operator file enables; only those modules are imported."""
         self._operator = operator
-        terms, lists = self._post.terms, operator.list
+        terms, lists = self._config.deployment, operator.list
         if lists.calls_per_s:
             from ospreyline.fleet.pace import Pace
 
@@ -212,14 +226,14 @@
         if operator.fleet.bank and self.bank is None:
             from ospreyline.fleet.bank import Bank
 
-            zone = self._post.zone_names[terms.zone]
+            zone = self._config.zone_names[terms.zone]
             self.bank = Bank(
                 self._loop,
                 self.logger,
-                self._post.name,
+                self._config.name,
                 zone,
                 operator.fleet,
-                self._post.seed,
+                self._config.seed,
                 listed=lambda update: self.note(self._on_list_from_balancer, update),
                 hinted=lambda body: self.note(self._on_bank_message, body),
                 hasten=lambda: self.note(self._hasten_list_call),
@@ -230,35 +244,37 @@
                 self.covering = Covering(
                     self,
                     operator.takeover,
-                    self._post.name,
+                    self._config.name,
                     zone,
                     self.bank.members.me.start,
-                    self._post.seed,
+                    self._config.seed,
                     terms.max_fetches,
                 )
                 self.bank.guard(self.covering.takeover, lambda: self.note(self.run_takeover_results))
 
-    def _use_config(self, post: Post) -> None:
-        self._post = post
-        self.prefixes = {name.encode(): i for i, name in enumerate(post.prefix_names)}
-        self.tagged = frozenset(i for i, terms in enumerate(post.terms.prefixes) if terms.kind is Kind.TAGGED)
-        self._zone_index = {name: i for i, name in enumerate(post.zone_names)}
-        self._report_fields = post.terms.report_fields
+    def _use_config(self, config: ProxyConfig) -> None:
+        self._config = config
+        self.prefixes = {name.encode(): i for i, name in enumerate(config.prefix_names)}
+        self.tagged = frozenset(
+            i for i, terms in enumerate(config.deployment.prefixes) if terms.kind is Kind.TAGGED
+        )
+        self._zone_index = {name: i for i, name in enumerate(config.zone_names)}
+        self._report_fields = config.deployment.report_fields
 
     def _configure_discovery(self) -> None:
-        terms = self._post.terms
+        terms = self._config.deployment
         self.discovery.again = period_of(terms.balancers, terms.must_ask_in) / 1e3
         self.discovery.patient = terms.ask_for_list or self._pace is not None
 
-    def apply_config(self, post: Post) -> None:
+    def apply_config(self, config: ProxyConfig) -> None:
         """Apply a new, validated configuration; events queued before are still handled under the old one."""
         self._dispatch()
         now = clock()
-        self._use_config(post)
-        self.upstreams.apply_config(post.connect_time_out, post.keep_idle)
+        self._use_config(config)
+        self.upstreams.apply_config(config.connect_timeout_ms, config.upstream_keepalive_ms)
         if self._operator is not None:
             self._enable_features(self._operator)  # the number of balancers affects the pace of list calls
-        self.balancer.set_terms(now, post.terms)
+        self.balancer.set_terms(now, config.deployment)
         self._configure_discovery()
         # Passed on as a first list, so that it renews no subscription and leaves cold and draining upstreams
         # in their state.
@@ -266,11 +282,11 @@
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
         self.balancer.told_changes(now, entries, first=True, own=False)
-        if not post.terms.ask_for_list and not self.discovery.watching and self._pace is None:
+        if not config.deployment.ask_for_list and not self.discovery.watching and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
 
-    def apply_operator(self, operator: Operator) -> None:
+    def apply_operator(self, operator: OperatorSettings) -> None:
         """Apply the reloadable settings of a new, validated operator file."""
         paced = self._pace is not None
         self._enable_features(operator)
@@ -403,7 +419,7 @@
             self.covering.carry_out(now)
 
     def prefix_name(self, prefix: int) -> str:
-        return self._post.prefix_names[prefix]
+        return self._config.prefix_names[prefix]
 
     def place(self, upstream: int) -> tuple[str, int]:
         """Zone and cell of an upstream."""
@@ -415,7 +431,7 @@
             return self.covering is not None and self.covering.joins(request, client)
         self._open_ids.add(request.trace)
         self._last_tag += 1
-        terms = self._post.terms.prefixes[request.prefix]
+        terms = self._config.deployment.prefixes[request.prefix]
         taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
         taken.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
@@ -469,7 +485,7 @@
         (zone, cell, ms ago).
         """
         try:
-            prefix = self._post.terms.prefixes.index(taken.terms)
+            prefix = self._config.deployment.prefixes.index(taken.terms)
         except ValueError:
             # A reload came while the visit waited: its path prefix now has another index or no longer exists.
             return self.fail(taken.tag) if prior_fetches else self.refuse(taken.tag)
@@ -490,7 +506,7 @@
         prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Take over a visit of a failed balancer; no client waits for it here."""
-        taken = self.visits[tag] = Taken(tag, request, self._post.terms.prefixes[request.prefix], None)
+        taken = self.visits[tag] = Taken(tag, request, self._config.deployment.prefixes[request.prefix], None)
         taken.arrived_at = now
         self._open_ids.add(request.trace)
         taken.backstop_timer = self._loop.call_later(
@@ -500,7 +516,7 @@
 
     def refuse(self, tag: int) -> None:
         """Answer a visit that the decisions have not seen with "retry": no fetch of it ran."""
-        self.bounce(tag, self._post.terms.max_retry_after)
+        self.bounce(tag, self._config.deployment.max_retry_after)
 
     def close_visit(self, now: float, taken: Taken) -> None:
         """Close a visit for which this balancer is no longer responsible."""
@@ -650,7 +666,7 @@
             head,
             b"",
             now,
-            PROBE_TIMEOUT_FACTOR * self._post.connect_time_out,
+            PROBE_TIMEOUT_FACTOR * self._config.connect_timeout_ms,
             False,
             lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
         )
@@ -708,7 +724,7 @@
             if self._pace.due == inf:
                 self._pace.lost(now)
                 self._schedule_list_call()
-        elif self._post.terms.ask_for_list:
+        elif self._config.deployment.ask_for_list:
             self.balancer.ask_again(now)
         elif not self.discovery.waiting:
             self.discovery.watch(True)
@@ -722,7 +738,7 @@
             if failure.seen:
                 self._pace.lost(now)
             self._schedule_list_call()
-        elif not self._post.terms.ask_for_list:
+        elif not self._config.deployment.ask_for_list:
             # For a pushed list, every change counts as received even if no watch is open. The decisions
             # expect no failed calls then, and their retry delays, meant for polling, are far too long.
             self.wake(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
@@ -731,7 +747,7 @@
         self.balancer.told_nothing(now, failure.lost, failure.turned_away)
 
     def _reopen_watch(self, now: float) -> None:
-        if not self._post.terms.ask_for_list and not self.discovery.watching:
+        if not self._config.deployment.ask_for_list and not self.discovery.watching:
             self.discovery.watch(True)
 
     def _hasten_list_call(self, now: float) -> None:
@@ -741,7 +757,7 @@
             self._schedule_list_call()
 
     def _on_bank_message(self, now: float, body: bytes) -> None:
-        if self._post.terms.may_tell:
+        if self._config.deployment.may_tell:
             self.balancer.heard(now, body)
 
     def _on_list_from_balancer(self, now: float, forwarded: Any) -> None:
@@ -826,7 +842,7 @@
         cell = previous.pod_group or 0 if target.pod_group is None else target.pod_group
         self._target_by_uid[target.uid] = structs.replace(target, az=az, pod_group=cell)
         self._place_by_index[upstream] = (az, cell)
-        zone = self._zone_index.get(az, (self._post.terms.zone - 1) % self._post.terms.zones)
+        zone = self._zone_index.get(az, (self._config.deployment.zone - 1) % self._config.deployment.zones)
         return Listed(
             upstream=upstream,
             mark=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from ospreyline.facts import REPORT_WORDS
+from ospreyline.config import REPORT_WORDS
 from ospreyline.host import End
 from ospreyline.net.events import EventLog
 from ospreyline.net.sockets import failed, shutdown_now
--- a/ospreyline/operator.py
+++ b/ospreyline/operator_settings.py
@@ -2,8 +2,8 @@
 
 TOML, decoded into msgspec structs; `serve CONFIG --operator FILE` or `OSPREYLINE_OPERATOR` names it. Without
 one, or with an empty one, everything is off and no code of these features is imported. Each key says what it
-does and whether SIGHUP applies it. Invalid input raises a `FactError` with the file, the key and the nearest
-known key.
+does and whether SIGHUP applies it. Invalid input raises a `ConfigError` with the file, the key and the
+nearest known key.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 import msgspec
 from msgspec import Meta
 
-from ospreyline import facts
-from ospreyline.facts import FactError
+from ospreyline import config
+from ospreyline.config import ConfigError
 
 RELOADED, AT_START = {"sighup": True}, {"sighup": False}
 MAX_RANGE_ADDRESSES = 1_024
 _UNKNOWN = re.compile(r"Object contains unknown field `(.*)`")
 
 
-class Lists(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ListSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[list]`: how the upstream list is obtained."""
 
     calls_per_s: Annotated[
@@ -58,7 +58,7 @@
     ] = 86_400.0
 
 
-class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class FleetSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[fleet]`: links to the other balancers of the bank; off without a bank name."""
 
     bank: Annotated[
@@ -123,7 +123,7 @@
         return [address for address in addresses if address not in (self.listen, self.address)]
 
 
-class Takeover(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class TakeoverSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[takeover]`: other balancers finish the visits of one that is lost; needs `[fleet]`."""
 
     on: Annotated[
@@ -166,12 +166,12 @@
     ] = "serve"
 
 
-class Operator(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file."""
 
-    list: Lists = Lists()
-    fleet: Fleet = Fleet()
-    takeover: Takeover = Takeover()
+    list: ListSettings = ListSettings()
+    fleet: FleetSettings = FleetSettings()
+    takeover: TakeoverSettings = TakeoverSettings()
 
 
 @dataclass(slots=True, frozen=True)
@@ -181,15 +181,15 @@
     name: str
     value: Any
     origin: str  # the file's path, or "default"
-    sighup: bool  # SIGHUP applies it
-    about: str
+    reloadable: bool  # SIGHUP applies it
+    description: str
 
 
-OFF = Operator()
+OFF = OperatorSettings()
 
 
 def _tables() -> dict[str, type[msgspec.Struct]]:
-    return {name: kind for name, kind in get_type_hints(Operator).items()}
+    return {name: kind for name, kind in get_type_hints(OperatorSettings).items()}
 
 
 def _known_names() -> list[str]:
@@ -197,26 +197,26 @@
     return [*_tables(), *(f for table in _tables().values() for f in table.__struct_fields__)]
 
 
-def parse(text: str) -> Operator:
-    """Decodes and checks the text of the file; `FactError` names the key."""
+def parse(text: str) -> OperatorSettings:
+    """Decodes and checks the text of the file; `ConfigError` names the key."""
     try:
-        found = msgspec.convert(tomllib.loads(text), Operator, strict=False)
+        found = msgspec.convert(tomllib.loads(text), OperatorSettings, strict=False)
     except tomllib.TOMLDecodeError as error:
-        raise FactError(str(error)) from error
+        raise ConfigError(str(error)) from error
     except msgspec.ValidationError as error:
         what, _, path = str(error).partition(" - at `$")
         where = path.rstrip("`").removeprefix(".")
         if unknown := _UNKNOWN.match(what):
             near = get_close_matches(unknown[1], _known_names(), 1)
             at = f"{where}.{unknown[1]}" if where else unknown[1]
-            raise FactError(f"{at}: unknown key" + (f", {near[0]!r}?" if near else "")) from None
-        raise FactError(f"{where}: {what}" if where else what) from None
+            raise ConfigError(f"{at}: unknown key" + (f", {near[0]!r}?" if near else "")) from None
+        raise ConfigError(f"{where}: {what}" if where else what) from None
     for key, problem in _problems(found):
-        raise FactError(f"{key}: {problem}")
+        raise ConfigError(f"{key}: {problem}")
     return found
 
 
-def _problems(o: Operator) -> Iterator[tuple[str, str]]:
+def _problems(o: OperatorSettings) -> Iterator[tuple[str, str]]:
     """Checks that the types cannot express; yields (key, problem)."""
     fleet = o.fleet
     if o.takeover.on and not fleet.bank:
@@ -226,9 +226,9 @@
             if getattr(fleet, key):
                 yield "fleet.bank", f"is missing, but fleet.{key} is set"
         return
-    if facts.address(fleet.listen, lowest_port=0) is None:
+    if config.parse_address(fleet.listen, lowest_port=0) is None:
         yield "fleet.listen", f"{fleet.listen!r} is no host:port"
-    if fleet.address and facts.address(fleet.address) is None:
+    if fleet.address and config.parse_address(fleet.address) is None:
         yield "fleet.address", f"{fleet.address!r} is no host:port"
     names: set[str] = set()
     for i, peer in enumerate(fleet.peers):
@@ -237,7 +237,7 @@
             if why := _range_problem(peer):
                 yield f"fleet.peers[{i}]", why
             continue
-        if not name or facts.address(at) is None:
+        if not name or config.parse_address(at) is None:
             yield f"fleet.peers[{i}]", f"{peer!r} is no name=host:port"
         if name in names:
             yield f"fleet.peers[{i}]", f"{name!r} is there twice"
@@ -251,7 +251,7 @@
 def _range_problem(peer: str) -> str:
     """What is wrong with an address range of peers; empty if nothing is."""
     hosts, _, port = peer.rpartition(":")
-    if "/" not in hosts or facts.address(f"h:{port}") is None:
+    if "/" not in hosts or config.parse_address(f"h:{port}") is None:
         return f"{peer!r} is no name=host:port or network/prefix_length:port"
     try:
         network = ip_network(hosts)
@@ -262,19 +262,19 @@
     return ""
 
 
-def load(path: Path | None) -> Operator:
-    """Reads an operator file; without one everything is off. `FactError` names file and key."""
+def load(path: Path | None) -> OperatorSettings:
+    """Reads an operator file; without one everything is off. `ConfigError` names file and key."""
     if path is None:
         return OFF
     try:
         return parse(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise FactError(f"{path}: {getattr(error, 'strerror', None) or error}") from error
-    except FactError as error:
-        raise FactError(f"{path}: {error}") from error
+        raise ConfigError(f"{path}: {getattr(error, 'strerror', None) or error}") from error
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from error
 
 
-def keys(operator: Operator, path: Path | None) -> Iterator[Key]:
+def keys(operator: OperatorSettings, path: Path | None) -> Iterator[Key]:
     """Yields every key with its effective value and the origin of that."""
     given = tomllib.loads(path.read_text("utf-8")) if path is not None else {}
     for table, kind in _tables().items():
@@ -291,7 +291,7 @@
             )
 
 
-def needs_restart(old: Operator, new: Operator) -> list[str]:
+def needs_restart(old: OperatorSettings, new: OperatorSettings) -> list[str]:
     """The keys that differ and that a reload does not apply."""
     before = {key.name: key for key in keys(old, None)}
-    return [key.name for key in keys(new, None) if not key.sighup and key.value != before[key.name].value]
+    return [key.name for key in keys(new, None) if not key.reloadable and key.value != before[key.name].value]
--- a/ospreyline/rig/command.py
+++ b/ospreyline/rig/command.py
@@ -421,10 +421,10 @@
 @_told
 def upstream(listen: str, work: float) -> None:
     """One stand-in upstream at LISTEN until Ctrl-C, to try a balancer by hand."""
-    from ospreyline import facts
+    from ospreyline import config
     from ospreyline.rig.upstreams import alone
 
-    at = facts.address(listen)
+    at = config.parse_address(listen)
     if at is None:
         raise ScenarioError(f"{listen}: no address such as 127.0.0.1:9001")
     if not 0 < work < 60_000:
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -644,7 +644,7 @@
 
 async def by_routes(found: Found, folder: Path, count: int, seconds: float) -> None:
     """`serve` with so many path prefixes."""
-    from ospreyline import facts
+    from ospreyline.config import load
 
     service = await ListService().start()
     config = folder / "balancer.json"
@@ -652,7 +652,7 @@
     config.write_bytes(text)
     found.add("routes_bytes", count, len(text) - len(configuration(100, 0, service.at)))
     begun = process_time()
-    facts.load(config, {})
+    load(config, {})
     found.add("routes_check_ms", count, 1e3 * (process_time() - begun))
     try:
         async with serving(config) as process:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -12,12 +12,12 @@
 from itertools import count
 from typing import Any
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.decide import Balancer, Visit
 from ospreyline.host import Deployment, End, Kind, Listed, PathPrefix, Readiness, Scope
 from ospreyline.net.service import Service
 from ospreyline.net.turn import clock
-from ospreyline.operator import Operator
+from ospreyline.operator_settings import OperatorSettings
 
 
 def prefix(kind: Kind, scope: Scope = Scope.ALL, gain: float = 1.0) -> PathPrefix:
@@ -298,7 +298,7 @@
     *peers: Peer,
     registry: Peer | None = None,
     known: list[dict[str, Any]] | None = None,
-    operator: Operator | None = None,
+    operator: OperatorSettings | None = None,
     **more: Any,
 ) -> AsyncIterator[Service]:
     """A running balancer in front of the given servers, which are started if necessary."""
@@ -307,8 +307,8 @@
             await peer.start()
     if known is None:
         known = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
-    config = configuration(known, registry.port if registry else 1, **more)
-    service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}), operator)
+    raw_config = configuration(known, registry.port if registry else 1, **more)
+    service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw_config).encode(), {}), operator)
     service.start()
     if registry is None:
         await until_ready(service)  # no list service listens, which the first call has to find out
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -14,9 +14,9 @@
 from click.testing import CliRunner
 from stand_ins import Peer, Registry, configuration, heard, running, target, until_ready
 
-from ospreyline import operator
+from ospreyline import operator_settings
 from ospreyline.__main__ import main
-from ospreyline.facts import FactError
+from ospreyline.config import ConfigError
 from ospreyline.fleet import kept
 from ospreyline.fleet.pace import Pace
 from ospreyline.lab.turns import Turns
@@ -163,8 +163,8 @@
 
 
 @pytest.fixture
-def settings(tmp_path) -> operator.Operator:
-    return operator.parse(f'[list]\nkeep = "{tmp_path / "kept"}"\ncalls_per_s = 250\n')
+def settings(tmp_path) -> operator_settings.OperatorSettings:
+    return operator_settings.parse(f'[list]\nkeep = "{tmp_path / "kept"}"\ncalls_per_s = 250\n')
 
 
 def logged(service, monkeypatch) -> list[str]:
@@ -244,7 +244,7 @@
 
 
 def test_a_disk_that_is_gone_costs_the_next_start_its_list_and_nothing_else(tmp_path):
-    on = operator.parse(f'[list]\nkeep = "{tmp_path / "no" / "folder"}"\n')
+    on = operator_settings.parse(f'[list]\nkeep = "{tmp_path / "no" / "folder"}"\n')
 
     async def scenario():
         registry = Registry()
@@ -292,15 +292,15 @@
 )
 def test_what_is_wrong_with_the_operators_file_is_one_line_that_names_it(text, said, tmp_path):
     (tmp_path / "operator.toml").write_text(text)
-    with pytest.raises(FactError) as error:
-        operator.load(tmp_path / "operator.toml")
+    with pytest.raises(ConfigError) as error:
+        operator_settings.load(tmp_path / "operator.toml")
     assert f"operator.toml: {said}" in str(error.value) and "\n" not in str(error.value)
 
 
 def test_the_example_switches_nothing_on_and_names_every_key():
     path = Path(__file__).parent.parent / "deploy" / "operator.toml"
-    assert operator.load(path) == operator.OFF
-    assert {key.origin for key in operator.keys(operator.OFF, path)} == {str(path)}
+    assert operator_settings.load(path) == operator_settings.OFF
+    assert {key.origin for key in operator_settings.keys(operator_settings.OFF, path)} == {str(path)}
 
 
 def test_check_and_show_say_what_holds_and_where_it_comes_from(tmp_path):
@@ -322,16 +322,18 @@
         registry = Registry()
         async with running(registry=registry) as service:
             await registry.tell(4, target("s-1", 9_001))
-            post = service._post
-            service._operator = operator.OFF
-            service.reload(lambda: (post, settings))
+            config = service._config
+            service._operator = operator_settings.OFF
+            service.reload(lambda: (config, settings))
             assert service.turn._pace is not None and service.turn.discovery.watching
             # another size of the bank changes the window, though the operator file is the same
             window = service.turn._pace.window
-            larger = replace(post, terms=replace(post.terms, balancers=10 * post.terms.balancers))
+            larger = replace(
+                config, deployment=replace(config.deployment, balancers=10 * config.deployment.balancers)
+            )
             service.reload(lambda: (larger, settings))
             assert service.turn._pace.window == pytest.approx(10 * window)
-            service.reload(lambda: (post, operator.OFF))
+            service.reload(lambda: (config, operator_settings.OFF))
             assert service.turn._pace is None and service.turn._list_cache is not None
 
     asyncio.run(scenario())
--- a/tests/test_crowded_list_service.py
+++ b/tests/test_crowded_list_service.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from ospreyline.asking import Asking
+from ospreyline.call_schedule import CallSchedule
 
 NOTIFIED_WITHIN = 6_000.0  # ms
 QUEUE = 2_000.0  # ms after which the service rejects a queued call
@@ -27,7 +27,7 @@
 DOWN = 8_000.0  # ms for which the service is down at first
 
 
-class FaultySchedule(Asking):
+class FaultySchedule(CallSchedule):
     """The faulty schedule: a call beside the one that waits each period, and no growth after a rejection."""
 
     def called(self, now: float, anew: bool = False) -> None:
@@ -41,7 +41,7 @@
 class Bank:
     """Balancers, their calls, and the service, on one simulated clock."""
 
-    def __init__(self, policy: type[Asking], balancers: int, calls_per_s: float, seed: int) -> None:
+    def __init__(self, policy: type[CallSchedule], balancers: int, calls_per_s: float, seed: int) -> None:
         draw = Random(seed).random
         self.schedules = [policy(draw()) for _ in range(balancers)]
         self.out: list[list[int]] = [[] for _ in range(balancers)]
@@ -94,7 +94,7 @@
             self.at(self.schedules[who].due, "due", who)
 
 
-def ms_until_all_notified(policy: type[Asking], balancers: int, work_s: float, seed: int) -> float:
+def ms_until_all_notified(policy: type[CallSchedule], balancers: int, work_s: float, seed: int) -> float:
     """ms from the return of a service that can serve the whole bank in `work_s` s until all have the list."""
     bank = Bank(policy, balancers, balancers / work_s, seed)
     bank.play(DOWN + 60_000.0)
@@ -104,14 +104,14 @@
 @pytest.mark.parametrize("balancers", [8, 44, 60, 200])
 @pytest.mark.parametrize("work_s", [0.5, 1.5, 2.5])
 def test_a_bank_is_told_in_time_by_a_service_that_has_fewer_hands_than_callers(balancers, work_s):
-    took = [ms_until_all_notified(Asking, balancers, work_s, seed) for seed in range(20)]
+    took = [ms_until_all_notified(CallSchedule, balancers, work_s, seed) for seed in range(20)]
     assert max(took) <= NOTIFIED_WITHIN, took
 
 
 @pytest.mark.parametrize("balancers", [44, 60, 200])
 def test_a_service_that_needs_most_of_the_time_is_not_kept_from_answering(balancers):
     # 4.5 s of work for the bank takes more than 6 s, as the service also works on calls it has rejected
-    took = [ms_until_all_notified(Asking, balancers, 4.5, seed) for seed in range(20)]
+    took = [ms_until_all_notified(CallSchedule, balancers, 4.5, seed) for seed in range(20)]
     assert max(took) <= 2 * NOTIFIED_WITHIN, took
 
 
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -12,9 +12,9 @@
 from click.testing import CliRunner
 from test_rig_runs import Played
 
-from ospreyline import operator
+from ospreyline import operator_settings
 from ospreyline.__main__ import main
-from ospreyline.facts import FactError
+from ospreyline.config import ConfigError
 from ospreyline.fleet import frames, lists
 from ospreyline.fleet.bank import Bank, reachability_text
 from ospreyline.fleet.frames import ALIVE, Entry, Hello
@@ -43,7 +43,7 @@
     ) -> None:
         named = f'"{watched}"' if watched else ", ".join(f'"{p.name}={p.address}"' for p in peers)
         text = BANK.format(named).replace('"b"', f'"{bank}"').replace("127.0.0.1:0", listen)
-        on = operator.parse(text).fleet
+        on = operator_settings.parse(text).fleet
         self.name, self.log, self.hints, self.news = name, Log(), [], []
         self.bank = Bank(
             asyncio.get_running_loop(),
@@ -233,8 +233,8 @@
     ],
 )
 def test_what_is_wrong_with_the_fleet_is_one_line_that_names_the_key(text, said):
-    with pytest.raises(FactError) as error:
-        operator.parse(text)
+    with pytest.raises(ConfigError) as error:
+        operator_settings.parse(text)
     assert str(error.value).startswith(said)
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -46,7 +46,7 @@
 from ospreyline.net.covering import Covering
 from ospreyline.net.service import Service
 from ospreyline.net.turn import clock
-from ospreyline.operator import Takeover as On
+from ospreyline.operator_settings import TakeoverSettings as On
 
 WAYS = pytest.mark.parametrize("how", ["end", "reset", "half"])
 LATE_BY = pytest.mark.parametrize("late", [50, 300])
@@ -464,7 +464,7 @@
                 clock(),
                 1,
                 "tag 7",
-                asked_kind := next(p.kind for p in turn._post.terms.prefixes if p.name == "tag"),
+                asked_kind := next(p.kind for p in turn._config.deployment.prefixes if p.name == "tag"),
                 b"tbody",
                 2_000.0,
             )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from test_clients import play
 from test_lists import served_by
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.host import Kind
 from ospreyline.net import upstreams
 from ospreyline.net.covering import Covering
@@ -35,11 +35,11 @@
 
 def reload(service, names, **settings):
     """Reload with just these path prefixes, in this order."""
-    config = configuration([])
-    settings_now = config["settings"]
+    raw_config = configuration([])
+    settings_now = raw_config["settings"]
     by_name = {p["Name"]: p for p in settings_now["PathPrefixes"]}
     settings_now["PathPrefixes"] = [by_name[name] | settings.get(name, {}) for name in names]
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 class WaitingTakeover:
@@ -155,9 +155,9 @@
 
 
 def reload_as_pushed(service, registry):
-    config = configuration([], registry.port)
-    config["settings"]["Discovery"] = "push"
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    raw_config = configuration([], registry.port)
+    raw_config["settings"]["Discovery"] = "push"
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 async def ready(service):
@@ -256,11 +256,13 @@
 def test_a_key_that_a_new_file_leaves_out_has_its_default_and_not_the_last_files():
     async def scenario():
         async with running(Peer(), Cancel=True, MostBackendFetches=5, KeepaliveUs=7_000_000) as service:
-            assert service.turn._post.terms.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
-            config = configuration([])
-            del config["settings"]["Caps"], config["settings"]["Dcs"]
-            service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
-            terms = service.turn._post.terms
+            assert (
+                service.turn._config.deployment.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
+            )
+            raw_config = configuration([])
+            del raw_config["settings"]["Caps"], raw_config["settings"]["Dcs"]
+            service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
+            terms = service.turn._config.deployment
             assert not terms.may_cancel and terms.max_fetches == 1 and terms.zones == 1
             assert service.turn.upstreams.keep_idle == 0.8 * 15_000
 
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -157,7 +157,7 @@
             turn._pending_actions.append((lambda now: known_at_the_act.append(turn.discovery.rev), ()))
             news = registry.writers[0].get_extra_info("socket").fileno()
             os.write(news, chunk(b'{"rev":5,"all":false,"targets":[]}\n'))
-            turn.apply_config(turn._post)
+            turn.apply_config(turn._config)
             while not known_at_the_act:
                 await asyncio.sleep(0)
             assert known_at_the_act == [5]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -110,7 +110,7 @@
     script = (
         "import sys; from ospreyline.net import service; "
         "print([n for n in sys.modules if n.startswith(('ospreyline.fleet', 'ospreyline.rig', "
-        "'ospreyline.operator', 'ospreyline.lab', 'tomllib'))])"
+        "'ospreyline.operator_settings', 'ospreyline.lab', 'tomllib'))])"
     )
     done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
@@ -121,7 +121,7 @@
         "import sys; from ospreyline.rig import clients, command, keeper, referee, registry, relays, "
         "results, run, script, upstreams, worker; "
         "print([n for n in sys.modules if n.startswith(('ospreyline.net', 'ospreyline.fleet', "
-        "'ospreyline.decide', 'ospreyline.operator'))])"
+        "'ospreyline.decide', 'ospreyline.operator_settings'))])"
     )
     done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 from stand_ins import PLAIN, FakeHost, listed
 
-from ospreyline import decide, facts
+from ospreyline import config, decide
 from ospreyline.__main__ import main
 from ospreyline.fleet.frames import (
     ALIVE,
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("size", [100, 400, 1_600])
 def test_names_of_path_prefixes_are_checked_once_each(size, monkeypatch):
-    read = facts._decode_settings
+    read = config._decode_settings
 
     def counting(text, root):
         found = read(text, root)
@@ -102,17 +102,17 @@
             prefix.name = Counted(prefix.name)
         return found
 
-    monkeypatch.setattr(facts, "_decode_settings", counting)
+    monkeypatch.setattr(config, "_decode_settings", counting)
     Counted.compared = 0
-    post = facts.post(scale.configuration(1, size, "127.0.0.1:1"), {})
-    assert len(post.prefix_names) == size
+    parsed = config.parse(scale.configuration(1, size, "127.0.0.1:1"), {})
+    assert len(parsed.prefix_names) == size
     assert Counted.compared <= size
 
 
 def test_a_name_that_is_there_twice_is_refused_with_its_place():
     text = scale.configuration(1, 50, "127.0.0.1:1").replace(b'"route-31"', b'"route-7"')
-    with pytest.raises(facts.FactError, match=r"PathPrefixes\[31\]\.Name: 'route-7'"):
-        facts.post(text, {})
+    with pytest.raises(config.ConfigError, match=r"PathPrefixes\[31\]\.Name: 'route-7'"):
+        config.parse(text, {})
 
 
 def test_the_list_grows_by_a_hundred_bytes_an_upstream_and_its_line_is_bounded():
@@ -260,7 +260,7 @@
 
 def test_serve_imports_nothing_of_it():
     code = (
-        "import sys, ospreyline.__main__, ospreyline.net.service, ospreyline.operator;"
+        "import sys, ospreyline.__main__, ospreyline.net.service, ospreyline.operator_settings;"
         "print([m for m in sys.modules if 'capacity' in m or 'rig' in m.split('.')])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -32,7 +32,7 @@
 )
 from test_clients import play
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.__main__ import main
 from ospreyline.net import list_call
 from ospreyline.net import service as service_module
@@ -302,8 +302,8 @@
 
 def moved(service, registry, **changes):
     """Reload a configuration with another discovery address."""
-    config = configuration([], registry.port) | changes
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    raw_config = configuration([], registry.port) | changes
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 @pytest.mark.parametrize("first", ["whole", "changes"])
@@ -374,7 +374,7 @@
             file.write_bytes(text)
         async with running(Peer(), registry=registry) as service:
             await heard(service, registry)
-            service.reload(lambda: (facts.load(file, {}, again=True), None))
+            service.reload(lambda: (config.load(file, {}, reload=True), None))
             assert service.turn.discovery.at[1] == registry.port and registry.writers
             assert (await (await caller(service)).ask(request()))[0] == 200
 
@@ -383,16 +383,16 @@
 
 def test_a_reload_names_what_needs_a_restart_and_takes_discovery_from_the_file(tmp_path):
     file = tmp_path / "config.json"
-    config = configuration([], 7)
-    file.write_text(json.dumps(config))
+    raw_config = configuration([], 7)
+    file.write_text(json.dumps(raw_config))
     env = {"PROXY_DISCOVERY": "127.0.0.1:5", "PROXY_NAME": "n7"}
-    first, again = facts.load(file, env), facts.load(file, env, again=True)
+    first, again = config.load(file, env), config.load(file, env, reload=True)
     assert first.discovery[1] == 5 and again.discovery[1] == 7 and not first.needs_restart(again)
-    config["limits"]["sockets"] = 99
-    config["settings"]["PathPrefixes"][0]["Gain"] = 3
-    config["listen"] = "127.0.0.1:1"
-    file.write_text(json.dumps(config))
-    assert first.needs_restart(facts.load(file, env, again=True)) == ["listen", "limits"]
+    raw_config["limits"]["sockets"] = 99
+    raw_config["settings"]["PathPrefixes"][0]["Gain"] = 3
+    raw_config["listen"] = "127.0.0.1:1"
+    file.write_text(json.dumps(raw_config))
+    assert first.needs_restart(config.load(file, env, reload=True)) == ["listen", "limits"]
 
 
 @pytest.mark.parametrize(
@@ -416,8 +416,8 @@
     ],
 )
 def test_a_faulty_configuration_is_one_line_that_names_the_key(path, value, says, tmp_path):
-    config = configuration([])
-    section = config
+    raw_config = configuration([])
+    section = raw_config
     for key in path[:-1]:
         section = section[key]
     if value is None:
@@ -425,7 +425,7 @@
     else:
         section[path[-1]] = value
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(config))
+    file.write_text(json.dumps(raw_config))
     result = CliRunner().invoke(main, ["check", str(file)])
     assert result.exit_code == 2 and says in result.stderr and len(result.stderr.splitlines()) == 1
 
@@ -489,17 +489,19 @@
     # it would configure logging for the whole process
     monkeypatch.setattr(service_module, "start_log", lambda: None)
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        config = configuration([]) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
+        raw_config = configuration([]) | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(config))
+        file.write_text(json.dumps(raw_config))
         result = CliRunner().invoke(main, ["serve", str(file)])
     assert result.exit_code == 1 and "cannot listen on 127.0.0.1" in result.stderr
 
 
 def test_variables_win_over_the_file():
-    config = configuration([])
-    post = facts.post(json.dumps(config).encode(), {"PROXY_LISTEN": "127.0.0.2:80", "PROXY_NAME": "n7"})
-    assert post.listen == ("127.0.0.2", 80) and post.name == "n7" and post.seed == 0x8C1F
+    raw_config = configuration([])
+    parsed = config.parse(
+        json.dumps(raw_config).encode(), {"PROXY_LISTEN": "127.0.0.2:80", "PROXY_NAME": "n7"}
+    )
+    assert parsed.listen == ("127.0.0.2", 80) and parsed.name == "n7" and parsed.seed == 0x8C1F
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -15,7 +15,7 @@
 from stand_ins import SILENT, Caller, Peer, caller, configuration, ok, request, running, target
 from test_clients import play
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.net import clients
 from ospreyline.net import service as service_module
 
@@ -132,10 +132,10 @@
 
 
 def reload(service, registry_port=1, timeout_us=2_000_000):
-    config = configuration([], registry_port)
-    for prefix in config["settings"]["PathPrefixes"]:
+    raw_config = configuration([], registry_port)
+    for prefix in raw_config["settings"]["PathPrefixes"]:
         prefix["ClientTimeoutUs"] = timeout_us
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 @pytest.mark.parametrize("how", ["shortened", "long"])
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -23,7 +23,7 @@
     target,
 )
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.host import End, Kind, Scope
 from ospreyline.net.service import Service
 
@@ -75,9 +75,9 @@
 
 def settings_text(registry: Registry, old: bool = False) -> bytes:
     """Settings before (`old`) or after the switch, which moves prefixes, removes a zone, pushes the list."""
-    config = configuration([], registry.port)
+    raw_config = configuration([], registry.port)
     if not old:
-        settings = config["settings"]
+        settings = raw_config["settings"]
         read, tag, change = settings["PathPrefixes"]
         settings |= {
             "Dcs": ["a"],
@@ -88,11 +88,11 @@
             "Goal": {"Whole": 0.7, "Availability": 0.3, "FullAtNines": 3},
         }
         assert tag
-    return json.dumps(config).encode()
+    return json.dumps(raw_config).encode()
 
 
 def switch(service: Service, text: bytes) -> None:
-    service.reload(lambda: (facts.post(text, {}), None))
+    service.reload(lambda: (config.parse(text, {}), None))
 
 
 async def load(service: Service, path: str, stop: asyncio.Event, statuses: Counter[tuple[str, int]]) -> None:
@@ -215,9 +215,9 @@
         peer, registry = SlowPeer(), Registry()
         await peer.start()
         await registry.start()
-        config = configuration([], registry.port)
-        config["settings"]["Discovery"] = mode
-        service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}))
+        raw_config = configuration([], registry.port)
+        raw_config["settings"]["Discovery"] = mode
+        service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw_config).encode(), {}))
         service.start()
         try:
             await registry.tell(4, target("u0", peer.port), whole=True)
@@ -244,10 +244,10 @@
     ],
 )
 def test_settings_that_cannot_be_used_are_refused_by_the_name_of_their_key(change, says):
-    config = configuration([], 7)
-    config["settings"] |= change
-    with pytest.raises(facts.FactError, match=says):
-        facts.post(json.dumps(config).encode(), {})
+    raw_config = configuration([], 7)
+    raw_config["settings"] |= change
+    with pytest.raises(config.ConfigError, match=says):
+        config.parse(json.dumps(raw_config).encode(), {})
 
 
 def apply_settings(host: FakeHost, lines: list, **terms: object) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -9,8 +9,8 @@
 import pytest
 from test_rig_runs import Played
 
-from ospreyline import operator
-from ospreyline.facts import FactError
+from ospreyline import operator_settings
+from ospreyline.config import ConfigError
 from ospreyline.fleet import takeover
 from ospreyline.fleet.frames import Pulse, Say, encode
 from ospreyline.fleet.takeover import Takeover, bank_acceptors
@@ -381,8 +381,8 @@
     ],
 )
 def test_what_is_wrong_with_the_table_is_one_line_that_names_the_key(text, said):
-    with pytest.raises(FactError) as error:
-        operator.parse(text)
+    with pytest.raises(ConfigError) as error:
+        operator_settings.parse(text)
     assert str(error.value).startswith(said)
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -27,8 +27,8 @@
 from test_lists import END, chunk, listing, served_by, settled
 from test_service import moved
 
-from ospreyline import asking, facts, operator
-from ospreyline.asking import Asking
+from ospreyline import call_schedule, config, operator_settings
+from ospreyline.call_schedule import CallSchedule
 from ospreyline.fleet import pace
 from ospreyline.fleet.lists import Lists
 from ospreyline.fleet.pace import Pace
@@ -265,7 +265,7 @@
     assert 3_000.0 < took <= NOTIFIED_AFTER, (chain, phase)
 
 
-class Growing(Asking):
+class Growing(CallSchedule):
     """Waits that are too long: they grow with each failure, and an open call is repeated after 4 s."""
 
     wait = 500.0
@@ -283,7 +283,7 @@
         self.wait = min(2 * self.wait, 7_500.0)
 
 
-class SingleCall(Asking):
+class SingleCall(CallSchedule):
     """A schedule that makes no other call while one is open, answered or not."""
 
     def called(self, now: float, anew: bool = False) -> None:
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("waits", [Growing, SingleCall])
 def test_the_walk_finds_waits_that_are_too_long(waits, monkeypatch):
-    monkeypatch.setattr("ospreyline.decide.Asking", waits)
+    monkeypatch.setattr("ospreyline.decide.CallSchedule", waits)
     took, _, _ = longest([*chains(5)][-700::3], 200, False, 1_000.0, 2)
     assert took > NOTIFIED_AFTER
 
@@ -315,11 +315,11 @@
 
 def test_a_period_lets_two_or_three_calls_of_any_bank_fit_and_a_bank_calls_no_faster_than_before():
     for balancers in range(1, 3_000):
-        period = asking.period_of(balancers, 30_000.0)
+        period = call_schedule.period_of(balancers, 30_000.0)
         assert 1_400.0 <= period <= 2_200.0 and (period == 1_400.0) == (balancers <= 200)
         # a small bank overloads no service; hundreds call no more often than with grown waits
         assert balancers / period * 1e3 <= max(143.0, balancers / 2.2 + 1e-6)
-    assert asking.period_of(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
+    assert call_schedule.period_of(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
 
 
 # over loopback
@@ -328,9 +328,9 @@
 @pytest.fixture
 def short(monkeypatch):
     """Periods of 0.3 s, far below the time after which a call times out."""
-    monkeypatch.setattr(asking, "MIN_PERIOD_MS", 300.0)
-    monkeypatch.setattr(asking, "MAX_PERIOD_MS", 300.0)
-    monkeypatch.setattr(asking, "MAX_REJECTED_PERIOD_MS", 600.0)
+    monkeypatch.setattr(call_schedule, "MIN_PERIOD_MS", 300.0)
+    monkeypatch.setattr(call_schedule, "MAX_PERIOD_MS", 300.0)
+    monkeypatch.setattr(call_schedule, "MAX_REJECTED_PERIOD_MS", 600.0)
 
 
 class ScriptedRegistry(Registry):
@@ -369,7 +369,11 @@
     # the next call must not wait until the first one is given up after 2.5 s
     async def scenario():
         registry, peers = ScriptedRegistry(said), (Peer(ok(b"0")), Peer(ok(b"1")))
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: bool(registry.writers))
             assert len(registry.scripted) == 1  # the first is still open
@@ -428,7 +432,11 @@
     async def scenario():
         monkeypatch.setattr(pace, "HONOUR", 400.0)
         registry, peers = ScriptedRegistry(*[BUSY] * 6), (Peer(ok(b"0")), Peer(ok(b"1")))
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: len(registry.requests) > 6)
             await registry.tell(40, target("u0", peers[0].port, state="leaving"))
@@ -492,14 +500,18 @@
         old, new = Registry(), ScriptedRegistry(b"")
         peers = Peer(ok(b"0")), Peer(ok(b"1"))
         await new.start()
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=old, operator=on) as service:
             await old.tell(7)
             while (
                 service.turn._pace or service.turn.balancer._call_schedule
             ).due < inf:  # until it is answered
                 await asyncio.sleep(0)
-            service.reload(lambda: (moved_post(new), on))
+            service.reload(lambda: (moved_config(new), on))
             await new.until(lambda: len(new.scripted) == 1)
             await old.tell(8)  # updates on the former watch say nothing about the new one
             await new.until(lambda: bool(new.writers))
@@ -510,8 +522,8 @@
     play(scenario)
 
 
-def moved_post(registry: Registry) -> facts.Post:
-    return facts.post(json.dumps(configuration([], registry.port)).encode(), {})
+def moved_config(registry: Registry) -> config.ProxyConfig:
+    return config.parse(json.dumps(configuration([], registry.port)).encode(), {})
 
 
 def test_one_that_was_spared_by_others_asks_in_time_once_they_are_gone():
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -10,7 +10,7 @@
 from test_clients import play
 from test_takeover import CHANGE, PAY, Net, send_allowed
 
-from ospreyline import operator
+from ospreyline import operator_settings
 from ospreyline.fleet.frames import Say
 from ospreyline.host import End
 from ospreyline.net.covering import Covering
@@ -75,7 +75,9 @@
     async def scenario() -> None:
         async with running(*[Peer() for _ in range(peers)]) as service:
             turn = service.turn
-            turn.covering = covering = Covering(turn, operator.Takeover(on=True), "n0", "a", 1, 7, 3)
+            turn.covering = covering = Covering(
+                turn, operator_settings.TakeoverSettings(on=True), "n0", "a", 1, 7, 3
+            )
             setattr(covering.takeover, what, lambda *more, **named: False)
             client = await caller(service)
             begun = asyncio.get_running_loop().time()
@@ -92,7 +94,9 @@
 
 def continues_without_client(net: Net, *fetches: FetchState | None) -> bool:
     """The client of m0's visit leaves while it has these fetches; returns whether the visit continues."""
-    covering = Covering(SimpleNamespace(bank=None), operator.Takeover(on=True), "m0", "a", 1, 7, 3)
+    covering = Covering(
+        SimpleNamespace(bank=None), operator_settings.TakeoverSettings(on=True), "m0", "a", 1, 7, 3
+    )
     covering.takeover = net.at["m0"]
     errands = [f and SimpleNamespace(stage=f[0], done=None if f[1] else print) for f in fetches]
     handle = SimpleNamespace(fetches=[SimpleNamespace(end=f and f[2]) for f in fetches])
