--- a/ospreyline/call_schedule.py
+++ b/ospreyline/call_schedule.py
@@ -14,7 +14,7 @@
 MIN_PERIOD_MS, MAX_PERIOD_MS, PERIOD_PER_BALANCER_MS = 1_400.0, 2_200.0, 7.0
 # largest interval between rejected calls, and the factor by which it grows
 MAX_REJECTED_PERIOD_MS, REJECTED_GROWTH = 4_200.0, 1.5
-# share of that interval over which calls are spread; the golden ratio moves a balancer's place evenly
+# share of that interval over which calls are spread; the golden ratio moves a balancer's phase evenly
 REJECTED_SPREAD, GOLDEN_RATIO = 0.3, 0.6180339887498949
 # upper bounds of the period and of the initial delay, as shares of `must_ask_in`
 PERIOD_SHARE, INITIAL_SHARE = 0.4, 0.3
@@ -28,7 +28,7 @@
 FIRST_RETRY_DELAY, FIRST_RETRY_SPREAD = 0.25, 0.3
 
 
-def period_of(balancers: int, must_ask_in: float) -> float:
+def call_period_ms(balancers: int, must_ask_in: float) -> float:
     """ms between the starts of two calls of one balancer of a bank; `must_ask_in` in ms."""
     return min(
         max(MIN_PERIOD_MS, min(MAX_PERIOD_MS, PERIOD_PER_BALANCER_MS * balancers)), PERIOD_SHARE * must_ask_in
@@ -36,26 +36,27 @@
 
 
 class CallSchedule:
-    """The call schedule of one balancer: the next call is `due`, in ms; inf while none is planned."""
+    """The call schedule of one balancer: the next call is at `next_call_at` (ms; inf if none is planned)."""
 
-    def __init__(self, place: float) -> None:
-        """`place`: from 0 to 1, where in each span of time shared with the bank this balancer calls."""
-        self.place, self.due, self.failures = place, inf, 0  # failures: in a row
+    def __init__(self, phase: float) -> None:
+        """`phase`: from 0 to 1, where in each span of time shared with the bank this balancer calls."""
+        self.phase, self.next_call_at, self.failures = phase, inf, 0  # failures: in a row
         self._rejections = 0  # of these, calls rejected by a service that has too many callers
         self._consecutive_losses = 0  # calls, each soon after the one before, that lost an update
-        self.period = self._spread = self._initial_spread = MIN_PERIOD_MS
+        self.period = self._reopen_spread = self._initial_spread = MIN_PERIOD_MS
         self._loss_spread = LOSS_SPREAD_MS
-        self._patience, self._max_rejected_period = MAX_PERIOD_MS, MAX_REJECTED_PERIOD_MS
-        self._second, self._second_spread = FIRST_RETRY_DELAY, FIRST_RETRY_SPREAD
-        self._began, self._told = -inf, False  # start of the latest call, and whether it has been answered
+        self._max_wait, self._max_rejected_period = MAX_PERIOD_MS, MAX_REJECTED_PERIOD_MS
+        self._first_retry_delay, self._first_retry_spread = FIRST_RETRY_DELAY, FIRST_RETRY_SPREAD
+        # start of the latest call, and whether it has been answered
+        self._call_started_at, self._answered = -inf, False
 
-    def fit(self, balancers: int, must_ask_in: float) -> None:
+    def configure(self, balancers: int, must_ask_in: float) -> None:
         """Derives the intervals from the size of the bank and `must_ask_in` (ms), at start and on reload."""
-        self.period = period_of(balancers, must_ask_in)
-        self._spread = REOPEN_SPREAD * self.period
-        self._patience = max(self.period, min(MAX_PERIOD_MS, PERIOD_SHARE * must_ask_in))
+        self.period = call_period_ms(balancers, must_ask_in)
+        self._reopen_spread = REOPEN_SPREAD * self.period
+        self._max_wait = max(self.period, min(MAX_PERIOD_MS, PERIOD_SHARE * must_ask_in))
         self._max_rejected_period = max(
-            self._patience, min(MAX_REJECTED_PERIOD_MS, PERIOD_SHARE * must_ask_in)
+            self._max_wait, min(MAX_REJECTED_PERIOD_MS, PERIOD_SHARE * must_ask_in)
         )
         self._loss_spread = min(LOSS_SPREAD_MS, LOSS_SPREAD_PER_BALANCER_MS * balancers)
         self._initial_spread = min(
@@ -64,61 +65,67 @@
             self.period,
         )
 
-    def begin(self, now: float, asks: bool) -> None:
+    def begin(self, now: float, polls: bool) -> None:
         """Plans the first call, if the list has to be polled."""
         # without the spread, hundreds that start at once hit a list service that serves some calls a second
-        self.due = now + self.place * self._initial_spread if asks else inf
+        self.next_call_at = now + self.phase * self._initial_spread if polls else inf
 
-    def called(self, now: float, anew: bool = False) -> None:
-        """A call goes out; `anew`: to another service, so that earlier failures say nothing about it."""
-        if anew:
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        """A call goes out; `new_service`: to another service, about which earlier failures say nothing."""
+        if new_service:
             self.failures = self._rejections = 0
         # a call may connect and receive nothing; the next one is made beside it, as if it had failed
-        self._began, self._told, self.due = now, False, now + self._patience
+        self._call_started_at, self._answered, self.next_call_at = now, False, now + self._max_wait
 
-    def told(self) -> None:
+    def call_answered(self) -> None:
         """The service has answered; a list that was known before any call is no answer."""
-        if self._began > -inf:
-            self.due, self._told = inf, True
+        if self._call_started_at > -inf:
+            self.next_call_at, self._answered = inf, True
             self.failures = self._rejections = 0
 
-    def failed(self, now: float, turned_away: bool = False) -> None:
+    def call_failed(self, now: float, rejected: bool = False) -> None:
         """The last open call has failed, or the watch has ended.
 
-        `turned_away`: the service is reachable and rejected the call because it is overloaded.
+        `rejected`: the service is reachable and rejected the call because it is overloaded.
         """
-        if self._told or self.due == inf:
+        if self._answered or self.next_call_at == inf:
             # spread, as all watches of a service may end at once
-            self._told, self.due = False, now + REOPEN_DELAY_MS + self._spread * self.place
+            self._answered, self.next_call_at = (
+                False,
+                now + REOPEN_DELAY_MS + self._reopen_spread * self.phase,
+            )
             return
         self.failures += 1
-        if turned_away:
-            self.due = max(now + REOPEN_DELAY_MS, self._began + self._rejected_interval())
+        if rejected:
+            self.next_call_at = max(now + REOPEN_DELAY_MS, self._call_started_at + self._rejected_interval())
             return
-        self.due = min(self.due, max(now + REOPEN_DELAY_MS, self._began + self.period))
+        self.next_call_at = min(
+            self.next_call_at, max(now + REOPEN_DELAY_MS, self._call_started_at + self.period)
+        )
         if self.failures == 1:
             # without an early retry, one answer that broke off would cost a whole period
-            second = self._began + (self._second + self._second_spread * self.place) * self.period
-            self.due = min(self.due, max(now + REOPEN_DELAY_MS, second))
+            delay = (self._first_retry_delay + self._first_retry_spread * self.phase) * self.period
+            first_retry = self._call_started_at + delay
+            self.next_call_at = min(self.next_call_at, max(now + REOPEN_DELAY_MS, first_retry))
 
     def _rejected_interval(self) -> float:
         """Counts a rejection; ms from the start of the rejected call to the next one."""
         self._rejections += 1
         if self._rejections == 1:
             return self.period
-        longest = min(self._max_rejected_period, self._patience * REJECTED_GROWTH ** (self._rejections - 2))
+        longest = min(self._max_rejected_period, self._max_wait * REJECTED_GROWTH ** (self._rejections - 2))
         # spread anew each time: a bank that was rejected all at once would come back all at once
-        place = (self.place + GOLDEN_RATIO * self._rejections) % 1
-        return max(self._patience, longest * (1 - REJECTED_SPREAD * place))
+        phase = (self.phase + GOLDEN_RATIO * self._rejections) % 1
+        return max(self._max_wait, longest * (1 - REJECTED_SPREAD * phase))
 
-    def lost(self, now: float) -> None:
+    def update_lost(self, now: float) -> None:
         """An update may have been written and lost: it is needed within the grace period of a drain."""
-        if now - self._began > self._patience:
+        if now - self._call_started_at > self._max_wait:
             self._consecutive_losses = 0
         self._consecutive_losses += 1
-        soon = now + self.place * self._loss_spread
+        soon = now + self.phase * self._loss_spread
         if self._consecutive_losses > 1:
             # without a pause, a service that resets each call at once would be called in a tight loop
             pause = min(self.period, LOSS_SPREAD_MS * 2 ** min(9, self._consecutive_losses - 2))
-            soon = max(soon, self._began + pause)
-        self.due = min(self.due, soon)
+            soon = max(soon, self._call_started_at + pause)
+        self.next_call_at = min(self.next_call_at, soon)
--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -189,7 +189,7 @@
     if told == inf or not world.process.active:
         return ""
     at = max(world.now, told + GRACE - HELD_UP + 1.0)
-    if at >= world.next_at() or world.process.lease.withholds(at):
+    if at >= world.next_at() or world.process.lease.blocks_sends(at):
         return ""
     world.now = at
     world.say(f"a request may be sent to u0, which counts as told since {(told - START) / 1e3:.2f} s")
@@ -203,7 +203,7 @@
     """Whether nothing is sent though the service has answered every call for a long time."""
     if world.tail is None or world.tail.kind != "answered":
         return ""
-    why = world.process.lease.why(world.now)
+    why = world.process.lease.block_reason(world.now)
     if why is None:
         return ""
     world.say("requests are withheld still")
@@ -219,7 +219,7 @@
 def _answered(world: World) -> None:
     chosen, world.calls_left = world.calls_left, 0
     world.tail = STANDING
-    world.process.asking.due = world.now
+    world.process.call_schedule.next_call_at = world.now
     while not world.process.lists.told_by_watch:
         world.step()
     world.calls_left, world.tail = chosen, None
@@ -237,7 +237,7 @@
     if world.choose((False, True)):
         world.changed_at = world.now - AT_LAST - 1_000.0
         world.say("u0 has drained for 7 s")
-    world.process.asking.begin(world.now, True)
+    world.process.call_schedule.begin(world.now, True)
 
 
 def _moved(world: World) -> None:
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -238,10 +238,10 @@
         self.world = world
         self.active = True  # u0, in its list
         self.lease = ListLease()
-        self.lease.fit(GRACE, MUST_ASK_IN, False)
-        self.lease.begin(world.now)
-        self.asking = CallSchedule(0.5)
-        self.asking.fit(BALANCERS, MUST_ASK_IN)
+        self.lease.configure(GRACE, MUST_ASK_IN, False)
+        self.lease.start(world.now)
+        self.call_schedule = CallSchedule(0.5)
+        self.call_schedule.configure(BALANCERS, MUST_ASK_IN)
         self._noted: list[Callable[[], None]] = []
         self.lists = Discovery(
             cast(asyncio.AbstractEventLoop, _Loop(world)),
@@ -252,7 +252,7 @@
             tell_failed=lambda failure: self._noted.append(lambda: self._failed(failure)),
             tell_lease=lambda message: self._noted.append(lambda: self._renew(message)),
         )
-        self.lists.again, self.lists.patient = self.asking.period / 1e3, True
+        self.lists.again, self.lists.patient = self.call_schedule.period / 1e3, True
 
     def turn(self) -> None:
         """What was noted is told, and a call that is due goes out."""
@@ -260,27 +260,31 @@
             noted, self._noted = self._noted, []
             for call in noted:
                 call()
-        if self.world.now >= self.asking.due:
-            self.asking.called(self.world.now)
+        if self.world.now >= self.call_schedule.next_call_at:
+            self.call_schedule.call_started(self.world.now)
             self.lists.watch(True)
             self.turn()
 
     def _told(self, news: News) -> None:
         if self.lists.told_by_watch:
-            self.asking.told()
+            self.call_schedule.call_answered()
         state = next((target.state for target, _ in news.targets if target.uid == "u0"), "")
         if state or news.whole:
             self.active = state == "active"
 
     def _failed(self, failure: CallFailure) -> None:
-        self.asking.failed(self.world.now, failure.turned_away)
+        self.call_schedule.call_failed(self.world.now, failure.turned_away)
         if failure.lost:
-            self.asking.lost(self.world.now)
+            self.call_schedule.update_lost(self.world.now)
 
     def _renew(self, message: LeaseMessage) -> None:
-        self.lease.take(self.world.now, message)
-        if isinstance(message, UpdateRead) and self.lease.lost and self.asking.due == inf:
-            self.asking.lost(self.world.now)
+        self.lease.apply(self.world.now, message)
+        if (
+            isinstance(message, UpdateRead)
+            and self.lease.has_lost_update
+            and self.call_schedule.next_call_at == inf
+        ):
+            self.call_schedule.update_lost(self.world.now)
 
 
 class World:
@@ -317,7 +321,7 @@
         heapq.heappush(self._events, (time, self._serial, what))
 
     def next_at(self) -> float:
-        return max(self.now, min(self._events[0][0], self.process.asking.due))
+        return max(self.now, min(self._events[0][0], self.process.call_schedule.next_call_at))
 
     def step(self) -> None:
         """What comes next, and what the process does of it."""
@@ -509,7 +513,7 @@
         self.moment("before the balancer is led to another service")
         self.say("the balancer is led to another service")
         self.process.lists.move(ELSEWHERE)
-        self.process.asking.called(self.now, anew=True)
+        self.process.call_schedule.call_started(self.now, new_service=True)
         self.process.turn()
 
     def restart(self) -> None:
@@ -521,7 +525,7 @@
         # a process starts from nothing: what was written to the one before counts by the clock alone
         self.written_told = self.silent_before = inf
         self.process = Process(self)
-        self.process.asking.begin(self.now, True)
+        self.process.call_schedule.begin(self.now, True)
 
     def close(self) -> None:
         self.process.lists.close()
--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -243,8 +243,8 @@
         self._fraction_granted = 1 - COLD_HEADROOM * (1 - share)
         fields = settings.report_fields
         self._load_index = next((fields.index(f) for f in ("in-flight", "queue", "util") if f in fields), -1)
-        self._call_schedule.fit(settings.balancers, settings.must_ask_in)
-        self.lease.fit(settings.drain_grace, settings.must_ask_in, not settings.ask_for_list)
+        self._call_schedule.configure(settings.balancers, settings.must_ask_in)
+        self.lease.configure(settings.drain_grace, settings.must_ask_in, not settings.ask_for_list)
         if not reload or old.ask_for_list != settings.ask_for_list:
             self._call_schedule.begin(now, settings.ask_for_list)
         # even spacing, whatever numbers the balancers of a zone have
@@ -297,7 +297,7 @@
         `first`: of a first list, whose upstreams need not be new; `own`: from a watch of ours.
         """
         if own:
-            self._call_schedule.told()
+            self._call_schedule.call_answered()
         for line in lines:
             u = self._upstreams.get(line.upstream)
             if u is None:
@@ -330,20 +330,20 @@
 
         `lost`: an update may have been written and lost; `turned_away`: the service has too many callers.
         """
-        self._call_schedule.failed(now, turned_away)
+        self._call_schedule.call_failed(now, turned_away)
         if lost and self._settings.ask_for_list:
-            self._call_schedule.lost(now)
-            self._host.wake(self._call_schedule.due, self._call_if_due)
+            self._call_schedule.update_lost(now)
+            self._host.wake(self._call_schedule.next_call_at, self._call_if_due)
 
     def ask_again(self, now: float) -> None:
         """Schedule a call, as the updates received so far leave open whether one was lost."""
-        if self._call_schedule.due == inf:
-            self._call_schedule.lost(now)
-            self._host.wake(self._call_schedule.due, self._call_if_due)
+        if self._call_schedule.next_call_at == inf:
+            self._call_schedule.update_lost(now)
+            self._host.wake(self._call_schedule.next_call_at, self._call_if_due)
 
     def asked(self, now: float) -> None:
         """A call was made to another list service: reset the schedule's failures."""
-        self._call_schedule.called(now, anew=True)
+        self._call_schedule.call_started(now, new_service=True)
 
     def forget(self, upstream: int) -> None:
         """Remove an upstream that left long ago and will not be listed again."""
@@ -527,7 +527,7 @@
         if visit.done or now >= visit.expires or len(visit.fetches) >= self._settings.max_fetches:
             return False
         # drains are respected: at once when listed, and nothing is sent without a valid list lease
-        if not u.ready or self.lease.withholds(now):
+        if not u.ready or self.lease.blocks_sends(now):
             return False
         # no effect happens twice
         if visit.out:
@@ -613,7 +613,7 @@
 
     def _choose_and_send(self, visit: Visit, now: float) -> bool:
         """Send a visit: draw a zone by share, then the less loaded of two random upstreams in it."""
-        if self.lease.withholds(now):
+        if self.lease.blocks_sends(now):
             return False
         if self._trials_due and visit.lane.kind in self._trial_kinds and not visit.fetches:
             for due in self._trials_due:
@@ -737,7 +737,7 @@
         )
         wait = 1e3 * ahead / delivery_rate if delivery_rate else inf
         # a list service that has not sent the list by now is overloaded or down; another balancer may have it
-        no_usable_list = not self._ready or self.lease.withholds(now)
+        no_usable_list = not self._ready or self.lease.blocks_sends(now)
         if no_usable_list or now + wait > self._queue_deadline(visit):
             return self._give_up(visit, now)
         visit.held = True
@@ -847,8 +847,8 @@
 
     def _call_if_due(self, now: float) -> None:
         """Call the list service, if a call is due."""
-        if now >= self._call_schedule.due:
-            self._call_schedule.called(now)
+        if now >= self._call_schedule.next_call_at:
+            self._call_schedule.call_started(now)
             self._host.watch(True)
 
     def _update_rates(self, now: float) -> None:
--- a/ospreyline/fleet/subscriber.py
+++ b/ospreyline/fleet/subscriber.py
@@ -19,7 +19,7 @@
 from math import inf
 
 from ospreyline.fleet.frames import Change, Got, Item, Message, Named, Subscribe, Told, Unsubscribe
-from ospreyline.fleet.pace import Pace
+from ospreyline.fleet.pace import CallPacer
 from ospreyline.fleet.scopes import (
     GONE,
     LEAVING,
@@ -158,7 +158,7 @@
             self.preferred[:1] + self.preferred[len(near) or 1 :] + self.preferred[1 : len(near) or 1]
         )
         self._order_index = self._return_tries = 0
-        self._pacer = Pace(
+        self._pacer = CallPacer(
             number, max(1, count), SUBSCRIPTIONS_PER_S * max(1, len(self.order)), MUST_TRY_IN_MS
         )
         # With the period for a single list service, each publisher that is gone would cost over two seconds.
@@ -301,8 +301,8 @@
                     ),
                 )
         if not self._current:
-            if self.order and now >= self._pacer.due:
-                self._pacer.called(now)
+            if self.order and now >= self._pacer.next_call_at:
+                self._pacer.call_started(now)
                 self._current = self.order[self._order_index]
                 self._start_session(now, self._current)
         elif now >= self._search_at and not self._candidate:
@@ -386,7 +386,7 @@
             self._current, self._candidate = self._candidate, ""
             self._order_index = self.order.index(self._current)
             return
-        self._pacer.failed(now)
+        self._pacer.call_failed(now)
         self._order_index = (self._order_index + 1) % len(self.order)
         self._search_at = inf
 
@@ -433,7 +433,7 @@
         if message.again:
             self._send_full_subscription(now, session)
         if not session.answered and session.name == self._current:
-            self._pacer.told()
+            self._pacer.call_answered()
         session.answered = True
         session.lag = message.own + now - message.echo if message.own >= 0 and message.echo <= now else inf
         if message.edition == self._edition and message.age >= 0 and message.echo <= now:
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from ospreyline.decide import Balancer
-from ospreyline.fleet.pace import Pace
+from ospreyline.fleet.pace import CallPacer
 from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
 from ospreyline.lab.turns import Turns
 from ospreyline.lab.world import World
@@ -29,9 +29,9 @@
         self.bank, self.world = bank, bank.world
         self.listed_at = inf
         self.calls = 0
-        self.pace: Pace | None = None
+        self.pace: CallPacer | None = None
         if bank.paced:
-            self.pace = Pace(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
+            self.pace = CallPacer(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
         self.decisions = Balancer(self, terms, seed, self.world.now)
         self.decisions.told_all(self.world.now, [])
         if self.pace is not None:
@@ -42,18 +42,18 @@
         if self.pace is None:
             self._call()
         else:
-            self.pace.wanted(self.world.now)
+            self.pace.request_watch(self.world.now)
             self._plan()
 
     def _plan(self) -> None:
         assert self.pace is not None
-        if self.pace.due < inf:
-            self.world.at(self.pace.due, self._due)
+        if self.pace.next_call_at < inf:
+            self.world.at(self.pace.next_call_at, self._due)
 
     def _due(self) -> None:
         assert self.pace is not None
-        if self.world.now >= self.pace.due:
-            self.pace.called(self.world.now)
+        if self.world.now >= self.pace.next_call_at:
+            self.pace.call_started(self.world.now)
             self._plan()
             self._call()
 
@@ -64,13 +64,13 @@
 
     def _failed(self) -> None:
         if self.pace is not None:
-            self.pace.failed(self.world.now)
+            self.pace.call_failed(self.world.now)
             self._plan()
         self.decisions.told_nothing(self.world.now)
 
     def _told(self) -> None:
         if self.pace is not None:
-            self.pace.told()
+            self.pace.call_answered()
         self.listed_at = min(self.listed_at, self.world.now)
         self.decisions.told_changes(self.world.now, LIST)
 
--- a/ospreyline/lease.py
+++ b/ospreyline/lease.py
@@ -9,7 +9,7 @@
 way in which a call ended nor the time since then is evidence. docs/design.md, "The lease on the list".
 
 No I/O: takes messages and answers until when requests may be sent. Times in ms on one clock; calls are
-identified by increasing numbers. Disabled until `begin`; afterwards it costs one comparison per request.
+identified by increasing numbers. Disabled until `start`; afterwards it costs one comparison per request.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallBegan:
+class CallStarted:
     """A list call starts; its request is sent now or later."""
 
     call: int
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallSilent:
+class CallTimedOut:
     """We have ended a call on which nothing had been received for `age` s."""
 
     call: int
@@ -115,14 +115,14 @@
 
 
 LeaseMessage = (
-    CallBegan
+    CallStarted
     | UpdateArriving
     | NoUpdateArriving
     | UpdateRead
     | FormerServiceRead
     | MessageComplete
     | UpdateLost
-    | CallSilent
+    | CallTimedOut
     | ConnectionRefused
 )
 
@@ -163,11 +163,11 @@
         "_no_update_since",
         "_proven_at",
         "_pushed",
-        "expires",
+        "expires_at",
     )
 
     def __init__(self) -> None:
-        self.expires = inf  # ms; before then `withholds` need not check further
+        self.expires_at = inf  # ms; before then `blocks_sends` need not check further
         self._proven_at = inf  # ms; the list is known to have been current then
         self._no_update_since = inf  # ms; start of the process, while it has received nothing yet
         self._arriving: dict[
@@ -179,7 +179,7 @@
         self._grace, self._max_age = 0.0, inf
         self._pushed = False
 
-    def fit(self, drain_grace: float, must_ask_in: float, pushed: bool) -> None:
+    def configure(self, drain_grace: float, must_ask_in: float, pushed: bool) -> None:
         """Applies settings: for how long sends may go on after a drain notice, and `must_ask_in` (ms).
 
         `pushed`: each change counts as received at once, whether or not a call is open.
@@ -189,23 +189,23 @@
         self._pushed = pushed
         self._renew()
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """A process starts, with a list that may be of any age."""
         self._no_update_since = now
         self._renew()
 
-    def withholds(self, now: float) -> bool:
+    def blocks_sends(self, now: float) -> bool:
         """Whether sends are blocked, as there is no valid lease."""
-        return now >= self.expires and self.why(now) is not None
+        return now >= self.expires_at and self.block_reason(now) is not None
 
     def ready(self, now: float) -> bool:
         """Whether the balancer may report itself ready to clients."""
-        if not self.withholds(now) or now - self.expires > READY_ANYWAY_AFTER_MS:
+        if not self.blocks_sends(now) or now - self.expires_at > READY_ANYWAY_AFTER_MS:
             return True
         # otherwise the whole bank would wait for an agent on the same machine that has failed once
         return self._pushed and self._first_call_failed and self._no_update_since < inf
 
-    def why(self, now: float) -> BlockReason | None:
+    def block_reason(self, now: float) -> BlockReason | None:
         """Why sends are blocked; None if they are not."""
         # what counted as received before this process started has no grace left
         if self._no_update_since <= now < self._no_update_since + self._max_age:
@@ -226,14 +226,14 @@
         return first + self._grace <= now < last + self._max_age
 
     @property
-    def lost(self) -> bool:
+    def has_lost_update(self) -> bool:
         """Whether an update may have been lost that no answer has settled yet."""
         return self._losses.first < inf
 
-    def take(self, now: float, message: LeaseMessage) -> None:
+    def apply(self, now: float, message: LeaseMessage) -> None:
         """Applies what became of a call."""
         match message:
-            case CallBegan(call):
+            case CallStarted(call):
                 self._latest_call = max(self._latest_call, call)
             case UpdateArriving(call):
                 self._arriving.setdefault(call, now)
@@ -256,7 +256,7 @@
             case UpdateLost(call, version):
                 self._first_call_failed = True
                 self._losses.add(self._arriving.pop(call, now), version, self._latest_call)
-            case CallSilent(call, age):
+            case CallTimedOut(call, age):
                 self._first_call_failed = True
                 self._losses.add(now - 1e3 * age + NOTIFIED_AFTER_MS, 0, call)
             case ConnectionRefused(call):
@@ -271,4 +271,4 @@
 
     def _renew(self) -> None:
         notified_at = min(self._losses.first, self._proven_at + NOTIFIED_AFTER_MS, *self._arriving.values())
-        self.expires = min(self._no_update_since, notified_at + self._grace)
+        self.expires_at = min(self._no_update_since, notified_at + self._grace)
--- a/ospreyline/net/discovery.py
+++ b/ospreyline/net/discovery.py
@@ -15,8 +15,8 @@
 
 from ospreyline.lease import (
     FULL_LIST_VERSION,
-    CallBegan,
-    CallSilent,
+    CallStarted,
+    CallTimedOut,
     ConnectionRefused,
     FormerServiceRead,
     LeaseMessage,
@@ -151,7 +151,7 @@
     def _start(self, watching: bool) -> ListCall:
         self.calls_started += 1
         call = ListCall(self, self.calls_started, self.at, self.rev, watching)
-        self._tell_lease(CallBegan(call.number))
+        self._tell_lease(CallStarted(call.number))
         self._calls[call] = self.loop.create_task(self._open(call))
         self.log.info(
             "list call begins",
@@ -187,7 +187,7 @@
             lost = call.end.may_lose_update
         elif call.outcome_unknown:
             lost = not call.end.message_complete
-        else:  # a timeout is reported as such (`CallSilent`), or another watch receives the same updates
+        else:  # a timeout is reported as such (`CallTimedOut`), or another watch receives the same updates
             lost = call.has_partial_update()
         if not lost or call.loss_reported:
             return False
@@ -460,7 +460,7 @@
         """Ends a call that has timed out; what it misses counts as received some time after its last data."""
         if call.transport is not None:
             call.ended_by_timeout = True
-            self._tell_lease(CallSilent(call.number, now - call.heard_at))
+            self._tell_lease(CallTimedOut(call.number, now - call.heard_at))
         call.stop("silent", CallEnd.ENDED_BY_US)
 
     def close(self) -> None:
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -20,11 +20,11 @@
 import structlog
 from msgspec import json, structs
 
-from ospreyline.call_schedule import period_of
+from ospreyline.call_schedule import call_period_ms
 from ospreyline.config import ProxyConfig
 from ospreyline.decide import Balancer
 from ospreyline.host import End, Kind, Listed, PathPrefix, Readiness
-from ospreyline.lease import CallSilent, LeaseMessage, UpdateLost, UpdateRead
+from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
 from ospreyline.net.clients import Client, Request
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.events import EventLog
@@ -44,7 +44,7 @@
 if TYPE_CHECKING:
     from ospreyline.fleet.bank import Bank
     from ospreyline.fleet.kept import Keeping
-    from ospreyline.fleet.pace import Pace
+    from ospreyline.fleet.pace import CallPacer
     from ospreyline.net.covering import Covering
     from ospreyline.operator_settings import OperatorSettings
 
@@ -115,7 +115,7 @@
     ) -> None:
         self.logger: Any = structlog.get_logger()
         self._operator: OperatorSettings | None = None
-        self._pace: Pace | None = None  # paces calls to the list service, if enabled
+        self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
         self._list_cache: Keeping | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
         self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
@@ -189,7 +189,7 @@
         self._configure_discovery()
         now = clock()
         self.balancer = Balancer(self, config.deployment, config.seed, now)
-        self.balancer.lease.begin(now)
+        self.balancer.lease.start(now)
         self.upstreams.sends_blocked = self._sends_blocked
         self.balancer.told_all(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
@@ -210,12 +210,12 @@
         self._operator = operator
         terms, lists = self._config.deployment, operator.list
         if lists.calls_per_s:
-            from ospreyline.fleet.pace import Pace
+            from ospreyline.fleet.pace import CallPacer
 
             if self._pace is None:
-                self._pace = Pace(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
+                self._pace = CallPacer(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
             else:
-                self._pace.adopt(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
+                self._pace.apply_settings(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
             self.note(self.balancer.told_nothing)  # the decisions schedule list calls themselves from now on
@@ -263,7 +263,7 @@
 
     def _configure_discovery(self) -> None:
         terms = self._config.deployment
-        self.discovery.again = period_of(terms.balancers, terms.must_ask_in) / 1e3
+        self.discovery.again = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
         self.discovery.patient = terms.ask_for_list or self._pace is not None
 
     def apply_config(self, config: ProxyConfig) -> None:
@@ -293,11 +293,11 @@
         self._configure_discovery()
         if self._pace is not None and not paced:
             # An open watch is kept and still counts; without one the first paced call replaces it.
-            self._pace.called(clock())
+            self._pace.call_started(clock())
             if self.discovery.told_by_watch:
-                self._pace.told()
+                self._pace.call_answered()
             elif not self.discovery.watching:
-                self._pace.failed(clock())
+                self._pace.call_failed(clock())
             self._schedule_list_call()
 
     def move_discovery(self, at: tuple[str, int]) -> None:
@@ -308,7 +308,7 @@
         # given up.
         self.balancer.asked(clock())
         if self._pace is not None:
-            self._pace.called(clock(), anew=True)
+            self._pace.call_started(clock(), new_service=True)
             self._schedule_list_call()
 
     # -- event batches ------------------------------------------------------------------------------------
@@ -327,7 +327,7 @@
     def _sends_blocked(self) -> bool:
         """Whether all sends to upstreams are blocked; checked right before each one."""
         now = clock()
-        if self._update_queued or self.balancer.lease.withholds(now):
+        if self._update_queued or self.balancer.lease.blocks_sends(now):
             return True
         # Also blocks a send that was delayed since it was decided, or whose batch was late, if the list has
         # unread data.
@@ -684,45 +684,45 @@
 
     def _schedule_list_call(self) -> None:
         """Set a timer for the next paced list call."""
-        if self._pace is not None and self._pace.due < inf:
-            self.wake(self._pace.due, self._make_list_call)
+        if self._pace is not None and self._pace.next_call_at < inf:
+            self.wake(self._pace.next_call_at, self._make_list_call)
 
     def _make_list_call(self, now: float) -> None:
-        if self._pace is not None and now >= self._pace.due:
-            self._pace.called(now)
+        if self._pace is not None and now >= self._pace.next_call_at:
+            self._pace.call_started(now)
             self._schedule_list_call()
             self.discovery.watch(True)
 
     def _request_list_call(self, now: float) -> None:
         if self._pace is not None:
-            self._pace.wanted(now)
+            self._pace.request_watch(now)
             self._schedule_list_call()
 
     def _on_lease_message(self, now: float, message: LeaseMessage) -> None:
         """Update the list lease from the outcome of a list call: it is shortened or renewed."""
         lease = self.balancer.lease
-        before = lease.expires
-        lease.take(now, message)
+        before = lease.expires_at
+        lease.apply(now, message)
         match message:
             case UpdateLost(call, version):
                 self.logger.warning(
                     "list update may be lost",
                     call=call,
                     rev=version or None,
-                    expires_in_ms=round(lease.expires - now),
+                    expires_in_ms=round(lease.expires_at - now),
                 )
-            case CallSilent(call, age):
+            case CallTimedOut(call, age):
                 self.logger.info("list call received no data", call=call, s=round(age, 1))
-            case UpdateRead() if lease.lost:
+            case UpdateRead() if lease.has_lost_update:
                 self._repeat_list_call(now)
-        if lease.expires > now >= before + LEASE_DOUBT_LOG_MS:
+        if lease.expires_at > now >= before + LEASE_DOUBT_LOG_MS:
             self.logger.info("list lease renewed", after_ms=round(now - before))
 
     def _repeat_list_call(self, now: float) -> None:
         """Call again: the answer does not settle a possibly lost update, being requested before the loss."""
         if self._pace is not None:
-            if self._pace.due == inf:
-                self._pace.lost(now)
+            if self._pace.next_call_at == inf:
+                self._pace.update_lost(now)
                 self._schedule_list_call()
         elif self._config.deployment.ask_for_list:
             self.balancer.ask_again(now)
@@ -732,11 +732,11 @@
     def _on_list_call_failed(self, now: float, failure: CallFailure) -> None:
         relayed = self.bank is not None and self.bank.told_nothing()
         if self._pace is not None:
-            self._pace.failed(now, failure.retry_after, relayed)
+            self._pace.call_failed(now, failure.retry_after, relayed)
             # A list service that goes down resets the calls of the whole bank, which must still keep its
             # pace.
             if failure.seen:
-                self._pace.lost(now)
+                self._pace.update_lost(now)
             self._schedule_list_call()
         elif not self._config.deployment.ask_for_list:
             # For a pushed list, every change counts as received even if no watch is open. The decisions
@@ -753,7 +753,7 @@
     def _hasten_list_call(self, now: float) -> None:
         """Schedule the next list call as if no other balancer forwarded the list."""
         if self._pace is not None:
-            self._pace.hasten(now)
+            self._pace.relays_lost(now)
             self._schedule_list_call()
 
     def _on_bank_message(self, now: float, body: bytes) -> None:
@@ -789,7 +789,7 @@
         # nothing.
         from_watch = self.discovery.told_by_watch
         if self._pace is not None and from_watch:
-            self._pace.told()
+            self._pace.call_answered()
         if self._list_cache is not None:
             self._list_cache.told(changed=update.whole or bool(update.targets))
         if self.bank is not None:
@@ -868,7 +868,7 @@
         if self._list_cache is not None and not self._update_queued:
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
-            whole = self.discovery.complete and not self.balancer.lease.lost
+            whole = self.discovery.complete and not self.balancer.lease.has_lost_update
             self._list_cache.tidy(
                 self.discovery.rev if whole else 0,
                 lambda: [
@@ -936,7 +936,7 @@
     def _log_refusal(self, event: str, taken: Taken) -> None:
         """Log why a request gets an answer that did not come from an upstream."""
         why = "its attempts failed" if taken.fetch_ends else "no upstream has room for it in time"
-        if (withheld := self.balancer.lease.why(self._last_batch_at)) is not None:
+        if (withheld := self.balancer.lease.block_reason(self._last_batch_at)) is not None:
             why = withheld.value
         self.events.line(
             event,
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -731,7 +731,7 @@
     """Calls of so many balancers at the list service when all start at once: pure decisions and pace."""
 
     from ospreyline.decide import Balancer
-    from ospreyline.fleet.pace import Pace
+    from ospreyline.fleet.pace import CallPacer
     from ospreyline.host import Deployment, Kind, PathPrefix, Scope
 
     prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
@@ -757,15 +757,15 @@
             ask_for_list=True,
             must_ask_in=10_000.0,
         )
-        alone.append(Balancer(_Nobody(), terms, number, 0.0)._call_schedule.due)
+        alone.append(Balancer(_Nobody(), terms, number, 0.0)._call_schedule.next_call_at)
     found.add("calls_alone_most_s", count, most(alone))
     paces = []
     for number in range(count):
-        pace = Pace(number, count, per_s, 10_000.0)
+        pace = CallPacer(number, count, per_s, 10_000.0)
         pace.start(0.0)
         paces.append(pace)
-    found.add("calls_paced_most_s", count, most([pace.due for pace in paces]))
-    found.add("calls_paced_window_s", count, max(pace.due for pace in paces) / 1e3)
+    found.add("calls_paced_most_s", count, most([pace.next_call_at for pace in paces]))
+    found.add("calls_paced_window_s", count, max(pace.next_call_at for pace in paces) / 1e3)
 
 
 def by_listeners(found: Found, count: int) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -321,7 +321,7 @@
 async def until_ready(service: Service) -> None:
     """Wait until a balancer may send requests: the list service has answered, or nothing listens there."""
     async with asyncio.timeout(5):
-        while service.turn.balancer.lease.withholds(clock()):
+        while service.turn.balancer.lease.blocks_sends(clock()):
             await asyncio.sleep(0)
 
 
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -204,7 +204,7 @@
             plain.number = setup.lists.calls_started + 1  # as if it had started after the loss
             plain.data_received(setup.whole() + END)  # of version 40
             service.turn._dispatch()
-            assert service.turn.balancer.lease.lost
+            assert service.turn.balancer.lease.has_lost_update
 
     play(scenario)
 
@@ -257,7 +257,7 @@
             while clock() - ended < 1_000.0:  # no other call is answered, and this one does not end
                 await asyncio.sleep(0.01)
                 service.turn._dispatch()
-                assert service.turn.balancer.lease.withholds(ended + 300.0)
+                assert service.turn.balancer.lease.blocks_sends(ended + 300.0)
 
     play(scenario)
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -18,17 +18,17 @@
 from ospreyline.__main__ import main
 from ospreyline.config import ConfigError
 from ospreyline.fleet import kept
-from ospreyline.fleet.pace import Pace
+from ospreyline.fleet.pace import CallPacer
 from ospreyline.lab.turns import Turns
 from ospreyline.net.turn import clock
 
 
-def bank(count: int, calls_per_s: float) -> list[Pace]:
-    return [Pace(n, count, calls_per_s, 10_000.0) for n in range(count)]
+def bank(count: int, calls_per_s: float) -> list[CallPacer]:
+    return [CallPacer(n, count, calls_per_s, 10_000.0) for n in range(count)]
 
 
 def simulate(
-    paces: list[Pace],
+    paces: list[CallPacer],
     calls_per_s: float,
     seconds: float,
     down: tuple[float, float] = (0.0, 0.0),
@@ -41,17 +41,17 @@
         pace.start(0.0)
     now = 0.0
     while now < 1e3 * seconds:
-        number, pace = min(enumerate(paces), key=lambda p: p[1].due)
-        now = pace.due
+        number, pace = min(enumerate(paces), key=lambda p: p[1].next_call_at)
+        now = pace.next_call_at
         if now == inf:
             break
-        pace.called(now)
+        pace.call_started(now)
         calls.append(now)
         if down[0] <= now < down[1] or (wait := turns.call(now)) is None:
-            pace.failed(now)
+            pace.call_failed(now)
         else:
             served[number] = now + wait
-            pace.told()
+            pace.call_answered()
     return turns, served, calls
 
 
@@ -80,20 +80,20 @@
     _, served, _ = simulate(paces, 250.0, 30.0)
     assert len(served) == 400
     for pace in paces:
-        pace.failed(50_000.0)
+        pace.call_failed(50_000.0)
     turns = Turns(4.0, 50)
-    assert all(turns.call(due) is not None for due in sorted(pace.due for pace in paces))
-    assert turns.longest <= 2 and min(p.due for p in paces) >= 50_250.0
+    assert all(turns.call(due) is not None for due in sorted(pace.next_call_at for pace in paces))
+    assert turns.longest <= 2 and min(p.next_call_at for p in paces) >= 50_250.0
 
 
 def test_whoever_is_told_by_others_asks_a_service_that_is_down_as_rarely_as_the_rule_allows():
-    pace, calls = Pace(7, 100, 250.0, 10_000.0), 0
+    pace, calls = CallPacer(7, 100, 250.0, 10_000.0), 0
     pace.start(0.0)
-    while pace.due < 20_000.0:
-        now = pace.due
-        pace.called(now)
-        pace.failed(now, told=True)
-        assert pace.due - now < 0.8 * 10_000.0
+    while pace.next_call_at < 20_000.0:
+        now = pace.next_call_at
+        pace.call_started(now)
+        pace.call_failed(now, told=True)
+        assert pace.next_call_at - now < 0.8 * 10_000.0
         calls += 1
     assert calls <= 4
 
@@ -108,26 +108,26 @@
     ],
 )
 def test_a_refusal_is_honoured_but_never_until_the_list_counts_as_told(retry_after, least, most):
-    pace = Pace(0, 3, 250.0, 10_000.0)
+    pace = CallPacer(0, 3, 250.0, 10_000.0)
     pace.start(0.0)
-    pace.called(0.0)
-    pace.failed(100.0, retry_after)
-    assert least <= pace.due - 100.0 <= most
+    pace.call_started(0.0)
+    pace.call_failed(100.0, retry_after)
+    assert least <= pace.next_call_at - 100.0 <= most
 
 
 def test_the_decisions_wish_for_a_watch_brings_no_second_call():
-    pace = Pace(1, 2, 250.0, 10_000.0)
+    pace = CallPacer(1, 2, 250.0, 10_000.0)
     pace.start(0.0)
-    due = pace.due
-    pace.wanted(0.0)
-    assert pace.due == due
-    pace.called(due)
-    again = pace.due
-    pace.wanted(due + 1)
-    assert pace.due == again == due + pace.period  # a second call, in case the first gets no answer
-    pace.told()
-    pace.wanted(due + 2)
-    assert pace.due == inf
+    due = pace.next_call_at
+    pace.request_watch(0.0)
+    assert pace.next_call_at == due
+    pace.call_started(due)
+    again = pace.next_call_at
+    pace.request_watch(due + 1)
+    assert pace.next_call_at == again == due + pace.period  # a second call, in case the first gets no answer
+    pace.call_answered()
+    pace.request_watch(due + 2)
+    assert pace.next_call_at == inf
 
 
 TARGETS = [json.dumps(target(f"s-{i}", 9_000 + i)).encode() for i in range(3)]
@@ -275,7 +275,7 @@
             await registry.until(lambda: bool(registry.requests))
             await until(lambda: service.turn._pace.failures)
             assert service.turn._pace.failures == 1
-            assert 2_000.0 < service.turn._pace.due - clock() <= 2_700.0
+            assert 2_000.0 < service.turn._pace.next_call_at - clock() <= 2_700.0
 
     asyncio.run(scenario())
 
--- a/tests/test_crowded_list_service.py
+++ b/tests/test_crowded_list_service.py
@@ -30,12 +30,12 @@
 class FaultySchedule(CallSchedule):
     """The faulty schedule: a call beside the one that waits each period, and no growth after a rejection."""
 
-    def called(self, now: float, anew: bool = False) -> None:
-        super().called(now, anew)
-        self.due = now + self.period
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        super().call_started(now, new_service)
+        self.next_call_at = now + self.period
 
-    def failed(self, now: float, turned_away: bool = False) -> None:
-        super().failed(now)
+    def call_failed(self, now: float, rejected: bool = False) -> None:
+        super().call_failed(now)
 
 
 class Bank:
@@ -51,9 +51,9 @@
         self.events: list[tuple[float, int, str, int, int]] = []
         self.numbers = count()
         for who, schedule in enumerate(self.schedules):
-            schedule.fit(balancers, 30_000.0)
-            schedule.begin(0.0, asks=True)
-            self.at(schedule.due, "due", who)
+            schedule.configure(balancers, 30_000.0)
+            schedule.begin(0.0, polls=True)
+            self.at(schedule.next_call_at, "due", who)
 
     def at(self, time: float, what: str, who: int, call: int = 0) -> None:
         if time < inf:
@@ -69,10 +69,10 @@
 
     def due(self, who: int) -> None:
         schedule = self.schedules[who]
-        if self.now < schedule.due:
+        if self.now < schedule.next_call_at:
             return
-        schedule.called(self.now)
-        self.at(schedule.due, "due", who)
+        schedule.call_started(self.now)
+        self.at(schedule.next_call_at, "due", who)
         call = next(self.numbers)
         if len(self.out[who]) == WAITING:
             self.out[who].pop()
@@ -85,13 +85,13 @@
     def answered(self, who: int) -> None:
         self.out[who].clear()
         self.notified_at[who] = self.now
-        self.schedules[who].told()
+        self.schedules[who].call_answered()
 
     def turned_away(self, who: int, call: int) -> None:
         self.out[who].remove(call)
         if not self.out[who]:
-            self.schedules[who].failed(self.now, turned_away=True)
-            self.at(self.schedules[who].due, "due", who)
+            self.schedules[who].call_failed(self.now, rejected=True)
+            self.at(self.schedules[who].next_call_at, "due", who)
 
 
 def ms_until_all_notified(policy: type[CallSchedule], balancers: int, work_s: float, seed: int) -> float:
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -37,15 +37,15 @@
 
 
 def loss_for_a_time(patch, lasts):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
         unseen = isinstance(message, UpdateLost) and message.call not in self._arriving
-        take(self, now, message)
+        apply(self, now, message)
         if unseen:
             self._losses.last = now + lasts - self._max_age
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def reset_with_nothing_read_counts_for_1_s(patch):
@@ -57,21 +57,21 @@
 
 
 def a_503_in_a_new_process_says_nothing(patch):
-    patch.setattr(ListLease, "begin", lambda self, now: None)
+    patch.setattr(ListLease, "start", lambda self, now: None)
 
 
 def a_503_after_a_reset_says_nothing(patch):
     # what was reset counts for 1 s, and the list is not out of date until the next answer
     loss_for_a_time(patch, 1_000.0)
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
-        take(self, now, message)
+        apply(self, now, message)
         if isinstance(message, UpdateLost):
             self._proven_at = inf
             self._renew()
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def an_answer_asked_for_before_a_loss_settles_it(patch):
@@ -79,26 +79,26 @@
 
 
 def an_end_in_form_counts_as_current(patch):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
-        take(self, now, message)
+        apply(self, now, message)
         if isinstance(message, MessageComplete):
             self._prove(now)
             self._renew()
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def a_refusal_settles_what_was_lost(patch):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
         if isinstance(message, ConnectionRefused):
             self._losses = lease._Losses()
-        take(self, now, message)
+        apply(self, now, message)
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def nothing_settles_a_loss(patch):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -181,7 +181,7 @@
             while not await ready(service):
                 pass
             # an agent that resets calls may have sent a drain on them
-            assert service.turn.balancer.lease.withholds(clock()) is (first == "failure")
+            assert service.turn.balancer.lease.blocks_sends(clock()) is (first == "failure")
 
     play(scenario)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -14,8 +14,8 @@
     NOTIFIED_AFTER_MS,
     STALL_RESERVE_MS,
     BlockReason,
-    CallBegan,
-    CallSilent,
+    CallStarted,
+    CallTimedOut,
     ConnectionRefused,
     FormerServiceRead,
     LeaseMessage,
@@ -37,30 +37,32 @@
 def proven_lease(pushed: bool = False) -> ListLease:
     """A lease that was proven at 0."""
     lease = ListLease()
-    lease.fit(GRACE, MUST_ASK_IN, pushed)
-    lease.begin(-1.0)
-    lease.take(0.0, CallBegan(1))
-    lease.take(0.0, UpdateRead(1, 3, True))
+    lease.configure(GRACE, MUST_ASK_IN, pushed)
+    lease.start(-1.0)
+    lease.apply(0.0, CallStarted(1))
+    lease.apply(0.0, UpdateRead(1, 3, True))
     return lease
 
 
 def lease_after(*steps: tuple[float, LeaseMessage], pushed: bool = False) -> ListLease:
     lease = proven_lease(pushed)
     for now, message in steps:
-        lease.take(now, message)
+        lease.apply(now, message)
     return lease
 
 
 def grace_ends_after(lease: ListLease, notified_at: float) -> bool:
     """Whether sends go on exactly up to the end of the grace of a change that counts as received then."""
-    return not lease.withholds(notified_at + GRACE_LEFT - 1) and lease.withholds(notified_at + GRACE_LEFT)
+    return not lease.blocks_sends(notified_at + GRACE_LEFT - 1) and lease.blocks_sends(
+        notified_at + GRACE_LEFT
+    )
 
 
 def test_an_answer_that_arrives_slowly_withholds_within_the_grace_and_until_it_is_whole():
     lease = lease_after((1_000.0, UpdateArriving(1)), (1_200.0, UpdateArriving(1)))  # the first bytes count
     assert grace_ends_after(lease, 1_000.0)
-    lease.take(4_000.0, UpdateRead(1, version=4, full=False))
-    assert not lease.withholds(9_000.0)
+    lease.apply(4_000.0, UpdateRead(1, version=4, full=False))
+    assert not lease.blocks_sends(9_000.0)
 
 
 def test_what_was_cut_off_counts_from_its_first_byte():
@@ -73,9 +75,9 @@
 )
 def test_a_loss_is_settled_by_a_later_answer_with_as_much_news_or_the_whole_list(version, whole, settled):
     answer = UpdateRead(2, version, whole)
-    lease = lease_after((1_000.0, UpdateLost(1, 4)), (1_500.0, CallBegan(2)), (1_600.0, answer))
-    assert lease.withholds(2_000.0) is not settled
-    assert lease.lost is not settled
+    lease = lease_after((1_000.0, UpdateLost(1, 4)), (1_500.0, CallStarted(2)), (1_600.0, answer))
+    assert lease.blocks_sends(2_000.0) is not settled
+    assert lease.has_lost_update is not settled
 
 
 @pytest.mark.parametrize("version", [0, 4])
@@ -83,20 +85,20 @@
 def test_no_answer_that_was_asked_for_before_a_loss_settles_it(version, whole):
     # a part of version 4 was cut off, and what was written behind it is not known either
     answer = UpdateRead(2, 9, whole)
-    lease = lease_after((500.0, CallBegan(2)), (1_000.0, UpdateLost(1, version)), (1_600.0, answer))
-    assert lease.withholds(2_000.0) and lease.lost
+    lease = lease_after((500.0, CallStarted(2)), (1_000.0, UpdateLost(1, version)), (1_600.0, answer))
+    assert lease.blocks_sends(2_000.0) and lease.has_lost_update
 
 
 def test_one_answer_settles_nothing_of_another_that_is_still_arriving():
     lease = lease_after(
-        (900.0, CallBegan(2)),
+        (900.0, CallStarted(2)),
         (1_000.0, UpdateArriving(1)),
         (1_100.0, UpdateArriving(2)),
         (1_200.0, UpdateRead(2, 4, True)),
     )
-    assert lease.withholds(1_400.0)
-    lease.take(1_300.0, NoUpdateArriving(1))  # it was read to its end and has no update
-    assert not lease.withholds(1_400.0)
+    assert lease.blocks_sends(1_400.0)
+    lease.apply(1_300.0, NoUpdateArriving(1))  # it was read to its end and has no update
+    assert not lease.blocks_sends(1_400.0)
 
 
 def test_in_any_order_the_lease_is_over_as_long_as_something_is_missing():
@@ -108,50 +110,50 @@
     }
     for order in permutations(steps):
         lease = proven_lease()
-        lease.take(0.0, CallBegan(2))
+        lease.apply(0.0, CallStarted(2))
         for at, name in enumerate(order):
             if name == "whole":
-                lease.take(float(at), CallBegan(3))
-            lease.take(float(at), steps[name])
+                lease.apply(float(at), CallStarted(3))
+            lease.apply(float(at), steps[name])
         # one call started before the loss: its answer may have been written before it
         lost_open = order.index("whole") < order.index("lost")
         arriving_open = order.index("rest") < order.index("arriving")
-        assert lease.withholds(5_000.0) is (lost_open or arriving_open), order
+        assert lease.blocks_sends(5_000.0) is (lost_open or arriving_open), order
 
 
 def test_a_service_that_died_in_the_middle_of_an_answer_keeps_nothing_out_for_good():
     # a list may be used after a failed call for four times `must_ask_in`
     lease = lease_after((1_000.0, UpdateLost(1, 4)), (1_000.0, ConnectionRefused(2)))
-    lease.take(MAX_AGE, ConnectionRefused(3))
-    assert lease.withholds(1_000.0 + MAX_AGE - 1) and not lease.withholds(1_000.0 + MAX_AGE)
+    lease.apply(MAX_AGE, ConnectionRefused(3))
+    assert lease.blocks_sends(1_000.0 + MAX_AGE - 1) and not lease.blocks_sends(1_000.0 + MAX_AGE)
 
 
 def test_what_is_lost_after_that_ends_the_lease_again():
     later = 1_000.0 + MAX_AGE
     lease = lease_after((1_000.0, UpdateLost(1)), (later, ConnectionRefused(2)))
-    assert not lease.withholds(later + GRACE_LEFT)
-    lease.take(later + 10.0, UpdateLost(3))
-    assert lease.withholds(later + 10.0 + GRACE_LEFT)
+    assert not lease.blocks_sends(later + GRACE_LEFT)
+    lease.apply(later + 10.0, UpdateLost(3))
+    assert lease.blocks_sends(later + 10.0 + GRACE_LEFT)
 
 
 def test_the_decisions_send_nothing_while_an_update_may_be_lost_and_go_on_after_it():
     host = FakeHost([listed(0), listed(1)])
-    host.balancer.lease.begin(host.now)
-    host.balancer.lease.take(host.now, UpdateRead(1, 3, True))
-    host.balancer.lease.take(host.now, UpdateLost(1, 4))
+    host.balancer.lease.start(host.now)
+    host.balancer.lease.apply(host.now, UpdateRead(1, 3, True))
+    host.balancer.lease.apply(host.now, UpdateLost(1, 4))
     host.pass_time(GRACE_LEFT + 1)
     visits = [host.take() for _ in range(3)]
     # bounced, as another balancer may have the update
     assert not host.sends and all(visit.tag in host.bounced for visit in visits)
-    host.balancer.lease.take(host.now, CallBegan(2))
-    host.balancer.lease.take(host.now, UpdateRead(2, 4, False))
+    host.balancer.lease.apply(host.now, CallStarted(2))
+    host.balancer.lease.apply(host.now, UpdateRead(2, 4, False))
     assert host.take().out and len(host.sends) == 1
 
 
 def test_an_attempt_that_never_ran_is_not_repeated_while_an_update_may_be_lost():
     host = FakeHost([listed(0), listed(1)])
     visit = host.take()
-    host.balancer.lease.take(host.now, UpdateLost(1, 4))
+    host.balancer.lease.apply(host.now, UpdateLost(1, 4))
     host.end(visit, End.UNREACHED, GRACE)
     assert len(host.sends) == 1 and visit.tag in host.bounced
 
@@ -188,26 +190,26 @@
 def test_what_only_the_whole_list_can_tell_is_settled_by_no_later_update():
     lease = lease_after(
         (0.0, UpdateLost(1, FULL_LIST_VERSION)),
-        (1.0, CallBegan(2)),
+        (1.0, CallStarted(2)),
         (1.0, UpdateRead(1, 10_000, False)),
         (1.0, UpdateRead(2, 10_000, False)),
     )
-    assert lease.withholds(1_000.0)
-    lease.take(2.0, UpdateRead(2, 5, True))
-    assert not lease.withholds(1_000.0)
+    assert lease.blocks_sends(1_000.0)
+    lease.apply(2.0, UpdateRead(2, 5, True))
+    assert not lease.blocks_sends(1_000.0)
 
 
 def test_of_two_losses_the_later_one_is_not_settled_by_a_call_between_them():
     lease = lease_after(
         (1_000.0, UpdateLost(1, 4)),
-        (1_100.0, CallBegan(2)),
+        (1_100.0, CallStarted(2)),
         (1_200.0, UpdateLost(1)),
         (1_300.0, UpdateRead(2, 5, True)),
     )
-    assert lease.withholds(2_000.0)
-    lease.take(1_400.0, CallBegan(3))
-    lease.take(1_500.0, UpdateRead(3, 5, False))
-    assert not lease.withholds(2_000.0)
+    assert lease.blocks_sends(2_000.0)
+    lease.apply(1_400.0, CallStarted(3))
+    lease.apply(1_500.0, UpdateRead(3, 5, False))
+    assert not lease.blocks_sends(2_000.0)
 
 
 @pytest.mark.parametrize(
@@ -226,18 +228,18 @@
 def test_nothing_but_the_answer_to_a_later_call_settles_a_loss(since):
     lease = lease_after((1_000.0, UpdateLost(1)))
     for at, message in enumerate(since):
-        lease.take(1_500.0 + 100.0 * at, message)
+        lease.apply(1_500.0 + 100.0 * at, message)
     assert grace_ends_after(lease, 1_000.0)
-    assert all(lease.withholds(at) for at in (2_000.0, 7_000.0, 7_500.0, 12_000.0, 40_000.0))
-    lease.take(40_000.0, CallBegan(4))
-    lease.take(40_000.0, UpdateRead(4, 0, False))
-    assert not lease.withholds(40_100.0)
+    assert all(lease.blocks_sends(at) for at in (2_000.0, 7_000.0, 7_500.0, 12_000.0, 40_000.0))
+    lease.apply(40_000.0, CallStarted(4))
+    lease.apply(40_000.0, UpdateRead(4, 0, False))
+    assert not lease.blocks_sends(40_100.0)
 
 
 def test_calls_after_losses_in_a_row_come_further_and_further_apart():
     # without the backoff, the first balancer of a bank calls a service that resets each call in a tight loop
     host = FakeHost([listed(0)], ask_for_list=True, balancers=200)
-    host.balancer._call_schedule.place = 0.0
+    host.balancer._call_schedule.phase = 0.0
     host.pass_time(5_000.0)
     host.watches.clear()
     began = host.now
@@ -252,21 +254,21 @@
 
 def test_what_a_silent_call_misses_counts_as_told_6_s_after_its_last_word():
     lease = lease_after(
-        (500.0, CallBegan(2)), (3_000.0, UpdateRead(1, 3, False)), (3_500.0, CallSilent(2, 2.5))
+        (500.0, CallStarted(2)), (3_000.0, UpdateRead(1, 3, False)), (3_500.0, CallTimedOut(2, 2.5))
     )
     assert grace_ends_after(lease, 1_000.0 + NOTIFIED_AFTER_MS)
-    lease.take(8_000.0, UpdateRead(1, 9, True))  # requested before the loss
-    assert lease.withholds(8_000.0)
-    lease.take(8_000.0, CallBegan(3))
-    lease.take(8_000.0, UpdateRead(3, 0, False))  # a later call: nothing has changed
-    assert not lease.withholds(9_000.0)
+    lease.apply(8_000.0, UpdateRead(1, 9, True))  # requested before the loss
+    assert lease.blocks_sends(8_000.0)
+    lease.apply(8_000.0, CallStarted(3))
+    lease.apply(8_000.0, UpdateRead(3, 0, False))  # a later call: nothing has changed
+    assert not lease.blocks_sends(9_000.0)
 
 
 def test_a_call_that_is_answered_in_time_leaves_nothing_of_the_silence_before():
     lease = lease_after(
-        (1_000.0, CallBegan(2)),
-        (3_500.0, CallSilent(2, 2.5)),
-        (3_600.0, CallBegan(3)),
+        (1_000.0, CallStarted(2)),
+        (3_500.0, CallTimedOut(2, 2.5)),
+        (3_600.0, CallStarted(3)),
         (4_000.0, UpdateRead(3, 4, False)),
     )
     assert grace_ends_after(lease, 4_000.0 + NOTIFIED_AFTER_MS)
@@ -289,48 +291,48 @@
 def test_a_list_that_is_not_proven_anew_is_out_of_date_6_s_later_whatever_becomes_of_calls(steps, proven_at):
     lease = lease_after(*steps)
     assert grace_ends_after(lease, proven_at + NOTIFIED_AFTER_MS)
-    assert lease.withholds(proven_at + NOTIFIED_AFTER_MS + 9_000.0)
-    lease.take(20_000.0, UpdateRead(1, 0, False))
-    assert not lease.withholds(20_000.0 + GRACE_LEFT)
+    assert lease.blocks_sends(proven_at + NOTIFIED_AFTER_MS + 9_000.0)
+    lease.apply(20_000.0, UpdateRead(1, 0, False))
+    assert not lease.blocks_sends(20_000.0 + GRACE_LEFT)
 
 
 def test_a_service_that_turns_all_calls_away_does_not_keep_requests_out_for_good():
     lease = lease_after((2_000.0, MessageComplete(2)), (30_000.0, MessageComplete(3)))
     notified_at = NOTIFIED_AFTER_MS
-    assert lease.withholds(notified_at + MAX_AGE - 1) and not lease.withholds(notified_at + MAX_AGE)
+    assert lease.blocks_sends(notified_at + MAX_AGE - 1) and not lease.blocks_sends(notified_at + MAX_AGE)
 
 
 @pytest.mark.parametrize(
     "steps",
-    [[], [MessageComplete(1)], [UpdateLost(1)], [NoUpdateArriving(1)], [CallSilent(1, 2.5)]],
+    [[], [MessageComplete(1)], [UpdateLost(1)], [NoUpdateArriving(1)], [CallTimedOut(1, 2.5)]],
     ids=["no call yet", "turned away", "reset", "not asked", "silent"],
 )
 def test_a_process_that_has_not_heard_from_the_list_service_sends_nothing(steps):
     lease = ListLease()
-    lease.fit(GRACE, MUST_ASK_IN, False)
-    lease.begin(1_000.0)
+    lease.configure(GRACE, MUST_ASK_IN, False)
+    lease.start(1_000.0)
     for message in steps:
-        lease.take(1_050.0, message)
-    assert all(lease.withholds(at) for at in (1_000.0, 1_100.0, 2_000.0, 20_000.0))
-    assert lease.why(2_000.0) is BlockReason.NO_UPDATE_YET
-    lease.take(20_000.0, CallBegan(2))
-    lease.take(20_000.0, UpdateRead(2, 3, False))
-    assert not lease.withholds(20_000.0 + GRACE_LEFT)
+        lease.apply(1_050.0, message)
+    assert all(lease.blocks_sends(at) for at in (1_000.0, 1_100.0, 2_000.0, 20_000.0))
+    assert lease.block_reason(2_000.0) is BlockReason.NO_UPDATE_YET
+    lease.apply(20_000.0, CallStarted(2))
+    lease.apply(20_000.0, UpdateRead(2, 3, False))
+    assert not lease.blocks_sends(20_000.0 + GRACE_LEFT)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_where_nobody_listens_the_list_of_the_settings_holds_unless_it_is_pushed(pushed):
     lease = ListLease()
-    lease.fit(GRACE, MUST_ASK_IN, pushed)
-    lease.begin(1_000.0)
-    lease.take(1_050.0, ConnectionRefused(1))
-    assert lease.withholds(1_060.0) is pushed
+    lease.configure(GRACE, MUST_ASK_IN, pushed)
+    lease.start(1_000.0)
+    lease.apply(1_050.0, ConnectionRefused(1))
+    assert lease.blocks_sends(1_060.0) is pushed
     assert pushed or grace_ends_after(lease, 1_050.0 + NOTIFIED_AFTER_MS)
 
 
 @pytest.mark.parametrize("watched", [True, False])
 def test_a_pushed_list_counts_as_told_at_once_where_no_watch_is_open(watched):
     lease = lease_after((1_000.0, MessageComplete(1, watched)), pushed=True)
-    assert lease.lost is not watched
+    assert lease.has_lost_update is not watched
     if not watched:
         assert grace_ends_after(lease, 1_000.0)
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -121,8 +121,8 @@
             lease = service.turn.balancer.lease
             service.turn._on_lease_message(0.0, UpdateRead(1, 3, False))
             service.turn._on_lease_message(1.0, MessageComplete(2, False))
-            assert lease.withholds(600.0) is not counts_later
-            assert lease.withholds(NOTIFIED_AFTER * 1e3 + 600.0)
+            assert lease.blocks_sends(600.0) is not counts_later
+            assert lease.blocks_sends(NOTIFIED_AFTER * 1e3 + 600.0)
 
     play(run)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -198,9 +198,9 @@
             await old.until(lambda: bool(old.requests))
             while not balancer._call_schedule.failures:  # it has been notified of one
                 await asyncio.sleep(0)
-            balancer._call_schedule.due = inf  # as if it were to wait for long
+            balancer._call_schedule.next_call_at = inf  # as if it were to wait for long
             if first == "waits":
-                new.answers, balancer._call_schedule.due = [ok()], 0.0  # the next tick would call
+                new.answers, balancer._call_schedule.next_call_at = [ok()], 0.0  # the next tick would call
             moved(service, new)
             if first == "fails":
                 await asyncio.wait_for(new.until(lambda: len(new.requests) > 1), 3)
@@ -317,13 +317,13 @@
         async with running(*peers, registry=registry) as service:
             await registry.tell(40)
             await registry.say(unreadable(entry))
-            while not service.turn.balancer.lease.lost:
+            while not service.turn.balancer.lease.has_lost_update:
                 await asyncio.sleep(0)
             client = await caller(service)
             await registry.until(lambda: len(registry.requests) > 1)
             assert b"watch" not in registry.requests[1][0]
             registry.writers[0].write(chunk(b"\n"))  # nothing has changed since: that settles nothing
-            while not service.turn.balancer.lease.withholds(clock()):
+            while not service.turn.balancer.lease.blocks_sends(clock()):
                 await asyncio.sleep(0.01)
             assert (await client.ask(request()))[0] == 503
             plain = registry.writers[1]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -314,7 +314,9 @@
         async with running(*peers, registry=old) as service:
             client = await caller(service)
             await old.tell(7, target("u9", 1, state="left"))
-            while service.turn.balancer._call_schedule.due < inf:  # otherwise another call may be due
+            while (
+                service.turn.balancer._call_schedule.next_call_at < inf
+            ):  # otherwise another call may be due
                 await asyncio.sleep(0)
             moved(service, new)
             await new.until(lambda: bool(new.writers))
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -30,7 +30,7 @@
     play,
 )
 
-from ospreyline.lease import CallBegan, LeaseMessage, NoUpdateArriving
+from ospreyline.lease import CallStarted, LeaseMessage, NoUpdateArriving
 from ospreyline.net.discovery import Discovery
 from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, CallEnd
 
@@ -112,7 +112,7 @@
         call.started_at = call.heard_at = loop.time() - FIRST_BYTE_TIMEOUT_S - 1.0
         lists.tidy()
         assert call.end is CallEnd.ENDED_BY_US and not lists._calls
-        assert messages == [CallBegan(call.number), NoUpdateArriving(call.number)]
+        assert messages == [CallStarted(call.number), NoUpdateArriving(call.number)]
         lists.close()
 
     play(run)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -31,7 +31,7 @@
 from ospreyline.call_schedule import CallSchedule
 from ospreyline.fleet import pace
 from ospreyline.fleet.lists import Lists
-from ospreyline.fleet.pace import Pace
+from ospreyline.fleet.pace import CallPacer
 from ospreyline.net import service as service_module
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.list_call import ListCall
@@ -96,10 +96,10 @@
         self.reachable_at = self.told_at = inf
         self.changed = False  # the phase is longer than the wait
         terms_now = self.balancer._settings
-        self.balancer._call_schedule.place = place
-        self.pace = Pace(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
+        self.balancer._call_schedule.phase = place
+        self.pace = CallPacer(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
         if self.pace is not None:
-            self.pace.place = place
+            self.pace.phase = place
         self.discovery = SimulatedDiscovery(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
         self.wake(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
@@ -114,30 +114,30 @@
         if self.pace is None:
             self.discovery.watch(on)
         else:
-            self.pace.wanted(self.now)
+            self.pace.request_watch(self.now)
             self._plan()
 
     def _plan(self) -> None:
-        if self.pace is not None and self.pace.due < inf:
-            self.wake(self.pace.due, self._due)
+        if self.pace is not None and self.pace.next_call_at < inf:
+            self.wake(self.pace.next_call_at, self._due)
 
     def _due(self, now: float) -> None:
-        if self.pace is not None and now >= self.pace.due:
-            self.pace.called(now)
+        if self.pace is not None and now >= self.pace.next_call_at:
+            self.pace.call_started(now)
             self._plan()
             self.discovery.watch(True)
 
     def _news(self, news: News) -> None:
         own = self.discovery.told_by_watch
         if self.pace is not None and own:
-            self.pace.told()
+            self.pace.call_answered()
         self.balancer.told_changes(self.now, [], own=own)
         if self.now > self.reachable_at and own and news.targets:  # and the watch is open
             self.told_at = min(self.told_at, self.now)
 
     def _failed(self, failure: CallFailure) -> None:
         if self.pace is not None:
-            self.pace.failed(self.now, failure.retry_after)
+            self.pace.call_failed(self.now, failure.retry_after)
             self._plan()
         self.balancer.told_nothing(self.now, failure.lost, failure.turned_away)
 
@@ -145,7 +145,7 @@
         self.discovery.move(("", 1))
         self.balancer.asked(now)
         if self.pace is not None:
-            self.pace.called(now, anew=True)
+            self.pace.call_started(now, new_service=True)
             self._plan()
 
     # what becomes of calls
@@ -270,25 +270,25 @@
 
     wait = 500.0
 
-    def called(self, now: float, anew: bool = False) -> None:
-        super().called(now, anew)
-        self.due = now + 4_000.0
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        super().call_started(now, new_service)
+        self.next_call_at = now + 4_000.0
 
-    def told(self) -> None:
-        super().told()
+    def call_answered(self) -> None:
+        super().call_answered()
         self.wait = 500.0
 
-    def failed(self, now: float, turned_away: bool = False) -> None:
-        self._told, self.due = False, now + self.wait * (0.5 + self.place)
+    def call_failed(self, now: float, rejected: bool = False) -> None:
+        self._answered, self.next_call_at = False, now + self.wait * (0.5 + self.phase)
         self.wait = min(2 * self.wait, 7_500.0)
 
 
 class SingleCall(CallSchedule):
     """A schedule that makes no other call while one is open, answered or not."""
 
-    def called(self, now: float, anew: bool = False) -> None:
-        super().called(now, anew)
-        self.due = inf
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        super().call_started(now, new_service)
+        self.next_call_at = inf
 
 
 @pytest.mark.parametrize("waits", [Growing, SingleCall])
@@ -315,11 +315,11 @@
 
 def test_a_period_lets_two_or_three_calls_of_any_bank_fit_and_a_bank_calls_no_faster_than_before():
     for balancers in range(1, 3_000):
-        period = call_schedule.period_of(balancers, 30_000.0)
+        period = call_schedule.call_period_ms(balancers, 30_000.0)
         assert 1_400.0 <= period <= 2_200.0 and (period == 1_400.0) == (balancers <= 200)
         # a small bank overloads no service; hundreds call no more often than with grown waits
         assert balancers / period * 1e3 <= max(143.0, balancers / 2.2 + 1e-6)
-    assert call_schedule.period_of(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
+    assert call_schedule.call_period_ms(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
 
 
 # over loopback
@@ -430,7 +430,7 @@
 def test_a_service_that_turns_calls_away_is_asked_again_in_time_whatever_it_says(paced, short, monkeypatch):
     # neither rejections nor, with pacing, the Retry-After header may delay calls for too long
     async def scenario():
-        monkeypatch.setattr(pace, "HONOUR", 400.0)
+        monkeypatch.setattr(pace, "MAX_RETRY_AFTER_MS", 400.0)
         registry, peers = ScriptedRegistry(*[BUSY] * 6), (Peer(ok(b"0")), Peer(ok(b"1")))
         on = (
             operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
@@ -509,7 +509,7 @@
             await old.tell(7)
             while (
                 service.turn._pace or service.turn.balancer._call_schedule
-            ).due < inf:  # until it is answered
+            ).next_call_at < inf:  # until it is answered
                 await asyncio.sleep(0)
             service.reload(lambda: (moved_config(new), on))
             await new.until(lambda: len(new.scripted) == 1)
@@ -528,17 +528,17 @@
 
 def test_one_that_was_spared_by_others_asks_in_time_once_they_are_gone():
     # its own call may be up to 22 s away, as rare as the rule allows, and an earlier failure must not matter
-    rare = Pace(150, 200, 250.0, 30_000.0)
+    rare = CallPacer(150, 200, 250.0, 30_000.0)
     rare.start(0.0)
     for _ in range(3):
-        now = rare.due
-        rare.called(now)
-        rare.failed(now, told=True)
-    assert rare.due - now > 20_000.0
-    rare.hasten(now + 5_000.0)
-    assert rare.due - now <= 5_000.0 + rare.period
-    rare.hasten(now + 5_100.0)  # a repetition delays nothing
-    assert rare.due - now <= 5_000.0 + rare.period
+        now = rare.next_call_at
+        rare.call_started(now)
+        rare.call_failed(now, told=True)
+    assert rare.next_call_at - now > 20_000.0
+    rare.relays_lost(now + 5_000.0)
+    assert rare.next_call_at - now <= 5_000.0 + rare.period
+    rare.relays_lost(now + 5_100.0)  # a repetition delays nothing
+    assert rare.next_call_at - now <= 5_000.0 + rare.period
 
 
 def test_a_bank_says_when_nobody_asks_for_us_any_more(monkeypatch):
