--- a/ospreyline/config.py
+++ b/ospreyline/config.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ospreyline.host import Deployment, Kind, PathPrefix, Scope
+from ospreyline.host import DedupScope, Deployment, Kind, PathPrefix
 
 
 class ConfigError(ValueError):
@@ -112,7 +112,7 @@
 _SETTINGS_DECODER = msgspec.json.Decoder(_Settings, strict=False)
 _FILE_DECODER = msgspec.json.Decoder(_ConfigFile, strict=False)
 _KINDS = {"repeatable": Kind.READ_LIKE, "by_key": Kind.TAGGED, "once": Kind.MUTATING}
-_SCOPES = {scope.value: scope for scope in Scope}
+_SCOPES = {scope.value: scope for scope in DedupScope}
 # load reports come with either of two sets of field names
 REPORT_WORDS = {
     "active": "in-flight",
--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -1,10 +1,10 @@
 """All decisions of ospreyline: which upstream serves a visit, when a visit is retried, and when it is not.
 
 Whoever carries the decisions out builds one `Balancer` per instance. `take()` returns a `Visit`, the handle
-through which later events of that visit are reported (`ended`, `left`). Updates of the upstream list, probe
-results, hints of other balancers and reloads go to `told_all`, `told_changes`, `told_nothing`, `probed`,
-`heard` and `set_terms`. The decisions act through `host.Host`. docs/design.md has the design and the
-conditions of each exception, marked E1, E3 ... here.
+through which later events of that visit are reported (`fetch_ended`, `client_left`). Updates of the upstream
+list, probe results, hints of other balancers and reloads go to `told_all`, `told_changes`, `told_nothing`,
+`probed`, `heard` and `set_terms`. The decisions act through `host.Host`. docs/design.md has the design and
+the conditions of each exception, marked E1, E3 ... here.
 
 From top to bottom: constants, records, then the balancer: calls from outside, the rules and the one method
 that sends, choice of an upstream, queue, retries, periodic work. `state` has the types without decisions,
@@ -21,9 +21,9 @@
 from struct import Struct
 
 from ospreyline.call_schedule import CallSchedule
-from ospreyline.host import Deployment, End, Host, Kind, Listed, Readiness, Scope
+from ospreyline.host import DedupScope, Deployment, End, Host, Kind, ListedUpstream, Readiness
 from ospreyline.lease import ListLease
-from ospreyline.state import Fetch, Lane, Visit
+from ospreyline.state import Fetch, RequestClass, Visit
 
 OVERPROVISIONING_FACTOR = 1.4  # of a locality's health
 EJECT_AFTER_FAILURES = 5  # consecutive failures of an upstream
@@ -119,7 +119,7 @@
     in_flight: dict[Fetch, None] = field(default_factory=dict)  # oldest first
     failure_run: float = 0.0
     # no visits until then; then one trial request
-    class_ejected_until: dict[Lane, float] = field(default_factory=dict)
+    class_ejected_until: dict[RequestClass, float] = field(default_factory=dict)
     ejected: bool = False
     trial_at: float = 0.0
     trial_in_flight: bool = False
@@ -204,8 +204,8 @@
         self._capacity_short_at = -inf  # when a visit last found no capacity
         self._rates_updated_at = now
         self._request_classes, self._classes_by_value, self._localities = (
-            list[Lane](),
-            list[Lane](),
+            list[RequestClass](),
+            list[RequestClass](),
             list[Locality](),
         )
         self._settings = settings
@@ -217,10 +217,10 @@
     def set_terms(self, now: float, settings: Deployment) -> None:
         """Apply settings, at the start or on a reload, after which the caller passes the whole list again."""
         old, reload, self._settings = self._settings, bool(self._localities), settings
-        known = {c.terms: c for c in self._request_classes}
-        request_classes = [known.get(p) or Lane(p) for p in settings.prefixes]
+        known = {c.settings: c for c in self._request_classes}
+        request_classes = [known.get(p) or RequestClass(p) for p in settings.prefixes]
         # visits keep the class that they were accepted under, so removed ones with queued visits are kept
-        former = [c for c in self._classes_by_value if c.held and c not in request_classes]
+        former = [c for c in self._classes_by_value if c.queue and c not in request_classes]
         self._request_classes, self._classes_by_value = (
             request_classes,
             sorted(request_classes, key=lambda c: -c.gain) + former,
@@ -251,7 +251,7 @@
         self._ring_position = settings.number * GOLDEN_RATIO % 1
         self._min_used_share = MIN_BALANCERS_PER_UPSTREAM * zones / settings.balancers
         self._zone_order = [(settings.zone + i) % zones for i in range(zones)]  # own zone first
-        shortest = min((c.target for c in request_classes), default=0.0)
+        shortest = min((c.target_latency for c in request_classes), default=0.0)
         # short answers arrive first, so no upstream counts as fast until more have been measured
         self._never_slow_below, self._initial_latency = 0.5 * shortest, INITIAL_LATENCY_SHARE * shortest
         localities = dict(zip(old.zone_names, self._localities, strict=False))
@@ -284,14 +284,16 @@
         u.zone, u.locality = zone, self._localities[zone]
         u.locality.in_flight += len(u.in_flight)
 
-    def told_all(self, now: float, lines: list[Listed], own: bool = True) -> None:
+    def told_all(self, now: float, lines: list[ListedUpstream], own: bool = True) -> None:
         """Apply the whole list: upstreams missing from it are not ready. `own`: from a watch of ours."""
         listed = {line.upstream for line in lines}
         for u in self._upstreams.values():
             u.ready = u.ready and u.id in listed
         self.told_changes(now, lines, first=not self._upstreams, own=own)
 
-    def told_changes(self, now: float, lines: list[Listed], first: bool = False, own: bool = True) -> None:
+    def told_changes(
+        self, now: float, lines: list[ListedUpstream], first: bool = False, own: bool = True
+    ) -> None:
         """Apply changes of the list.
 
         `first`: of a first list, whose upstreams need not be new; `own`: from a watch of ours.
@@ -302,7 +304,7 @@
             u = self._upstreams.get(line.upstream)
             if u is None:
                 locality = self._localities[line.zone]
-                u = Upstream(line.upstream, line.mark, line.zone, line.cell, locality)
+                u = Upstream(line.upstream, line.hash_key, line.zone, line.cell, locality)
                 self._upstreams[u.id] = u
                 # otherwise each of hundreds of balancers would send a first visit at once, overloaded or not
                 u.sent_at = now - self._random() * self._send_spacing(u) * u.locality.latency
@@ -312,7 +314,7 @@
             if not u.ready:
                 continue
             # a start in the future counts as now, and only once for each listed start
-            came_up = line.came_up or -inf
+            came_up = line.started_at or -inf
             if came_up > u.listed_start or not (was_ready or first):
                 start, u.listed_start = (
                     u.started_at if came_up == u.listed_start else min(came_up, now),
@@ -371,13 +373,13 @@
         `prior_fetches`: its fetches by previous balancers that may have executed: zone, cell, time sent.
         """
         request_class = self._request_classes[prefix]
-        request_class.usual_ttl = max(request_class.usual_ttl, ttl)
+        request_class.first_try_ttl = max(request_class.first_try_ttl, ttl)
         visit = Visit(self, tag, request_class, now, ttl, repeat)
         for zone, cell, sent in prior_fetches:
             u = Upstream(-1, 0, zone, cell, self._localities[0])
             visit.fetches.append(Fetch(u, request_class, sent, 0.0, 1, 1, False, End.RESET))
         self._accepted += 1
-        request_class.arrived += 1
+        request_class.recent_visits += 1
         if not self._choose_and_send(visit, now):
             self._enqueue(visit, now)
         return visit
@@ -396,33 +398,33 @@
         u = f.upstream
         if f.end is None:
             f.end = end
-            visit.out -= 1
+            visit.in_flight -= 1
             if u.in_flight.pop(f, self) is None:
                 u.locality.in_flight -= 1
-            self._record_outcome(u, f, now, end, spent, visit.lane)
+            self._record_outcome(u, f, now, end, spent, visit.request_class)
             self._record_load(u, now, report)
         if final and not visit.done:
             if end is End.DELIVERED:
-                visit.lane.in_time += now <= visit.target_at
+                visit.request_class.recent_in_time += now <= visit.target_deadline
                 self._delivered += 1
             self._close(visit, now)
-        elif not visit.done and not visit.out:
+        elif not visit.done and not visit.in_flight:
             self._retry_or_answer(visit, now)
         if self._queued:
             self._drain_queue(now)
 
     def _record_outcome(
-        self, u: Upstream, f: Fetch, now: float, end: End, spent: float, request_class: Lane
+        self, u: Upstream, f: Fetch, now: float, end: End, spent: float, request_class: RequestClass
     ) -> None:
         """Update latency, reachability and ejection by the end of a fetch that took `spent` ms."""
-        if f.trial:
+        if f.is_trial:
             u.trial_in_flight = False
         if end is End.DELIVERED or end is End.ERRORED or end is End.FULL:
             u.connection_used_at = now
         elif end is End.TIMED_OUT:
-            if not f.silent and spent > self._unresponsive_after(u, request_class, now):
+            if not f.unresponsive and spent > self._unresponsive_after(u, request_class, now):
                 self._record_unresponsive(f, now)
-            if f.rest > self._idle_limit:
+            if f.idle_ms > self._idle_limit:
                 return  # the connection was dropped unseen; this says nothing of the upstream
         if end is End.CANCELLED or end is End.UNSENT:
             return
@@ -437,16 +439,16 @@
             default=0.0,
         )
         weight = max(1.0, log(max(0.01, 1 - best)) / log(1 / 6))
-        latency, in_time = 0.0, end is End.DELIVERED and spent <= request_class.target
+        latency, in_time = 0.0, end is End.DELIVERED and spent <= request_class.target_latency
         if end is End.DELIVERED or end is End.TIMED_OUT:
-            request_class.pace += RELATIVE_LATENCY_SMOOTHING * (
-                min(SLOW_LATENCY_RATIO, spent / u.locality.latency) - request_class.pace
+            request_class.relative_latency += RELATIVE_LATENCY_SMOOTHING * (
+                min(SLOW_LATENCY_RATIO, spent / u.locality.latency) - request_class.relative_latency
             )
         u.locality.in_time_share += SMOOTHING * (in_time - u.locality.in_time_share)
         if end is End.DELIVERED:
             u.deliveries, u.failure_run = u.deliveries + 1, 0.0
             u.class_ejected_until.pop(request_class, None)
-            u.answered_send_at = max(u.answered_send_at, f.sent)
+            u.answered_send_at = max(u.answered_send_at, f.sent_at)
             u.outcome_at = now
             u.ejected, u.slow_start_at = False, now if u.ejected else u.slow_start_at
             latency = spent
@@ -455,29 +457,29 @@
             if u.ejected:
                 u.trial_at = now + EJECTION_MS
         else:
-            if end is not End.TIMED_OUT or f.sent >= u.outcome_at:
+            if end is not End.TIMED_OUT or f.sent_at >= u.outcome_at:
                 # one that answers others is not stuck; a pause that delays several visits is one failure
                 u.failure_run += weight
                 u.outcome_at = now
-            if end is not End.UNREACHED and not f.silent:
+            if end is not End.UNREACHED and not f.unresponsive:
                 # an upstream that errors fast would look idle; each error counts as a late answer
-                latency = max(spent, request_class.target)
+                latency = max(spent, request_class.target_latency)
             if u.ejected or u.failure_run >= EJECT_AFTER_FAILURES:
                 u.ejected = True
                 u.trial_at = now + EJECTION_MS
         if latency:
-            u.record_latency(now, latency, f.depth, self._decay_ms)
-            u.locality.record_latency(now, latency, f.level_depth)
+            u.record_latency(now, latency, f.in_flight_at_send, self._decay_ms)
+            u.locality.record_latency(now, latency, f.locality_in_flight_at_send)
 
     def _record_unresponsive(self, f: Fetch, now: float) -> None:
         """Record a fetch without answer, or long overdue: is its connection's idle time the cause?"""
-        f.silent = True
-        recent = [g for g in self._recent_fetches if now - g.sent < UNRESPONSIVE_MEMORY_MS]
+        f.unresponsive = True
+        recent = [g for g in self._recent_fetches if now - g.sent_at < UNRESPONSIVE_MEMORY_MS]
         self._idle_limit = inf
-        for idle_time in sorted(g.rest for g in recent if g.silent and g.rest):
-            idle_longer = [g for g in recent if g.rest >= idle_time]
-            unresponsive = [g.lane for g in idle_longer if g.silent]
-            idle_shorter = [g.silent for g in recent if g.rest < idle_time]
+        for idle_time in sorted(g.idle_ms for g in recent if g.unresponsive and g.idle_ms):
+            idle_longer = [g for g in recent if g.idle_ms >= idle_time]
+            unresponsive = [g.request_class for g in idle_longer if g.unresponsive]
+            idle_shorter = [g.unresponsive for g in recent if g.idle_ms < idle_time]
             # upstreams that are slow or unresponsive themselves are so after short idle times, too
             if len(unresponsive) > max(
                 UNRESPONSIVE_SHARE, 2 * sum(idle_shorter) / max(1, len(idle_shorter))
@@ -494,7 +496,7 @@
                     self._host.tell(IDLE_TIMEOUT_HINT.pack(int(self._idle_limit)))
                 break
         # without this, an upstream that answers all but one request class is never ejected
-        f.upstream.class_ejected_until[f.lane] = now + EJECTION_MS
+        f.upstream.class_ejected_until[f.request_class] = now + EJECTION_MS
 
     def heard(self, now: float, message: bytes) -> None:
         """Receive another balancer's hint on idle timeouts; no rule depends on hints."""
@@ -508,40 +510,44 @@
             )
             hints.clear()
 
-    def _unresponsive_after(self, u: Upstream, request_class: Lane, now: float) -> float:
+    def _unresponsive_after(self, u: Upstream, request_class: RequestClass, now: float) -> float:
         """ms after which a fetch will hardly be answered: late, and far longer than expected."""
         # where late answers have no gain a fetch ends at its target latency (E4), which only shows slowness
-        very_late = SLOW_LATENCY_RATIO * request_class.pace * u.expected_latency(now, self._decay_ms)
-        return max(request_class.target, very_late) if request_class.late_gain else inf
+        very_late = (
+            SLOW_LATENCY_RATIO * request_class.relative_latency * u.expected_latency(now, self._decay_ms)
+        )
+        return max(request_class.target_latency, very_late) if request_class.late_gain else inf
 
     def _close(self, visit: Visit, now: float) -> None:
         """Finish a visit: cancel its fetch in flight."""
-        self._queued -= visit.held
-        visit.done, visit.held = True, False
-        if visit.out and self._settings.may_cancel:
+        self._queued -= visit.queued
+        visit.done, visit.queued = True, False
+        if visit.in_flight and self._settings.may_cancel:
             self._host.cancel(visit.tag, len(visit.fetches) - 1)
 
     def _may_send(self, visit: Visit, u: Upstream, now: float) -> bool:
         """The four rules for each send; `_send` sends nothing that this refuses."""
         # no visit is lost: none is sent after its end, or later than its client waits
-        if visit.done or now >= visit.expires or len(visit.fetches) >= self._settings.max_fetches:
+        if visit.done or now >= visit.client_deadline or len(visit.fetches) >= self._settings.max_fetches:
             return False
         # drains are respected: at once when listed, and nothing is sent without a valid list lease
         if not u.ready or self.lease.blocks_sends(now):
             return False
         # no effect happens twice
-        if visit.out:
+        if visit.in_flight:
             return False
-        request_class = visit.lane
-        if request_class.kind is not Kind.READ_LIKE and (prior := visit.may_have_run()) is not None:
-            visit.begin_by = prior.sent + request_class.window
-            if request_class.kind is Kind.MUTATING or now >= visit.begin_by:
+        request_class = visit.request_class
+        if request_class.kind is not Kind.READ_LIKE and (prior := visit.first_maybe_executed()) is not None:
+            visit.repeat_deadline = prior.sent_at + request_class.tag_window
+            if request_class.kind is Kind.MUTATING or now >= visit.repeat_deadline:
                 return False
             # after zone names have changed it is unknown which upstreams share its scope
             outside = u.zone != prior.upstream.zone or (
-                request_class.scope is Scope.CELL and u.cell != prior.upstream.cell
+                request_class.scope is DedupScope.CELL and u.cell != prior.upstream.cell
             )
-            if request_class.scope is not Scope.ALL and (outside or prior.sent <= self._zones_renamed_at):
+            if request_class.scope is not DedupScope.ALL and (
+                outside or prior.sent_at <= self._zones_renamed_at
+            ):
                 return False
         # no cold upstream is overloaded: our share of its budget, in any window
         if now - u.started_at < self._warm_up_ms:
@@ -562,11 +568,11 @@
 
     def _may_bounce(self, visit: Visit) -> bool:
         """Whether a bounce would be true: it tells the client that a retry is harmless."""
-        request_class = visit.lane
+        request_class = visit.request_class
         return (
             request_class.kind is Kind.READ_LIKE
-            or visit.may_have_run() is None
-            or (request_class.kind is Kind.TAGGED and request_class.scope is Scope.ALL)
+            or visit.first_maybe_executed() is None
+            or (request_class.kind is Kind.TAGGED and request_class.scope is DedupScope.ALL)
         )
 
     def _send(self, visit: Visit, u: Upstream, now: float, trial: bool = False) -> bool:
@@ -578,21 +584,23 @@
             # idle connections may be dropped unseen, and a request sent on such a one gets no answer
             self._host.drop(u.id)
             u.connection_used_at, idle_time = now, 0.0
-        f = Fetch(u, visit.lane, now, idle_time, len(u.in_flight) + 1, u.locality.in_flight + 1, trial)
+        f = Fetch(
+            u, visit.request_class, now, idle_time, len(u.in_flight) + 1, u.locality.in_flight + 1, trial
+        )
         self._recent_fetches.append(f)
         u.trial_in_flight = u.trial_in_flight or trial
         if now - u.started_at < self._warm_up_ms:
             u.cold_sends.append(now)
         self._host.send(visit.tag, u.id, self._fetch_timeout(visit, now))
         visit.fetches.append(f)
-        visit.out += 1
+        visit.in_flight += 1
         u.in_flight[f] = None
-        if f.lane in u.class_ejected_until:
-            u.class_ejected_until[f.lane] = now + EJECTION_MS  # this send is its trial request
+        if f.request_class in u.class_ejected_until:
+            u.class_ejected_until[f.request_class] = now + EJECTION_MS  # this send is its trial request
         u.locality.in_flight += 1
         u.sent_at = now
-        self._queued -= visit.held
-        visit.held = False
+        self._queued -= visit.queued
+        visit.queued = False
         return True
 
     def _give_up(self, visit: Visit, now: float) -> None:
@@ -615,7 +623,7 @@
         """Send a visit: draw a zone by share, then the less loaded of two random upstreams in it."""
         if self.lease.blocks_sends(now):
             return False
-        if self._trials_due and visit.lane.kind in self._trial_kinds and not visit.fetches:
+        if self._trials_due and visit.request_class.kind in self._trial_kinds and not visit.fetches:
             for due in self._trials_due:
                 if (
                     not due.trial_in_flight
@@ -630,7 +638,7 @@
         zone = next((z for total, z in self._zone_shares if drawn < total), self._zone)
         latency_budget = self._latency_budget(visit, self._cross_fee if zone != self._zone else 0.0)
         best = self._less_loaded_of_two(self._localities[zone].candidates, visit, now, latency_budget)
-        loss = self._expected_loss(visit, best, now) if best else visit.lane.value
+        loss = self._expected_loss(visit, best, now) if best else visit.request_class.marginal_gain
         if loss > self._cross_fee:
             # E1: no capacity there, or waiting costs more than crossing: another zone, if it costs less
             for z in self._zone_order:
@@ -647,15 +655,16 @@
         late = 1 - u.locality.expected_reachability(now) * (
             1
             - exp(
-                (visit.came - visit.target_at) / max(1e-3, visit.lane.pace * self._predicted_latency(u, now))
+                (visit.arrived_at - visit.target_deadline)
+                / max(1e-3, visit.request_class.relative_latency * self._predicted_latency(u, now))
             )
         )
-        return visit.lane.value * late + (self._cross_fee if u.zone != self._zone else 0.0)
+        return visit.request_class.marginal_gain * late + (self._cross_fee if u.zone != self._zone else 0.0)
 
     def _latency_budget(self, visit: Visit, fee: float) -> float:
         """ms of predicted latency that a visit accepts: more for more gain, so that low gain yields first."""
-        net_value = max(0.0, visit.lane.value - fee)
-        target = visit.target_at - visit.came
+        net_value = max(0.0, visit.request_class.marginal_gain - fee)
+        target = visit.target_deadline - visit.arrived_at
         return IDLE_LATENCY_SHARE * self._base_latency + self._admission_factor * max(
             0.0, target - self._base_latency
         ) * net_value / (net_value + 1)
@@ -681,7 +690,9 @@
 
     def _is_eligible(self, u: Upstream, visit: Visit, now: float, latency_budget: float) -> bool:
         """Whether it has capacity for the visit and may serve it; cold ones are skipped at random."""
-        ejected = u.ejected or (u.class_ejected_until and now < u.class_ejected_until.get(visit.lane, -inf))
+        ejected = u.ejected or (
+            u.class_ejected_until and now < u.class_ejected_until.get(visit.request_class, -inf)
+        )
         return (
             (not ejected or not self._zone_shares)
             and self._has_capacity(u, now, latency_budget)
@@ -723,12 +734,12 @@
         """No capacity: queue the visit if it can probably be served in time, else answer at once."""
         if self._ready:
             self._capacity_short_at = now
-        request_class = visit.lane
+        request_class = visit.request_class
         if request_class not in self._classes_by_value:
             # of former settings: not among the classes of new visits
             self._classes_by_value.append(request_class)
         ahead = 1 + sum(
-            len(other.held)
+            len(other.queue)
             for other in self._classes_by_value[: self._classes_by_value.index(request_class) + 1]
         )
         # a balancer that has just started has delivered nothing yet; its fetches in flight predict capacity
@@ -740,9 +751,9 @@
         no_usable_list = not self._ready or self.lease.blocks_sends(now)
         if no_usable_list or now + wait > self._queue_deadline(visit):
             return self._give_up(visit, now)
-        visit.held = True
+        visit.queued = True
         self._queued += 1
-        request_class.held.append(visit)
+        request_class.queue.append(visit)
         if not self._queue_check_scheduled:
             self._queue_check_scheduled = True
             self._host.wake(now + QUEUE_CHECK_MS, self._check_queue)
@@ -751,7 +762,7 @@
         """Check the queue while visits are in it."""
         for request_class in self._classes_by_value:
             # a visit behind another with a later deadline must be answered in time, too
-            for visit in [v for v in request_class.held if v.held and now > self._queue_deadline(v)]:
+            for visit in [v for v in request_class.queue if v.queued and now > self._queue_deadline(v)]:
                 self._give_up(visit, now)
         self._drain_queue(now)
         self._queue_check_scheduled = self._queued > 0
@@ -761,31 +772,34 @@
     def _queue_deadline(self, visit: Visit) -> float:
         """Until when a visit may wait and still be answered in time."""
         # the queue is checked periodically, so the last check must come before the client timeout
-        return min(visit.target_at - self._latency_budget(visit, 0.0), visit.expires - 2 * QUEUE_CHECK_MS)
+        return min(
+            visit.target_deadline - self._latency_budget(visit, 0.0),
+            visit.client_deadline - 2 * QUEUE_CHECK_MS,
+        )
 
     def _drain_queue(self, now: float) -> None:
         """Send queued visits that can still be in time, those of the highest value first."""
         for request_class in self._classes_by_value:
-            queue = request_class.held
+            queue = request_class.queue
             while queue:
                 visit = queue[0]
                 # a visit past its deadline would use capacity for a late answer, or block the others
-                if visit.held and now > self._queue_deadline(visit):
+                if visit.queued and now > self._queue_deadline(visit):
                     self._give_up(visit, now)
-                elif visit.held and not self._choose_and_send(visit, now):
+                elif visit.queued and not self._choose_and_send(visit, now):
                     self._capacity_short_at = now
                     break
                 queue.popleft()
 
     def _retry_or_answer(self, visit: Visit, now: float) -> None:
         """The last fetch in flight has failed: start another one, or give the final answer."""
-        prior = visit.may_have_run()
-        if now < visit.expires and len(visit.fetches) <= MAX_FURTHER_FETCHES:
+        prior = visit.first_maybe_executed()
+        if now < visit.client_deadline and len(visit.fetches) <= MAX_FURTHER_FETCHES:
             if prior is None:
                 return None if self._choose_and_send(visit, now) else self._enqueue(visit, now)
             # retries after time-outs feed an overload; invalid or broken-off answers are no sign of load
             repeat_allowed = visit.fetches[-1].end is not End.TIMED_OUT or not self._is_overloaded(now)
-            if repeat_allowed and now < visit.target_at and self._choose_and_send(visit, now):
+            if repeat_allowed and now < visit.target_deadline and self._choose_and_send(visit, now):
                 return
         self._give_up(visit, now)
 
@@ -795,11 +809,11 @@
 
     def _fetch_timeout(self, visit: Visit, now: float) -> float:
         """ms that a fetch may take."""
-        request_class = visit.lane
-        if request_class.late_gain or now >= visit.target_at:
-            return visit.expires - now
+        request_class = visit.request_class
+        if request_class.late_gain or now >= visit.target_deadline:
+            return visit.client_deadline - now
         # E4: a late answer has no gain but uses capacity; a hundredth is left for the way back to the client
-        return min(visit.expires, visit.target_at - 0.01 * request_class.target) - now
+        return min(visit.client_deadline, visit.target_deadline - 0.01 * request_class.target_latency) - now
 
     def _record_load(self, u: Upstream, now: float, report: tuple[float, ...]) -> None:
         """Keep the load from an upstream's report, if reports have one."""
@@ -817,8 +831,8 @@
                 expected_latency = u.expected_latency(now, self._decay_ms)
                 for f in list(u.in_flight):
                     if (
-                        now - f.sent > self._unresponsive_after(u, f.lane, now)
-                        and f.sent < u.answered_send_at
+                        now - f.sent_at > self._unresponsive_after(u, f.request_class, now)
+                        and f.sent_at < u.answered_send_at
                     ):
                         self._record_unresponsive(f, now)
                         # a fetch without answer uses no capacity and says nothing of latency
@@ -826,10 +840,10 @@
                         u.locality.in_flight -= 1
                 if not u.in_flight:
                     continue
-                age = now - next(iter(u.in_flight)).sent
+                age = now - next(iter(u.in_flight)).sent_at
                 if age > SLOW_LATENCY_RATIO * expected_latency and (
                     len(self._request_classes) == 1
-                    or len({f.lane for f in u.in_flight if f.sent < now - age / 2}) > 1
+                    or len({f.request_class for f in u.in_flight if f.sent_at < now - age / 2}) > 1
                 ):
                     u.latency = expected_latency + 2 * SMOOTHING * (age - expected_latency)
                     u.measured_at = now
@@ -873,7 +887,7 @@
             locality.capacity = max(0.5 * self._arrival_rate / spread, share)
         for u in self._ready:
             u.deliveries = 0
-        if self._recent_fetches and now - self._recent_fetches[-1].sent > UNRESPONSIVE_MEMORY_MS:
+        if self._recent_fetches and now - self._recent_fetches[-1].sent_at > UNRESPONSIVE_MEMORY_MS:
             self._idle_limit = inf
         if now > self._hint_expires:
             self._hinted_idle_limit = inf
@@ -882,24 +896,25 @@
 
     def _weigh_by_gain(self) -> None:
         """Update what one visit in time of each class adds to the goal: its gain, more for the worst."""
-        arrived = sum(c.arrived for c in self._request_classes)
+        arrived = sum(c.recent_visits for c in self._request_classes)
         if not arrived:
             return
-        mean = sum(c.gain * c.arrived for c in self._request_classes) / arrived or 1.0
+        mean = sum(c.gain * c.recent_visits for c in self._request_classes) / arrived or 1.0
         # for a balancer with little traffic a few visits say nothing, so FEW_VISITS of the mean are mixed in
-        overall = sum(c.in_time for c in self._request_classes) / arrived
+        overall = sum(c.recent_in_time for c in self._request_classes) / arrived
         in_time_shares = [
-            (c.in_time + FEW_VISITS * overall) / (c.arrived + FEW_VISITS) for c in self._request_classes
+            (c.recent_in_time + FEW_VISITS * overall) / (c.recent_visits + FEW_VISITS)
+            for c in self._request_classes
         ]
         weights = [exp((min(in_time_shares) - share) / 0.05) for share in in_time_shares]
         for request_class, weight in zip(self._request_classes, weights, strict=True):
-            shortfall = weight / sum(weights) * arrived / max(1.0, request_class.arrived)
-            request_class.value = (
+            shortfall = weight / sum(weights) * arrived / max(1.0, request_class.recent_visits)
+            request_class.marginal_gain = (
                 1 - self._settings.worst_prefix
             ) * request_class.gain / mean + self._settings.worst_prefix * shortfall
-            request_class.arrived *= COUNT_KEPT_PER_S
-            request_class.in_time *= COUNT_KEPT_PER_S
-        self._classes_by_value.sort(key=lambda c: -c.value)
+            request_class.recent_visits *= COUNT_KEPT_PER_S
+            request_class.recent_in_time *= COUNT_KEPT_PER_S
+        self._classes_by_value.sort(key=lambda c: -c.marginal_gain)
 
     def _update_candidates(self, now: float) -> None:
         """Update the health and share of each zone, and its upstreams in use."""
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -13,7 +13,7 @@
 
 from ospreyline import config
 from ospreyline.decide import Balancer
-from ospreyline.host import End, Listed, Readiness
+from ospreyline.host import End, ListedUpstream, Readiness
 from ospreyline.state import Visit
 
 _BATCH_HEADER = Struct("<IIIQ")
@@ -114,14 +114,16 @@
     ) -> None:
         """A backend fetch has ended, with the `End` of this code."""
         if (visit := self.visits.get(visit_id)) is not None:
-            visit.ended(now, fetch, _ENDS.get(end_code, End.ERRORED), spent_us / 1e3, bool(final), report)
+            visit.fetch_ended(
+                now, fetch, _ENDS.get(end_code, End.ERRORED), spent_us / 1e3, bool(final), report
+            )
             if visit.settled:
                 del self.visits[visit_id]
 
     def client_left(self, now: float, visit_id: int) -> None:
         """The client of a visit has disconnected."""
         if (visit := self.visits.get(visit_id)) is not None:
-            visit.left(now)
+            visit.client_left(now)
             if visit.settled:
                 del self.visits[visit_id]
 
@@ -146,15 +148,15 @@
             self.balancer.told_nothing(now)
             return
         listed = [
-            Listed(
+            ListedUpstream(
                 upstream=self._index_of(address),
-                mark=int.from_bytes(address, "big"),
+                hash_key=int.from_bytes(address, "big"),
                 zone=zone,
                 cell=cell,
                 readiness=_READINESS.get(state, Readiness.DRAINING),
-                came_up=came_up / 1e3,
+                started_at=started_at / 1e3,
             )
-            for _, state, _, zone, cell, came_up, address in entries
+            for _, state, _, zone, cell, started_at, address in entries
         ]
         if kind == _LIST_CHANGES:
             self.balancer.told_changes(now, listed)
--- a/ospreyline/host.py
+++ b/ospreyline/host.py
@@ -21,7 +21,7 @@
     MUTATING = "mutating"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """The group of upstreams that recognizes and drops the repeat of a tagged visit."""
 
     ALL = "all"
@@ -54,15 +54,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedUpstream:
     """One entry of the upstream list."""
 
     upstream: int
-    mark: int  # hash key, the same at every balancer
+    hash_key: int  # the same at every balancer
     zone: int
     cell: int
     readiness: Readiness
-    came_up: float  # start of the process on our clock, negative if before its zero; 0: long ago
+    started_at: float  # start of the process on our clock, negative if before its zero; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,7 +70,7 @@
     """The settings of one path prefix: what is promised and permitted for its visits. Times in ms."""
 
     kind: Kind
-    scope: Scope
+    scope: DedupScope
     window: float  # for which upstreams remember a tag
     target_latency: float
     client_timeout: float
--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -18,7 +18,17 @@
 from typing import Any
 
 from ospreyline import decide
-from ospreyline.host import NEVER_RAN, Deployment, End, Host, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import (
+    NEVER_RAN,
+    DedupScope,
+    Deployment,
+    End,
+    Host,
+    Kind,
+    ListedUpstream,
+    PathPrefix,
+    Readiness,
+)
 from ospreyline.lab.bank import Balancer, Maker, Policy
 from ospreyline.lab.servers import Server
 from ospreyline.lab.words import ScenarioError
@@ -46,7 +56,7 @@
         self.prefix = prefix
         self.expires = now + ttl
         self.target_at = now + min(ttl, prefix.target_latency)
-        self.upstreams: list[Listed] = []
+        self.upstreams: list[ListedUpstream] = []
         self.ends: list[End | None] = []
         self.sent_at: list[float] = []
         self.out = 0
@@ -56,7 +66,7 @@
     def settled(self) -> bool:
         return self.done and not self.out
 
-    def ended(
+    def fetch_ended(
         self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
     ) -> None:
         if self.ends[number] is None:
@@ -68,7 +78,7 @@
         elif not self.done and not self.out:
             self._policy.again(self, now)
 
-    def left(self, now: float) -> None:
+    def client_left(self, now: float) -> None:
         self.done = True
         for number, end in enumerate(self.ends):
             if end is None:
@@ -82,8 +92,8 @@
         self.host = host
         self.terms = terms
         self.random = Random(seed).random
-        self.listed: dict[int, Listed] = {}
-        self.ready: list[Listed] = []
+        self.listed: dict[int, ListedUpstream] = {}
+        self.ready: list[ListedUpstream] = []
         self.out: dict[int, int] = {}
         self._watching = not terms.ask_for_list
         self._ask_wait = 500.0
@@ -97,11 +107,11 @@
             self.host.watch(True)
             self.host.wake(now + 0.4 * self.terms.must_ask_in, self._ask)
 
-    def told_all(self, now: float, lines: list[Listed]) -> None:
+    def told_all(self, now: float, lines: list[ListedUpstream]) -> None:
         self.listed.clear()
         self._take_in(lines)
 
-    def told_changes(self, now: float, lines: list[Listed]) -> None:
+    def told_changes(self, now: float, lines: list[ListedUpstream]) -> None:
         self._watching = True
         self._ask_wait = 500.0
         self._take_in(lines)
@@ -114,7 +124,7 @@
     def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
         pass
 
-    def _take_in(self, lines: list[Listed]) -> None:
+    def _take_in(self, lines: list[ListedUpstream]) -> None:
         for line in lines:
             self.listed[line.upstream] = line
         self.ready = [line for line in self.listed.values() if line.readiness is Readiness.READY]
@@ -143,19 +153,23 @@
         self.out[line.upstream] = self.out.get(line.upstream, 0) + 1
         self.host.send(visit.tag, line.upstream, visit.expires - now)
 
-    def _may(self, visit: Held, line: Listed, ran: int | None, now: float) -> bool:
+    def _may(self, visit: Held, line: ListedUpstream, ran: int | None, now: float) -> bool:
         if ran is None or visit.prefix.kind is Kind.READ_LIKE:
             return True
         first = visit.upstreams[ran]
         if visit.prefix.kind is Kind.MUTATING or now >= visit.sent_at[ran] + visit.prefix.window:
             return False
-        return visit.prefix.scope is Scope.ALL or (
-            first.zone == line.zone and (visit.prefix.scope is Scope.ZONE or first.cell == line.cell)
+        return visit.prefix.scope is DedupScope.ALL or (
+            first.zone == line.zone and (visit.prefix.scope is DedupScope.ZONE or first.cell == line.cell)
         )
 
     def _give_up(self, visit: Held, ran: int | None) -> None:
         kind = visit.prefix.kind
-        if ran is None or kind is Kind.READ_LIKE or (kind is Kind.TAGGED and visit.prefix.scope is Scope.ALL):
+        if (
+            ran is None
+            or kind is Kind.READ_LIKE
+            or (kind is Kind.TAGGED and visit.prefix.scope is DedupScope.ALL)
+        ):
             self.host.bounce(visit.tag, self.terms.max_retry_after)
         else:
             self.host.fail(visit.tag)
@@ -164,19 +178,19 @@
     def ended(self, upstream: int, end: End, spent: float, now: float) -> None:
         self.out[upstream] -= 1
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         raise NotImplementedError
 
 
 class AtRandom(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         return allowed[int(self.random() * len(allowed))]
 
 
 class RoundRobin(Plain):
     _turn = -1
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         if self._turn < 0:
             self._turn = int(self.random() * len(allowed))  # or all would begin at the same one
         self._turn += 1
@@ -184,14 +198,14 @@
 
 
 class LeastInFlight(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         least = min(self.out.get(x.upstream, 0) for x in allowed)
         among = [x for x in allowed if self.out.get(x.upstream, 0) == least]
         return among[int(self.random() * len(among))]
 
 
 class TwoSamples(Plain):
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         a, b = (allowed[int(self.random() * len(allowed))] for _ in range(2))
         return a if self.out.get(a.upstream, 0) <= self.out.get(b.upstream, 0) else b
 
@@ -199,7 +213,7 @@
 class OwnZone(TwoSamples):
     """Two samples among the servers of the own zone, others only where it has none."""
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         home = [x for x in allowed if x.zone == self.terms.zone]
         return super().pick(visit, home or allowed, now)
 
@@ -213,7 +227,7 @@
         self._around = host.around
         self._mean = host.around.scenario.mean_work()
 
-    def pick(self, visit: Held, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: Held, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         around, home = self._around, self.terms.zone
         left = visit.target_at - now
         best, least = None, 1.0
--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -18,7 +18,7 @@
 
 import xxhash
 
-from ospreyline.host import Deployment, End, Listed, Readiness
+from ospreyline.host import Deployment, End, ListedUpstream, Readiness
 from ospreyline.lab.links import Links
 from ospreyline.lab.registry import Line, Registry
 from ospreyline.lab.scenario import Scenario
@@ -33,8 +33,8 @@
     """What an arm answers to: the calls of `decide.Balancer`."""
 
     def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
-    def told_all(self, now: float, lines: list[Listed]) -> None: ...
-    def told_changes(self, now: float, lines: list[Listed]) -> None: ...
+    def told_all(self, now: float, lines: list[ListedUpstream]) -> None: ...
+    def told_changes(self, now: float, lines: list[ListedUpstream]) -> None: ...
     def told_nothing(self, now: float) -> None: ...
     def probed(
         self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]
@@ -278,7 +278,7 @@
         now = self.world.now
         ask.handle = self.policy.take(now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat)
         if ask.gone:
-            ask.handle.left(now)
+            ask.handle.client_left(now)
         self._tidy(ask)
 
     def left(self, ask: Ask) -> None:
@@ -287,7 +287,7 @@
             ask.gone = True
             self.around.watching.left(ask)
             if ask.handle is not None:
-                ask.handle.left(self.world.now)
+                ask.handle.client_left(self.world.now)
                 self._tidy(ask)
 
     def _backstop(self, ask: Ask) -> None:
@@ -295,7 +295,7 @@
             self.around.logged.append((self.world.now, self.number, "visit answered by the backstop"))
             self._answer(ask, "failed")
             if ask.handle is not None:
-                ask.handle.left(self.world.now)
+                ask.handle.client_left(self.world.now)
                 self._tidy(ask)
 
     def _answer(self, ask: Ask, answer: str) -> None:
@@ -416,9 +416,9 @@
     def told_nothing(self) -> None:
         self.policy.told_nothing(self.world.now)
 
-    def _line(self, line: Line) -> Listed:
+    def _line(self, line: Line) -> ListedUpstream:
         server = line.server
-        return Listed(
+        return ListedUpstream(
             server.index,
             self.around.mark(server),
             server.zone,
@@ -543,7 +543,9 @@
         if final:
             self._answer(ask, "delivered")
         if ask.handle is not None:
-            ask.handle.ended(self.world.now, shot.number, end, self.world.now - shot.started, final, report)
+            ask.handle.fetch_ended(
+                self.world.now, shot.number, end, self.world.now - shot.started, final, report
+            )
             self._tidy(ask)
 
     def _expire(self, shot: Shot) -> None:
--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from ospreyline.decide import Balancer
-from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import DedupScope, Deployment, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.state import Visit
 
 SHAPES = {
@@ -39,7 +39,7 @@
 STEP, LEARN, COUNTED = 25.0, 12_000.0, 10_000.0
 OVERLOAD = 3.0  # asked, of what all can do
 HOT, SPILL = 8.0, 0.05
-PREFIX = PathPrefix(Kind.READ_LIKE, Scope.ALL, 0.0, 500.0, 2_000.0, 1.0, 0.0)
+PREFIX = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 0.0, 500.0, 2_000.0, 1.0, 0.0)
 
 
 class _Host:
@@ -78,7 +78,7 @@
         self._zones = 3 if shape == "uneven" else 1
         self._rate = budget / FACTOR / WINDOW  # of one server, visits a ms
         self._lines = [
-            Listed(i, i * 7919 + 13 + seed * 104_729, i % self._zones, 0, Readiness.READY, 0.0)
+            ListedUpstream(i, i * 7919 + 13 + seed * 104_729, i % self._zones, 0, Readiness.READY, 0.0)
             for i in range(SERVERS)
         ]
         self._homes = [0 if not i or self._random.random() < 0.7 else 1 for i in range(balancers)]
@@ -164,7 +164,9 @@
                 for i in range(self._count):
                     late = self._shape == "late" and i % 2
                     self.told_at[i] = now + (5_000 * random.random() if late else 0.0)
-                self._lines[cold] = Listed(cold, self._lines[cold].mark, 0, 0, Readiness.READY, now)
+                self._lines[cold] = ListedUpstream(
+                    cold, self._lines[cold].hash_key, 0, 0, Readiness.READY, now
+                )
             for i, balancer in enumerate(self.bank):
                 if started and before < self.told_at[i] <= now:
                     balancer.told_changes(now, [self._lines[cold]])
--- a/ospreyline/lab/scenario.py
+++ b/ospreyline/lab/scenario.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ospreyline.host import Kind, Scope
+from ospreyline.host import DedupScope, Kind
 from ospreyline.lab import words
 from ospreyline.lab.words import FAULTS, Chance, Fault, Part, ScenarioError, numbers, worded
 
@@ -232,7 +232,7 @@
 
 
 KINDS = {kind.value: kind for kind in Kind}
-SCOPES = {scope.value: scope for scope in Scope}
+SCOPES = {scope.value: scope for scope in DedupScope}
 
 
 def middle(span: Span) -> float:
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -14,12 +14,12 @@
 
 from ospreyline.decide import Balancer
 from ospreyline.fleet.pace import CallPacer
-from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import DedupScope, Deployment, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lab.turns import Turns
 from ospreyline.lab.world import World
 
 TRIP = 1.0  # ms that a call and its refusal take
-LIST = [Listed(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
+LIST = [ListedUpstream(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
 
 
 class _Starter:
@@ -144,7 +144,7 @@
     """Start `count` balancers at once against a service that does so many calls a second."""
     until = 1e3 * (down_s + 30.0 + 4 * count / calls_per_s)
     bank = _Bank(calls_per_s, queue, 1e3 * down_s, paced, until)
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 0.0, 500.0, 1_000.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 0.0, 500.0, 1_000.0, 1.0, 0.0)
     draw = Random(seed).random
     starters: list[_Starter] = []
 
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -23,7 +23,7 @@
 from ospreyline.call_schedule import call_period_ms
 from ospreyline.config import ProxyConfig
 from ospreyline.decide import Balancer
-from ospreyline.host import End, Kind, Listed, PathPrefix, Readiness
+from ospreyline.host import End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
 from ospreyline.net.clients import Client, Request
 from ospreyline.net.discovery import CallFailure, Discovery
@@ -522,7 +522,7 @@
         """Close a visit for which this balancer is no longer responsible."""
         taken.answered = True
         if taken.handle is not None:
-            taken.handle.left(now)
+            taken.handle.client_left(now)
         self._discard_if_settled(taken)
 
     def _on_client_left(self, now: float, taken: Taken) -> None:
@@ -536,7 +536,7 @@
         if taken.handle is not None:
             self.counts["clients_left"] += not taken.answered
             taken.answered = True
-            taken.handle.left(now)
+            taken.handle.client_left(now)
             for number, errand in enumerate(taken.errands):
                 if errand is not None:
                     errand.withdraw()
@@ -554,7 +554,7 @@
         self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
         self.fail(taken.tag)
         if taken.handle is not None:
-            taken.handle.left(now)
+            taken.handle.client_left(now)
         self._discard_if_settled(taken)
 
     def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
@@ -581,7 +581,7 @@
                 if self.covering is None or self.covering.may_tell(now, taken, reply):
                     self._pending_actions.append((self.reply, reply))
         if taken.handle is not None:
-            taken.handle.ended(now, number, reported, elapsed, taken.answered, report)
+            taken.handle.fetch_ended(now, number, reported, elapsed, taken.answered, report)
             self._discard_if_settled(taken)
 
     def answer_all(self) -> None:
@@ -648,7 +648,7 @@
             taken.wanted,
         )
         if taken.handle is not None:
-            errand.begin_by = taken.handle.begin_by
+            errand.begin_by = taken.handle.repeat_deadline
         self.upstreams.pools[upstream].run(errand)
 
     def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
@@ -804,7 +804,7 @@
         else:
             self.balancer.told_changes(now, entries, own=from_watch)
 
-    def _list_entries(self, update: News) -> list[Listed]:
+    def _list_entries(self, update: News) -> list[ListedUpstream]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
         entries = []
         for target, at in update.targets:
@@ -831,7 +831,7 @@
                     self.upstreams.pools[upstream].withdraw()
         return entries
 
-    def _list_entry(self, target: Target, upstream: int) -> Listed:
+    def _list_entry(self, target: Target, upstream: int) -> ListedUpstream:
         # An entry may omit its zone and cell (a removed one does); the upstream keeps its former ones, as
         # repeats of fetches that may have executed there depend on them. An unseen upstream is assigned to
         # the last spillover zone.
@@ -843,14 +843,14 @@
         self._target_by_uid[target.uid] = structs.replace(target, az=az, pod_group=cell)
         self._place_by_index[upstream] = (az, cell)
         zone = self._zone_index.get(az, (self._config.deployment.zone - 1) % self._config.deployment.zones)
-        return Listed(
+        return ListedUpstream(
             upstream=upstream,
-            mark=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
+            hash_key=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
             zone=zone,
             cell=cell,
             # an unknown state: no new requests
             readiness=_READINESS_BY_STATE.get(target.state, Readiness.DRAINING),
-            came_up=target.boot_ms - self._unix_offset if target.boot_ms > 0 else 0.0,
+            started_at=target.boot_ms - self._unix_offset if target.boot_ms > 0 else 0.0,
         )
 
     def _record_readiness(self, uid: str, state: Readiness, target: Target | None) -> None:
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -534,15 +534,15 @@
 def ranked(count: int) -> tuple[float, float]:
     """Processor time of one ranking, and of telling the whole list to a balancer, ms, with so many listed."""
     from ospreyline.decide import Balancer
-    from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
+    from ospreyline.host import DedupScope, Deployment, Kind, ListedUpstream, PathPrefix, Readiness
 
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
     zones = len(ZONES)
     terms = Deployment(
         zone=0, zones=zones, balancers=bank(count), number=1, prefixes=(prefix,), ask_for_list=False
     )
     balancer = Balancer(_Nobody(), terms, 7, 100_000.0)
-    lines = [Listed(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
+    lines = [ListedUpstream(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
     begun = process_time()
     balancer.told_all(100_000.0, lines)
     told = 1e3 * (process_time() - begun)
@@ -732,9 +732,9 @@
 
     from ospreyline.decide import Balancer
     from ospreyline.fleet.pace import CallPacer
-    from ospreyline.host import Deployment, Kind, PathPrefix, Scope
+    from ospreyline.host import DedupScope, Deployment, Kind, PathPrefix
 
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
 
     def most(times: list[float]) -> int:
         """In any second."""
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -14,13 +14,13 @@
 
 from ospreyline import config
 from ospreyline.decide import Balancer, Visit
-from ospreyline.host import Deployment, End, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import DedupScope, Deployment, End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.net.service import Service
 from ospreyline.net.turn import clock
 from ospreyline.operator_settings import OperatorSettings
 
 
-def prefix(kind: Kind, scope: Scope = Scope.ALL, gain: float = 1.0) -> PathPrefix:
+def prefix(kind: Kind, scope: DedupScope = DedupScope.ALL, gain: float = 1.0) -> PathPrefix:
     return PathPrefix(kind, scope, 1_500.0, 1_000.0, 2_500.0, gain, 0.0)
 
 
@@ -31,12 +31,14 @@
 
 def listed(
     upstream: int, zone: int = 0, cell: int = 0, came_up: float = 0.0, readiness: Readiness = Readiness.READY
-) -> Listed:
-    return Listed(upstream, upstream * 7919 + 13, zone, cell, readiness, came_up)
+) -> ListedUpstream:
+    return ListedUpstream(upstream, upstream * 7919 + 13, zone, cell, readiness, came_up)
 
 
 class FakeHost:
-    def __init__(self, lines: list[Listed], start: float = 100_000.0, seed: int = 7, **terms: object) -> None:
+    def __init__(
+        self, lines: list[ListedUpstream], start: float = 100_000.0, seed: int = 7, **terms: object
+    ) -> None:
         self.now = start
         self.sends: list[tuple[int, int, float, float]] = []  # tag, upstream, timeout, time of sending
         self.bounced: dict[int, float] = {}
@@ -101,7 +103,7 @@
     def end(self, visit: Visit, end: End, spent: float = 50.0) -> None:
         """End the visit's latest fetch, `spent` ms from now."""
         self.pass_time(spent)
-        visit.ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
+        visit.fetch_ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
 
     def serve(
         self, visits: int, end: Callable[[int], End] = lambda upstream: End.DELIVERED, lane: int = 0
@@ -113,7 +115,7 @@
             sent = len(visit.fetches)
             if sent:
                 first.append(visit.fetches[0].upstream.id)
-            while visit.out:
+            while visit.in_flight:
                 self.end(visit, end(visit.fetches[-1].upstream.id))
         return first
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -62,7 +62,7 @@
     u = host.balancer._upstreams[0]
     u.ejected, u.trial_at, host.balancer._trials_due = True, host.now, [u]
     visit = host.take()
-    assert visit.fetches[0].trial and len(u.cold_sends) == 1
+    assert visit.fetches[0].is_trial and len(u.cold_sends) == 1
 
 
 def test_the_last_resort_counts_against_the_part():
@@ -163,7 +163,7 @@
     for _ in range(40):
         set_budget(host)
         visit = host.take()
-        if visit.out:
+        if visit.in_flight:
             host.end(visit, end, 10.0)
     assert host.sends and most_in_a_window(host) <= 5
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -90,7 +90,7 @@
             # a visit that may have executed is never answered as harmless to repeat
             assert got == (502 if ran and status == 503 else status) and len(peer.requests) == (got == 200)
             if got == 200:
-                assert taken.handle.lane.kind is Kind.READ_LIKE
+                assert taken.handle.request_class.kind is Kind.READ_LIKE
             assert not turn.counts["faults"] and not turn.visits
 
     play(scenario)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -147,7 +147,7 @@
     assert not host.sends and all(visit.tag in host.bounced for visit in visits)
     host.balancer.lease.apply(host.now, CallStarted(2))
     host.balancer.lease.apply(host.now, UpdateRead(2, 4, False))
-    assert host.take().out and len(host.sends) == 1
+    assert host.take().in_flight and len(host.sends) == 1
 
 
 def test_an_attempt_that_never_ran_is_not_repeated_while_an_update_may_be_lost():
@@ -161,7 +161,7 @@
 def test_a_front_that_reports_no_calls_has_a_lease_without_an_end():
     host = FakeHost([listed(0)])
     host.pass_time(100_000.0)
-    assert host.take().out
+    assert host.take().in_flight
 
 
 def test_a_call_goes_out_soon_after_an_answer_that_was_cut_off():
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -30,10 +30,10 @@
     for _ in range(int(6_000 / every)):
         out.append(host.take())
         host.pass_time(every)
-        while out and host.now - out[0].came >= 100.0:
+        while out and host.now - out[0].arrived_at >= 100.0:
             visit = out.pop(0)
-            if visit.out:
-                visit.ended(host.now, 0, End.DELIVERED, 100.0, True, ())
+            if visit.in_flight:
+                visit.fetch_ended(host.now, 0, End.DELIVERED, 100.0, True, ())
     assert fewest <= len(host.balancer._localities[0].candidates) <= most
 
 
@@ -69,7 +69,7 @@
         visit = host.take()
         stuck = visit.fetches[0].upstream.id < 2
         host.end(visit, End.TIMED_OUT if stuck else End.DELIVERED, 900.0 if stuck else 50.0)
-        while visit.out:
+        while visit.in_flight:
             host.end(visit, End.DELIVERED)
     assert host.balancer._localities[0].latency < 200
 
@@ -79,7 +79,7 @@
     host = FakeHost([listed(i, zone=i % 2) for i in range(6)], cross_fee=0.3)
     for _ in range(20):
         visit = host.take()
-        if visit.out:
+        if visit.in_flight:
             host.end(visit, End.DELIVERED, 400)
     home, away = host.balancer._localities[0], host.balancer._localities[1]
     assert away.latency > 0.7 * home.latency > 150
@@ -118,9 +118,9 @@
     prefixes = (prefix(Kind.READ_LIKE), prefix(Kind.READ_LIKE))
     host = FakeHost([listed(0)], prefixes=prefixes, worst_prefix=0.2)
     host.serve(2, lane=0)
-    host.balancer._request_classes[1].arrived = 1.0
+    host.balancer._request_classes[1].recent_visits = 1.0
     host.pass_time(1_000)
-    first, second = (lane.value for lane in host.balancer._request_classes)
+    first, second = (lane.marginal_gain for lane in host.balancer._request_classes)
     assert second < 2 * first
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -152,7 +152,7 @@
     # in overload long visits kept upstreams busy for seconds after their gain was gone
     host = FakeHost([listed(0)], prefixes=(prefix(Kind.MUTATING),))
     visit = host.take()
-    assert host.sends[0][2] <= visit.lane.target < visit.expires - host.now
+    assert host.sends[0][2] <= visit.request_class.target_latency < visit.client_deadline - host.now
 
 
 def test_room_is_not_offered_to_a_held_visit_that_is_past_its_time():
@@ -161,14 +161,14 @@
     host.serve(30)
     host.balancer._delivery_rate = 50.0
     out = []
-    while not (first := host.take()).held:
+    while not (first := host.take()).queued:
         out.append(first)
     second = host.take()
-    assert second.held and not host.answers(first)
+    assert second.queued and not host.answers(first)
     # capacity is free before the next check: the deadline of the first is over, that of the second is not
-    first.target_at -= 1_000.0
+    first.target_deadline -= 1_000.0
     for visit in out:
-        visit.ended(host.now, 0, End.DELIVERED, 50.0, True, ())
+        visit.fetch_ended(host.now, 0, End.DELIVERED, 50.0, True, ())
     assert host.answers(first) == 1 and not first.fetches
     assert second.fetches
 
@@ -178,8 +178,8 @@
     host = FakeHost([listed(0), listed(1)])
     host.serve(20)
     visit = host.take(ttl=1_600.0)
-    assert visit.target_at - host.now == visit.lane.target
-    assert host.sends[-1][2] > 0.5 * visit.lane.target
+    assert visit.target_deadline - host.now == visit.request_class.target_latency
+    assert host.sends[-1][2] > 0.5 * visit.request_class.target_latency
 
 
 @pytest.mark.parametrize("overlapping", [True, False])
@@ -191,7 +191,7 @@
         visits = [host.take() for _ in range(6 if overlapping else 1)]
         host.pass_time(990.0)
         for visit in visits:
-            while visit.out:
+            while visit.in_flight:
                 host.end(visit, End.TIMED_OUT, 0.0)
         host.pass_time(3_000.0)
     assert host.balancer._upstreams[0].ejected is not overlapping
@@ -222,7 +222,7 @@
         for lane, spent in ((0, 100.0), (1, 400.0)):
             visit = host.take(lane)
             host.end(visit, End.DELIVERED, spent)
-    relative = [lane.pace for lane in host.balancer._request_classes]
+    relative = [lane.relative_latency for lane in host.balancer._request_classes]
     assert relative[1] > 2 * relative[0]
     home = next(u for u in host.balancer._ready if u.zone == 0)
     losses = []
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -257,9 +257,11 @@
     )
     path = tmp_path / "broken" / "ospreyline" / "decide.py"
     text = path.read_text()
-    rule = "if request_class.kind is not Kind.READ_LIKE and (prior := visit.may_have_run()) is not None:"
+    rule = (
+        "if request_class.kind is not Kind.READ_LIKE and (prior := visit.first_maybe_executed()) is not None:"
+    )
     assert text.count(rule) == 1
-    path.write_text(text.replace(rule, "if False and (prior := visit.may_have_run()) is not None:"))
+    path.write_text(text.replace(rule, "if False and (prior := visit.first_maybe_executed()) is not None:"))
     day = Played(
         tmp_path / "out",
         rig={"program": str(tmp_path / "broken")},
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,10 +5,10 @@
 import pytest
 from stand_ins import FakeHost, listed, prefix
 
-from ospreyline.host import End, Kind, Readiness, Scope
+from ospreyline.host import DedupScope, End, Kind, Readiness
 
 READ, TAG_ALL = prefix(Kind.READ_LIKE), prefix(Kind.TAGGED)
-TAG_ZONE, TAG_CELL = prefix(Kind.TAGGED, Scope.ZONE), prefix(Kind.TAGGED, Scope.CELL)
+TAG_ZONE, TAG_CELL = prefix(Kind.TAGGED, DedupScope.ZONE), prefix(Kind.TAGGED, DedupScope.CELL)
 MUTATING = prefix(Kind.MUTATING)
 
 
@@ -54,8 +54,8 @@
     host = FakeHost([listed(i) for i in range(4)], prefixes=(prefix(Kind.TAGGED, gain=5.0),))
     visit = host.take()
     host.end(visit, End.UNREACHED, 100)
-    first = visit.fetches[1].sent
-    visit.lane.window = 60.0
+    first = visit.fetches[1].sent_at
+    visit.request_class.tag_window = 60.0
     host.end(visit, End.RESET, 70)
     assert first + 60 < host.now and len(visit.fetches) == 2 and visit.done
 
@@ -69,9 +69,9 @@
         host.pass_time(10)
         for visit in visits:
             if not visit.done and not visit.fetches:
-                assert host.now < visit.expires
+                assert host.now < visit.client_deadline
     for visit in visits:
-        if visit.out:  # its time-out, cut to the client timeout, comes just in time
+        if visit.in_flight:  # its time-out, cut to the client timeout, comes just in time
             host.end(visit, End.TIMED_OUT, 0)
         assert host.answers(visit) == 1
     assert len(host.sends) == sum(len(v.fetches) for v in visits)
@@ -84,7 +84,7 @@
     host.pass_time(2_000)
     host.balancer._delivery_rate = 50.0
     visits = [host.take() for _ in range(12)] + [host.take(ttl=400.0) for _ in range(6)]
-    late = [v for v in visits if v.held and v.expires - host.now <= 400]
+    late = [v for v in visits if v.queued and v.client_deadline - host.now <= 400]
     host.pass_time(380)
     assert all(host.answers(v) == 1 or v.fetches for v in late)
 
@@ -98,7 +98,7 @@
 def test_a_client_that_leaves_ends_the_visit():
     host = FakeHost([listed(0), listed(1)])
     visit = host.take()
-    visit.left(host.now)
+    visit.client_left(host.now)
     assert host.cancelled == [(visit.tag, 0)]
     host.end(visit, End.RESET)
     assert visit.settled and len(visit.fetches) == 1 and not host.answers(visit)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -159,13 +159,13 @@
             turn = service.turn
             young = Target("u0", "127.0.0.1:1", "a", 0, "active", time.time() * 1e3 - 5_000)
             old = Target("u1", "127.0.0.1:1", "a", 0, "active", 0)
-            assert turn._list_entry(young, 0).came_up == pytest.approx(clock() - 5_000, abs=500)
-            assert turn._list_entry(young, 0).came_up == turn._list_entry(young, 0).came_up
-            assert turn._list_entry(old, 1).came_up == 0.0
+            assert turn._list_entry(young, 0).started_at == pytest.approx(clock() - 5_000, abs=500)
+            assert turn._list_entry(young, 0).started_at == turn._list_entry(young, 0).started_at
+            assert turn._list_entry(old, 1).started_at == 0.0
             assert (
-                turn._list_entry(old, 1).mark
-                == turn._list_entry(old, 5).mark
-                != turn._list_entry(young, 0).mark
+                turn._list_entry(old, 1).hash_key
+                == turn._list_entry(old, 5).hash_key
+                != turn._list_entry(young, 0).hash_key
             )
 
     play(scenario)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -33,7 +33,7 @@
         host.end(visit, End.DELIVERED)
     for _ in range(30):
         host.serve(1, lane=1 - lane)
-    visit.ended(host.now, 0, End.TIMED_OUT, host.now - visit.came, False, ())
+    visit.fetch_ended(host.now, 0, End.TIMED_OUT, host.now - visit.arrived_at, False, ())
 
 
 def test_an_upstream_that_leaves_one_prefix_unanswered_still_serves_the_others():
@@ -61,7 +61,7 @@
         host.serve(1, lane=0)
     u = host.balancer._upstreams[0]
     assert not visit.done and not u.in_flight and u.locality.in_flight == 0
-    visit.ended(host.now, 0, End.TIMED_OUT, 2_500.0, False, ())
+    visit.fetch_ended(host.now, 0, End.TIMED_OUT, 2_500.0, False, ())
     assert u.locality.in_flight == 0
 
 
@@ -80,7 +80,7 @@
         idle_all(host, idle_ms)
         visit = host.take(lane)
         host.end(visit, End.TIMED_OUT if silent else End.DELIVERED, 2_400.0 if silent else 50.0)
-        while visit.out:
+        while visit.in_flight:
             host.end(visit, End.DELIVERED)
 
 
@@ -122,8 +122,8 @@
     host = warm(prefixes=TWO_PREFIXES)
     visit = host.take(1)
     host.pass_time(1_010)
-    visit.ended(host.now, 0, End.TIMED_OUT, 1_010.0, False, ())
-    assert not visit.fetches[0].silent and not visit.fetches[0].upstream.class_ejected_until
+    visit.fetch_ended(host.now, 0, End.TIMED_OUT, 1_010.0, False, ())
+    assert not visit.fetches[0].unresponsive and not visit.fetches[0].upstream.class_ejected_until
 
 
 @pytest.mark.parametrize(("lanes", "told"), [((0, 1, 0, 1), True), ((1, 1, 1, 1), False)])
@@ -133,7 +133,7 @@
     visits = [host.take(lane) for lane in lanes]
     host.pass_time(2_400)
     for visit in visits:
-        visit.ended(host.now, 0, End.TIMED_OUT, 2_400.0, False, ())
+        visit.fetch_ended(host.now, 0, End.TIMED_OUT, 2_400.0, False, ())
     assert bool(host.told) is told
 
 
@@ -152,6 +152,6 @@
 def test_at_the_start_a_visit_waits_for_what_is_out():
     # 3 to 5% bounced in the first seconds, as nothing had been delivered yet
     host = FakeHost([listed(0)])
-    while not (visit := host.take()).held and not visit.done:
+    while not (visit := host.take()).queued and not visit.done:
         pass
-    assert visit.held and visit.tag not in host.bounced
+    assert visit.queued and visit.tag not in host.bounced
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -24,7 +24,7 @@
 )
 
 from ospreyline import config
-from ospreyline.host import End, Kind, Scope
+from ospreyline.host import DedupScope, End, Kind
 from ospreyline.net.service import Service
 
 FETCHES = 3  # maximum fetches of a visit in `configuration`
@@ -181,7 +181,7 @@
             def accept_then_switch(found, by):
                 done = accept(found, by)
                 switch(service, settings_text(registry))  # in the same loop iteration, before the event batch
-                seen.append(next(iter(service.turn.visits.values())).handle.lane.kind)
+                seen.append(next(iter(service.turn.visits.values())).handle.request_class.kind)
                 return done
 
             service.turn.accept_request = accept_then_switch  # type: ignore[method-assign]
@@ -325,7 +325,7 @@
     host.serve(30)
     host.balancer._delivery_rate = 50.0
     visits = [host.take() for _ in range(18)]
-    waiting = [v for v in visits if v.held]
+    waiting = [v for v in visits if v.queued]
     assert waiting
     apply_settings(host, lines, prefixes=(prefix(Kind.MUTATING),))
     host.pass_time(2_500)
@@ -334,7 +334,7 @@
 
 def test_a_tagged_visit_is_not_repeated_once_its_zones_have_other_names():
     lines = [listed(i, zone=i // 2) for i in range(4)]
-    terms = (prefix(Kind.TAGGED, Scope.ZONE),)
+    terms = (prefix(Kind.TAGGED, DedupScope.ZONE),)
     host = FakeHost(lines, prefixes=terms, zones=2, zone_names=("a", "b"))
     visit = host.take()
     host.balancer.set_terms(
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -59,11 +59,11 @@
                 visit = self.visits[due[1]]
                 number = len(visit.fetches) - 1
                 end_is = End.DELIVERED if self.reached(due[2]) else End.UNREACHED
-                visit.ended(
+                visit.fetch_ended(
                     host.now,
                     number,
                     end_is,
-                    host.now - visit.fetches[number].sent,
+                    host.now - visit.fetches[number].sent_at,
                     end_is is End.DELIVERED,
                     (),
                 )
@@ -152,9 +152,9 @@
         visits = [host.take() for _ in range(out)]
         host.now += stop
         for visit in visits:
-            if visit.out:
+            if visit.in_flight:
                 f = visit.fetches[-1]
-                visit.ended(host.now, 0, told, host.now - f.sent, True, ())
+                visit.fetch_ended(host.now, 0, told, host.now - f.sent_at, True, ())
         since = host.now
         assert Day(host, per_s, lambda upstream: True).play(10).longest(since) < MAX_REJECTING_MS
 
