--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -212,7 +212,7 @@
         self._zones_renamed_at = -inf  # when zone names last changed
         self.set_terms(now, settings)
         self._base_latency = self._initial_latency  # ms, mean of the lowest latencies
-        host.wake(now + TICK_MS * self._random(), self._tick)
+        host.call_at(now + TICK_MS * self._random(), self._tick)
 
     def set_terms(self, now: float, settings: Deployment) -> None:
         """Apply settings, at the start or on a reload, after which the caller passes the whole list again."""
@@ -335,13 +335,13 @@
         self._call_schedule.call_failed(now, turned_away)
         if lost and self._settings.ask_for_list:
             self._call_schedule.update_lost(now)
-            self._host.wake(self._call_schedule.next_call_at, self._call_if_due)
+            self._host.call_at(self._call_schedule.next_call_at, self._call_if_due)
 
     def ask_again(self, now: float) -> None:
         """Schedule a call, as the updates received so far leave open whether one was lost."""
         if self._call_schedule.next_call_at == inf:
             self._call_schedule.update_lost(now)
-            self._host.wake(self._call_schedule.next_call_at, self._call_if_due)
+            self._host.call_at(self._call_schedule.next_call_at, self._call_if_due)
 
     def asked(self, now: float) -> None:
         """A call was made to another list service: reset the schedule's failures."""
@@ -493,7 +493,7 @@
                     and max(map(unresponsive.count, unresponsive))
                     <= len(unresponsive) * MAX_SHARE_OF_ONE_CLASS
                 ):
-                    self._host.tell(IDLE_TIMEOUT_HINT.pack(int(self._idle_limit)))
+                    self._host.broadcast(IDLE_TIMEOUT_HINT.pack(int(self._idle_limit)))
                 break
         # without this, an upstream that answers all but one request class is never ejected
         f.upstream.class_ejected_until[f.request_class] = now + EJECTION_MS
@@ -523,7 +523,7 @@
         self._queued -= visit.queued
         visit.done, visit.queued = True, False
         if visit.in_flight and self._settings.may_cancel:
-            self._host.cancel(visit.tag, len(visit.fetches) - 1)
+            self._host.cancel_fetch(visit.tag, len(visit.fetches) - 1)
 
     def _may_send(self, visit: Visit, u: Upstream, now: float) -> bool:
         """The four rules for each send; `_send` sends nothing that this refuses."""
@@ -582,7 +582,7 @@
         idle_time = max(0.0, now - u.connection_used_at)
         if not u.in_flight and idle_time > min(self._idle_limit, self._hinted_idle_limit):
             # idle connections may be dropped unseen, and a request sent on such a one gets no answer
-            self._host.drop(u.id)
+            self._host.close_idle_connections(u.id)
             u.connection_used_at, idle_time = now, 0.0
         f = Fetch(
             u, visit.request_class, now, idle_time, len(u.in_flight) + 1, u.locality.in_flight + 1, trial
@@ -591,7 +591,7 @@
         u.trial_in_flight = u.trial_in_flight or trial
         if now - u.started_at < self._warm_up_ms:
             u.cold_sends.append(now)
-        self._host.send(visit.tag, u.id, self._fetch_timeout(visit, now))
+        self._host.start_fetch(visit.tag, u.id, self._fetch_timeout(visit, now))
         visit.fetches.append(f)
         visit.in_flight += 1
         u.in_flight[f] = None
@@ -611,7 +611,7 @@
                 visit.tag, self._settings.max_retry_after * (1.0 if self._is_overloaded(now) else 0.25)
             )
         else:
-            self._host.fail(visit.tag)
+            self._host.answer_error(visit.tag)
         self._close(visit, now)
 
     def _warmth(self, u: Upstream, now: float) -> float:
@@ -756,7 +756,7 @@
         request_class.queue.append(visit)
         if not self._queue_check_scheduled:
             self._queue_check_scheduled = True
-            self._host.wake(now + QUEUE_CHECK_MS, self._check_queue)
+            self._host.call_at(now + QUEUE_CHECK_MS, self._check_queue)
 
     def _check_queue(self, now: float) -> None:
         """Check the queue while visits are in it."""
@@ -767,7 +767,7 @@
         self._drain_queue(now)
         self._queue_check_scheduled = self._queued > 0
         if self._queue_check_scheduled:
-            self._host.wake(now + QUEUE_CHECK_MS, self._check_queue)
+            self._host.call_at(now + QUEUE_CHECK_MS, self._check_queue)
 
     def _queue_deadline(self, visit: Visit) -> float:
         """Until when a visit may wait and still be answered in time."""
@@ -822,7 +822,7 @@
 
     def _tick(self, now: float) -> None:
         """Every TICK_MS: check the age of fetches in flight, update candidates, call for the list, probe."""
-        self._host.wake(now + TICK_MS, self._tick)
+        self._host.call_at(now + TICK_MS, self._tick)
         if now - self._rates_updated_at >= 1_000:
             self._update_rates(now)
         for u in self._ready:
@@ -863,7 +863,7 @@
         """Call the list service, if a call is due."""
         if now >= self._call_schedule.next_call_at:
             self._call_schedule.call_started(now)
-            self._host.watch(True)
+            self._host.watch_list(True)
 
     def _update_rates(self, now: float) -> None:
         """Once a second: update the rates, and the capacity that each zone's warm upstreams have for us."""
@@ -1013,7 +1013,7 @@
             u = in_use[int(self._random() * len(in_use))]
             if now - u.probed_at >= PROBE_INTERVAL_MS:
                 u.probed_at = now
-                self._host.probe(u.id)
+                self._host.send_probe(u.id)
 
 
 def zone_shares(order: list[int], healths: list[float]) -> list[tuple[float, int]]:
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -165,37 +165,37 @@
 
     # actions of the decisions: methods of `host.Host`
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
-        time_out_us = max(1, min(int(time_out * 1e3), _U32_MAX))
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
+        time_out_us = max(1, min(int(timeout_ms * 1e3), _U32_MAX))
         self._append(_SEND.pack(1, tag, self._addresses[upstream], time_out_us))
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         self._append(_CANCEL.pack(4, tag, fetch))
 
     def bounce(self, tag: int, retry_after: float) -> None:
         self._append(_BOUNCE.pack(2, tag, min(int(retry_after * 1e3), _U32_MAX)))
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self._append(_FAIL.pack(3, tag))
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self._last_timer = self._last_timer + 1 & _U32_MAX
         self._timers[self._last_timer] = call
         self._append(_TIMER.pack(5, int(at * 1e3), self._last_timer))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self._append(_UPSTREAM_ACTION.pack(6, self._addresses[upstream]))
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self._append(_UPSTREAM_ACTION.pack(7, self._addresses[upstream]))
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         self._append(_MESSAGE_OUT.pack(8, _ALL_BALANCERS, len(message)) + message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self._append(_WATCH.pack(11, on))
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self._append(_CODE.pack(12))
 
     def log(self, text: str) -> None:
--- a/ospreyline/host.py
+++ b/ospreyline/host.py
@@ -110,34 +110,34 @@
 class Host(Protocol):
     """What the host does for the decisions. None of these calls back before it returns."""
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         """Start a backend fetch of the visit, for `time_out` ms; a visit's fetches are numbered from 0."""
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         """Cancel one backend fetch: stop waiting for its answer."""
 
     def bounce(self, tag: int, retry_after: float) -> None:
         """Final answer: a retry is harmless, after `retry_after` ms (0: no advice)."""
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         """Final answer: an error, without a promise about retries."""
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         """Set a timer: call `call` with the time, at `at` or soon after it."""
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         """Send a probe to an upstream; its result goes to `Balancer.probed`."""
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         """Close the idle connections to an upstream: its next fetch opens a new one."""
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         """Send a message to all other balancers, where the settings allow it; it may be lost."""
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """Call the list service for a watch: the changes of the upstream list from now on."""
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         """Poll the whole upstream list once."""
 
     def log(self, text: str) -> None:
--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -82,7 +82,7 @@
         self.done = True
         for number, end in enumerate(self.ends):
             if end is None:
-                self._policy.host.cancel(self.tag, number)
+                self._policy.host.cancel_fetch(self.tag, number)
 
 
 class Plain:
@@ -98,14 +98,14 @@
         self._watching = not terms.ask_for_list
         self._ask_wait = 500.0
         if terms.ask_for_list:
-            host.wake(now + self.random() * (500.0 + 10 * terms.balancers), self._ask)
+            host.call_at(now + self.random() * (500.0 + 10 * terms.balancers), self._ask)
 
     # the list
 
     def _ask(self, now: float) -> None:
         if not self._watching:
-            self.host.watch(True)
-            self.host.wake(now + 0.4 * self.terms.must_ask_in, self._ask)
+            self.host.watch_list(True)
+            self.host.call_at(now + 0.4 * self.terms.must_ask_in, self._ask)
 
     def told_all(self, now: float, lines: list[ListedUpstream]) -> None:
         self.listed.clear()
@@ -118,7 +118,7 @@
 
     def told_nothing(self, now: float) -> None:
         self._watching = False
-        self.host.wake(now + self._ask_wait * (0.5 + self.random()), self._ask)
+        self.host.call_at(now + self._ask_wait * (0.5 + self.random()), self._ask)
         self._ask_wait = min(2 * self._ask_wait, 4_000.0)
 
     def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
@@ -151,7 +151,7 @@
         visit.sent_at.append(now)
         visit.out += 1
         self.out[line.upstream] = self.out.get(line.upstream, 0) + 1
-        self.host.send(visit.tag, line.upstream, visit.expires - now)
+        self.host.start_fetch(visit.tag, line.upstream, visit.expires - now)
 
     def _may(self, visit: Held, line: ListedUpstream, ran: int | None, now: float) -> bool:
         if ran is None or visit.prefix.kind is Kind.READ_LIKE:
@@ -172,7 +172,7 @@
         ):
             self.host.bounce(visit.tag, self.terms.max_retry_after)
         else:
-            self.host.fail(visit.tag)
+            self.host.answer_error(visit.tag)
         visit.done = True
 
     def ended(self, upstream: int, end: End, spent: float, now: float) -> None:
--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -325,12 +325,12 @@
 
     # -- the host's calls ------------------------------------------------------------------------------------
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         ask = self.asks[tag]
         now = self.world.now
-        shot = Shot(self, ask, self.around.servers[upstream], now, time_out)
+        shot = Shot(self, ask, self.around.servers[upstream], now, timeout_ms)
         ask.shots.append(shot)
-        shot.timer = self.world.after(max(0.0, time_out), self._expire, shot)
+        shot.timer = self.world.after(max(0.0, timeout_ms), self._expire, shot)
         server = shot.server
         pool = self.idle.get(upstream)
         while pool:
@@ -345,7 +345,7 @@
             self._closed(server, incarnation)
         self._connect(shot)
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         shot = self.asks[tag].shots[fetch]
         if shot.end is None:
             self._cut(shot, End.CANCELLED)
@@ -355,17 +355,17 @@
         ask.retry_after = retry_after
         self._answer(ask, "bounced")
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self._answer(self.asks[tag], "failed")
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self.world.at(at, self._wake, call)
 
     def _wake(self, call: Callable[[float], None]) -> None:
         if self.living:
             call(self.world.now)
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         server = self.around.servers[upstream]
         self.probes += 1
         trip = self.around.links.trip(self.zone, server.zone)
@@ -382,18 +382,18 @@
         if self.living:
             self.policy.probed(self.world.now, server.index, end, spent, report)
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         for _, incarnation in self.idle.pop(upstream, []):
             self._closed(self.around.servers[upstream], incarnation)
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         pass  # balancers are not modelled to reach one another; what is told is only ever a hint
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if on:
             self.around.registry.watch(self, self.known)
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self.around.registry.refresh(self)
 
     def log(self, text: str) -> None:
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -382,7 +382,7 @@
             self.logger.exception("exception in an event handler")
             taken = next((arg for arg in args if isinstance(arg, Taken)), None)
             if taken is not None and not taken.answered:
-                self.fail(taken.tag)
+                self.answer_error(taken.tag)
                 self._discard_visit(taken)
                 for errand in taken.errands:
                     if errand is not None:
@@ -488,7 +488,7 @@
             prefix = self._config.deployment.prefixes.index(taken.terms)
         except ValueError:
             # A reload came while the visit waited: its path prefix now has another index or no longer exists.
-            return self.fail(taken.tag) if prior_fetches else self.refuse(taken.tag)
+            return self.answer_error(taken.tag) if prior_fetches else self.refuse(taken.tag)
         request = taken.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         taken.errands = [None] * len(before)
@@ -552,7 +552,7 @@
             return self._discard_if_settled(taken)
         self.counts["overdue"] += 1
         self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
-        self.fail(taken.tag)
+        self.answer_error(taken.tag)
         if taken.handle is not None:
             taken.handle.client_left(now)
         self._discard_if_settled(taken)
@@ -685,7 +685,7 @@
     def _schedule_list_call(self) -> None:
         """Set a timer for the next paced list call."""
         if self._pace is not None and self._pace.next_call_at < inf:
-            self.wake(self._pace.next_call_at, self._make_list_call)
+            self.call_at(self._pace.next_call_at, self._make_list_call)
 
     def _make_list_call(self, now: float) -> None:
         if self._pace is not None and now >= self._pace.next_call_at:
@@ -741,7 +741,7 @@
         elif not self._config.deployment.ask_for_list:
             # For a pushed list, every change counts as received even if no watch is open. The decisions
             # expect no failed calls then, and their retry delays, meant for polling, are far too long.
-            self.wake(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
+            self.call_at(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
             self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
         self.balancer.told_nothing(now, failure.lost, failure.turned_away)
@@ -891,7 +891,7 @@
 
     # -- Host: actions for the decisions ------------------------------------------------------------------
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         taken = self.visits[tag]
         if taken.fetch_ends:
             self.events.line(
@@ -905,12 +905,12 @@
         taken.errands.append(None)
         generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
-        until = self._last_batch_at + time_out
+        until = self._last_batch_at + timeout_ms
         self._pending_actions.append(
             (self._start_fetch, (taken, len(taken.errands) - 1, upstream, generation, until))
         )
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         if (taken := self.visits.get(tag)) is not None:
             self._pending_actions.append((self._cancel_fetch, (taken, fetch)))
 
@@ -923,7 +923,7 @@
         if self.covering is None or self.covering.may_bounce(self._last_batch_at, taken, reply):
             self._pending_actions.append((self.reply, reply))
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         taken = self.visits[tag]
         taken.answered = True
         self._log_refusal("failed", taken)
@@ -946,29 +946,29 @@
             attempts=taken.fetch_ends,
         )
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self._timer_number += 1
         heappush(self._timers, (at, self._timer_number, call))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self._pending_actions.append((self._send_probe, (upstream,)))
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self._pending_actions.append(
             (lambda now: self.upstreams.pools[upstream].close_idle("it may be silent"), ())
         )
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         if self.bank is not None:  # without links nothing is sent; these messages are only hints
             self.bank.tell(message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if self._pace is not None:
             self._pending_actions.append((self._request_list_call, ()))
             return
         self._pending_actions.append((lambda now: self.discovery.watch(on), ()))
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self._pending_actions.append((lambda now: self.discovery.refresh(), ()))
 
     def log(self, text: str) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -53,34 +53,34 @@
         self.balancer = Balancer(self, replace(PLAIN, **terms), seed, start)  # type: ignore[arg-type]
         self.balancer.told_all(self.now, lines)
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
-        self.sends.append((tag, upstream, time_out, self.now))
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
+        self.sends.append((tag, upstream, timeout_ms, self.now))
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         self.cancelled.append((tag, fetch))
 
     def bounce(self, tag: int, retry_after: float) -> None:
         self.bounced[tag] = retry_after
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self.failed.append(tag)
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self.wakes.append((at, call))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self.probes.append(upstream)
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self.dropped.append(upstream)
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         self.told.append(message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self.watches.append(self.now)
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         pass
 
     def log(self, text: str) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -191,7 +191,7 @@
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry, Discovery="push") as service:
             await registry.tell(4)
-            loop, waits, wake = asyncio.get_running_loop(), [], service.turn.wake
+            loop, waits, wake = asyncio.get_running_loop(), [], service.turn.call_at
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
 
@@ -200,7 +200,7 @@
                     waits.append(at - service.turn._last_batch_at)
                 wake(at, call)
 
-            service.turn.wake = recording_wake
+            service.turn.call_at = recording_wake
             registry.answers = [RESET]
             registry.writers[0].close()
             began = loop.time()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -249,14 +249,14 @@
 def test_a_rested_connection_is_replaced_in_the_laboratory(monkeypatch):
     # The simulated balancer could not close idle connections, so a run with unresponsive servers failed.
     fault = {"kind": "mute", "at_s": 1.5, "for_s": 2.5, "part": 0.4}
-    drop, idle = bank.Balancer.drop, []
+    drop, idle = bank.Balancer.close_idle_connections, []
 
     def dropped(self, upstream):
         before = len(self.idle.get(upstream, ()))
         drop(self, upstream)
         idle.append((before, len(self.idle.get(upstream, ()))))
 
-    monkeypatch.setattr(bank.Balancer, "drop", dropped)
+    monkeypatch.setattr(bank.Balancer, "close_idle_connections", dropped)
     met = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
     assert any(before for before, _ in idle) and not any(after for _, after in idle)
     assert not any(met["breaches"].values()) and met["open"] == 0
@@ -265,7 +265,9 @@
 @pytest.mark.parametrize("front", [bank.Balancer, Instance, Turn])
 def test_every_front_has_all_that_the_decisions_may_call(front):
     calls = {name for name in vars(Host) if not name.startswith("_")}
-    assert {"send", "drop", "tell"} <= calls and not [name for name in calls if not hasattr(front, name)]
+    assert {"start_fetch", "close_idle_connections", "broadcast"} <= calls and not [
+        name for name in calls if not hasattr(front, name)
+    ]
 
 
 def test_overlapping_faults_are_taken_back_whole():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -102,15 +102,15 @@
             self.pace.phase = place
         self.discovery = SimulatedDiscovery(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
-        self.wake(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
+        self.call_at(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
 
     def _tidy(self, now: float) -> None:
-        self.wake(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
+        self.call_at(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
         self.discovery.tidy()
 
     # as net/turn.py does it
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if self.pace is None:
             self.discovery.watch(on)
         else:
@@ -119,7 +119,7 @@
 
     def _plan(self) -> None:
         if self.pace is not None and self.pace.next_call_at < inf:
-            self.wake(self.pace.next_call_at, self._due)
+            self.call_at(self.pace.next_call_at, self._due)
 
     def _due(self, now: float) -> None:
         if self.pace is not None and now >= self.pace.next_call_at:
@@ -163,7 +163,7 @@
             self.lost -= 1
             self._apply_outcome(call, "turned away")
         else:
-            self.wake(self.now + self.answer, lambda now: self._answer(call))
+            self.call_at(self.now + self.answer, lambda now: self._answer(call))
 
     def _receive(self, call: ListCall, news: News | None) -> None:
         if not call.over:
@@ -177,17 +177,17 @@
 
     def _apply_outcome(self, call: ListCall, outcome: str) -> None:
         if outcome == "refused":
-            self.wake(self.now + 1.0, lambda now: call.stop("refused"))
+            self.call_at(self.now + 1.0, lambda now: call.stop("refused"))
         elif outcome == "turned away":
             call.retry_after_ms, call.rejected = HOUR if self.now < self.reachable_at else 0.0, True
-            self.wake(self.now + QUEUE, lambda now: call.stop("status 503"))
+            self.call_at(self.now + QUEUE, lambda now: call.stop("status 503"))
         elif outcome == "moved":  # it is not answered, and SIGHUP names another service
-            self.wake(self.now + 300.0, self._move)
+            self.call_at(self.now + 300.0, self._move)
         elif outcome == "ends":  # a watch that was answered and ended
-            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
-            self.wake(self.now + 9.0, lambda now: call.stop("the watch has ended"))
+            self.call_at(self.now + 5.0, lambda now: self._receive(call, None))
+            self.call_at(self.now + 9.0, lambda now: call.stop("the watch has ended"))
         elif outcome == "spoke":  # a watch that was answered and then receives nothing
-            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
+            self.call_at(self.now + 5.0, lambda now: self._receive(call, None))
 
     def play(self) -> float:
         """ms from when the service was reachable until the list was in effect; -inf for no such phase."""
