--- a/ospreyline/decide.py
+++ b/ospreyline/decide.py
@@ -1,10 +1,10 @@
 """All decisions of ospreyline: which upstream serves a visit, when a visit is retried, and when it is not.
 
-Whoever carries the decisions out builds one `Balancer` per instance. `take()` returns a `Visit`, the handle
-through which later events of that visit are reported (`fetch_ended`, `client_left`). Updates of the upstream
-list, probe results, hints of other balancers and reloads go to `told_all`, `told_changes`, `told_nothing`,
-`probed`, `heard` and `set_terms`. The decisions act through `host.Host`. docs/design.md has the design and
-the conditions of each exception, marked E1, E3 ... here.
+Whoever carries the decisions out builds one `Balancer` per instance. `accept_visit()` returns a `Visit`, the
+handle through which later events of that visit are reported (`fetch_ended`, `client_left`). Updates of the
+upstream list, probe results, hints of other balancers and reloads go to `apply_list`, `apply_list_changes`,
+`list_call_failed`, `probe_ended`, `receive_hint` and `apply_settings`. The decisions act through `host.Host`.
+docs/design.md has the design and the conditions of each exception, marked E1, E3 ... here.
 
 From top to bottom: constants, records, then the balancer: calls from outside, the rules and the one method
 that sends, choice of an upstream, queue, retries, periodic work. `state` has the types without decisions,
@@ -210,11 +210,11 @@
         )
         self._settings = settings
         self._zones_renamed_at = -inf  # when zone names last changed
-        self.set_terms(now, settings)
+        self.apply_settings(now, settings)
         self._base_latency = self._initial_latency  # ms, mean of the lowest latencies
         host.call_at(now + TICK_MS * self._random(), self._tick)
 
-    def set_terms(self, now: float, settings: Deployment) -> None:
+    def apply_settings(self, now: float, settings: Deployment) -> None:
         """Apply settings, at the start or on a reload, after which the caller passes the whole list again."""
         old, reload, self._settings = self._settings, bool(self._localities), settings
         known = {c.settings: c for c in self._request_classes}
@@ -284,21 +284,27 @@
         u.zone, u.locality = zone, self._localities[zone]
         u.locality.in_flight += len(u.in_flight)
 
-    def told_all(self, now: float, lines: list[ListedUpstream], own: bool = True) -> None:
-        """Apply the whole list: upstreams missing from it are not ready. `own`: from a watch of ours."""
+    def apply_list(self, now: float, lines: list[ListedUpstream], from_own_watch: bool = True) -> None:
+        """Apply the whole list: upstreams missing from it are not ready. `from_own_watch`: from a watch of
+        ours."""
         listed = {line.upstream for line in lines}
         for u in self._upstreams.values():
             u.ready = u.ready and u.id in listed
-        self.told_changes(now, lines, first=not self._upstreams, own=own)
+        self.apply_list_changes(now, lines, is_first_list=not self._upstreams, from_own_watch=from_own_watch)
 
-    def told_changes(
-        self, now: float, lines: list[ListedUpstream], first: bool = False, own: bool = True
+    def apply_list_changes(
+        self,
+        now: float,
+        lines: list[ListedUpstream],
+        is_first_list: bool = False,
+        from_own_watch: bool = True,
     ) -> None:
         """Apply changes of the list.
 
-        `first`: of a first list, whose upstreams need not be new; `own`: from a watch of ours.
+        `is_first_list`: of a first list, whose upstreams need not be new; `from_own_watch`: from a watch of
+        ours.
         """
-        if own:
+        if from_own_watch:
             self._call_schedule.call_answered()
         for line in lines:
             u = self._upstreams.get(line.upstream)
@@ -315,7 +321,7 @@
                 continue
             # a start in the future counts as now, and only once for each listed start
             came_up = line.started_at or -inf
-            if came_up > u.listed_start or not (was_ready or first):
+            if came_up > u.listed_start or not (was_ready or is_first_list):
                 start, u.listed_start = (
                     u.started_at if came_up == u.listed_start else min(came_up, now),
                     came_up,
@@ -327,39 +333,42 @@
             )
         self._update_candidates(now)
 
-    def told_nothing(self, now: float, lost: bool = False, turned_away: bool = False) -> None:
+    def list_call_failed(self, now: float, possibly_lost: bool = False, turned_away: bool = False) -> None:
         """A list call failed or the watch broke off: keep the old list and schedule another call.
 
-        `lost`: an update may have been written and lost; `turned_away`: the service has too many callers.
+        `possibly_lost`: an update may have been written and lost; `turned_away`: the service has too many
+        callers.
         """
         self._call_schedule.call_failed(now, turned_away)
-        if lost and self._settings.ask_for_list:
+        if possibly_lost and self._settings.ask_for_list:
             self._call_schedule.update_lost(now)
             self._host.call_at(self._call_schedule.next_call_at, self._call_if_due)
 
-    def ask_again(self, now: float) -> None:
+    def schedule_list_call(self, now: float) -> None:
         """Schedule a call, as the updates received so far leave open whether one was lost."""
         if self._call_schedule.next_call_at == inf:
             self._call_schedule.update_lost(now)
             self._host.call_at(self._call_schedule.next_call_at, self._call_if_due)
 
-    def asked(self, now: float) -> None:
+    def list_service_moved(self, now: float) -> None:
         """A call was made to another list service: reset the schedule's failures."""
         self._call_schedule.call_started(now, new_service=True)
 
-    def forget(self, upstream: int) -> None:
+    def remove_upstream(self, upstream: int) -> None:
         """Remove an upstream that left long ago and will not be listed again."""
         self._ring.remove(self._upstreams.pop(upstream))
 
-    def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
-        """A probe has ended, after `spent` ms."""
+    def probe_ended(
+        self, now: float, upstream: int, end: End, spent_ms: float, report: tuple[float, ...]
+    ) -> None:
+        """A probe has ended, after `spent_ms`."""
         u = self._upstreams[upstream]
         if end is End.DELIVERED:
             self._record_load(u, now, report)
         elif u.ejected and end is not End.FULL:
             u.trial_at = now + EJECTION_MS / 4  # spends no trial request on an upstream that no probe reaches
 
-    def take(
+    def accept_visit(
         self,
         now: float,
         tag: int,
@@ -498,7 +507,7 @@
         # without this, an upstream that answers all but one request class is never ejected
         f.upstream.class_ejected_until[f.request_class] = now + EJECTION_MS
 
-    def heard(self, now: float, message: bytes) -> None:
+    def receive_hint(self, now: float, message: bytes) -> None:
         """Receive another balancer's hint on idle timeouts; no rule depends on hints."""
         hints = self._hints
         if len(message) == IDLE_TIMEOUT_HINT.size:
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -97,7 +97,7 @@
         marks: int,
     ) -> None:
         """A client's request."""
-        visit = self.balancer.take(now, visit_id, prefix, ttl / 1e3, bool(marks & _REPEAT_MARK))
+        visit = self.balancer.accept_visit(now, visit_id, prefix, ttl / 1e3, bool(marks & _REPEAT_MARK))
         if not visit.settled:
             self.visits[visit_id] = visit
 
@@ -136,16 +136,16 @@
     def probe_ended(self, now: float, address: bytes, end_code: int, spent_us: int, report: Report) -> None:
         """A probe has ended."""
         end = _ENDS.get(end_code, End.ERRORED)
-        self.balancer.probed(now, self._index_of(address), end, spent_us / 1e3, report)
+        self.balancer.probe_ended(now, self._index_of(address), end, spent_us / 1e3, report)
 
     def message_received(self, now: float, message: bytes) -> None:
         """A message of another balancer."""
-        self.balancer.heard(now, message)
+        self.balancer.receive_hint(now, message)
 
     def list_updated(self, now: float, kind: int, entries: ListEntries) -> None:
         """The whole list, changes of it, or a failed call or watch."""
         if kind == _LIST_CALL_FAILED:
-            self.balancer.told_nothing(now)
+            self.balancer.list_call_failed(now)
             return
         listed = [
             ListedUpstream(
@@ -159,9 +159,9 @@
             for _, state, _, zone, cell, started_at, address in entries
         ]
         if kind == _LIST_CHANGES:
-            self.balancer.told_changes(now, listed)
+            self.balancer.apply_list_changes(now, listed)
         else:
-            self.balancer.told_all(now, listed)
+            self.balancer.apply_list(now, listed)
 
     # actions of the decisions: methods of `host.Host`
 
--- a/ospreyline/host.py
+++ b/ospreyline/host.py
@@ -126,7 +126,7 @@
         """Set a timer: call `call` with the time, at `at` or soon after it."""
 
     def send_probe(self, upstream: int) -> None:
-        """Send a probe to an upstream; its result goes to `Balancer.probed`."""
+        """Send a probe to an upstream; its result goes to `Balancer.probe_ended`."""
 
     def close_idle_connections(self, upstream: int) -> None:
         """Close the idle connections to an upstream: its next fetch opens a new one."""
--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -107,21 +107,23 @@
             self.host.watch_list(True)
             self.host.call_at(now + 0.4 * self.terms.must_ask_in, self._ask)
 
-    def told_all(self, now: float, lines: list[ListedUpstream]) -> None:
+    def apply_list(self, now: float, lines: list[ListedUpstream]) -> None:
         self.listed.clear()
         self._take_in(lines)
 
-    def told_changes(self, now: float, lines: list[ListedUpstream]) -> None:
+    def apply_list_changes(self, now: float, lines: list[ListedUpstream]) -> None:
         self._watching = True
         self._ask_wait = 500.0
         self._take_in(lines)
 
-    def told_nothing(self, now: float) -> None:
+    def list_call_failed(self, now: float) -> None:
         self._watching = False
         self.host.call_at(now + self._ask_wait * (0.5 + self.random()), self._ask)
         self._ask_wait = min(2 * self._ask_wait, 4_000.0)
 
-    def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
+    def probe_ended(
+        self, now: float, upstream: int, end: End, spent_ms: float, report: tuple[float, ...]
+    ) -> None:
         pass
 
     def _take_in(self, lines: list[ListedUpstream]) -> None:
@@ -131,7 +133,7 @@
 
     # visits
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Held:
+    def accept_visit(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Held:
         visit = Held(self, tag, self.terms.prefixes[prefix], now, ttl)
         self.again(visit, now)
         return visit
--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -32,12 +32,12 @@
 class Policy(Protocol):
     """What an arm answers to: the calls of `decide.Balancer`."""
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
-    def told_all(self, now: float, lines: list[ListedUpstream]) -> None: ...
-    def told_changes(self, now: float, lines: list[ListedUpstream]) -> None: ...
-    def told_nothing(self, now: float) -> None: ...
-    def probed(
-        self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]
+    def accept_visit(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
+    def apply_list(self, now: float, lines: list[ListedUpstream]) -> None: ...
+    def apply_list_changes(self, now: float, lines: list[ListedUpstream]) -> None: ...
+    def list_call_failed(self, now: float) -> None: ...
+    def probe_ended(
+        self, now: float, upstream: int, end: End, spent_ms: float, report: tuple[float, ...]
     ) -> None: ...
 
 
@@ -254,7 +254,7 @@
         terms = around.terms(zone, number)
         self.policy = around.make(self, terms, seed, now)
         self._list(known)
-        self.policy.told_all(now, [self._line(line) for line in known])
+        self.policy.apply_list(now, [self._line(line) for line in known])
         if around.scenario.registry.mode == "push":
             around.registry.subscribe(self)
         self.world.after(around.keep_idle / 4 * (1 + number * 0.618 % 1), self._round)
@@ -276,7 +276,9 @@
 
     def _take(self, ask: Ask) -> None:
         now = self.world.now
-        ask.handle = self.policy.take(now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat)
+        ask.handle = self.policy.accept_visit(
+            now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat
+        )
         if ask.gone:
             ask.handle.client_left(now)
         self._tidy(ask)
@@ -380,7 +382,7 @@
 
     def _probed(self, server: Server, end: End, spent: float, report: tuple[float, ...]) -> None:
         if self.living:
-            self.policy.probed(self.world.now, server.index, end, spent, report)
+            self.policy.probe_ended(self.world.now, server.index, end, spent, report)
 
     def close_idle_connections(self, upstream: int) -> None:
         for _, incarnation in self.idle.pop(upstream, []):
@@ -409,12 +411,12 @@
         self._list(lines, whole)
         listed = [self._line(line) for line in lines]
         if whole:
-            self.policy.told_all(self.world.now, listed)
+            self.policy.apply_list(self.world.now, listed)
         else:
-            self.policy.told_changes(self.world.now, listed)
+            self.policy.apply_list_changes(self.world.now, listed)
 
     def told_nothing(self) -> None:
-        self.policy.told_nothing(self.world.now)
+        self.policy.list_call_failed(self.world.now)
 
     def _line(self, line: Line) -> ListedUpstream:
         server = line.server
--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -112,7 +112,7 @@
             tip_after=WINDOW,
         )
         balancer = Balancer(_Host(), terms, self._seed * 100_003 + i, now)
-        balancer.told_all(now, self._lines)
+        balancer.apply_list(now, self._lines)
         if self._without == "half":
             balancer._fraction_granted = 1.0
         elif self._without == "chance":
@@ -169,7 +169,7 @@
                 )
             for i, balancer in enumerate(self.bank):
                 if started and before < self.told_at[i] <= now:
-                    balancer.told_changes(now, [self._lines[cold]])
+                    balancer.apply_list_changes(now, [self._lines[cold]])
                 if (now + self._second[i]) % 1_000 < STEP and now > balancer._rates_updated_at:
                     self._second_over(balancer, now)
             if now % 500 < STEP:
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -33,7 +33,7 @@
         if bank.paced:
             self.pace = CallPacer(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
         self.decisions = Balancer(self, terms, seed, self.world.now)
-        self.decisions.told_all(self.world.now, [])
+        self.decisions.apply_list(self.world.now, [])
         if self.pace is not None:
             self.pace.start(self.world.now)
             self._plan()
@@ -66,13 +66,13 @@
         if self.pace is not None:
             self.pace.call_failed(self.world.now)
             self._plan()
-        self.decisions.told_nothing(self.world.now)
+        self.decisions.list_call_failed(self.world.now)
 
     def _told(self) -> None:
         if self.pace is not None:
             self.pace.call_answered()
         self.listed_at = min(self.listed_at, self.world.now)
-        self.decisions.told_changes(self.world.now, LIST)
+        self.decisions.apply_list_changes(self.world.now, LIST)
 
     def call_at(self, at: float, call: Callable[[float], None]) -> None:
         if at <= self.bank.until:
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -191,7 +191,7 @@
         self.balancer = Balancer(self, config.deployment, config.seed, now)
         self.balancer.lease.start(now)
         self.upstreams.sends_blocked = self._sends_blocked
-        self.balancer.told_all(now, self._list_entries(known) if known else [])
+        self.balancer.apply_list(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
             self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.targets])
         if self._pace is not None:
@@ -218,7 +218,9 @@
                 self._pace.apply_settings(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
-            self.note(self.balancer.told_nothing)  # the decisions schedule list calls themselves from now on
+            self.note(
+                self.balancer.list_call_failed
+            )  # the decisions schedule list calls themselves from now on
         if lists.keep and self._list_cache is None:
             from ospreyline.fleet.kept import Keeping
 
@@ -274,14 +276,14 @@
         self.upstreams.apply_config(config.connect_timeout_ms, config.upstream_keepalive_ms)
         if self._operator is not None:
             self._enable_features(self._operator)  # the number of balancers affects the pace of list calls
-        self.balancer.set_terms(now, config.deployment)
+        self.balancer.apply_settings(now, config.deployment)
         self._configure_discovery()
         # Passed on as a first list, so that it renews no subscription and leaves cold and draining upstreams
         # in their state.
         entries = [
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
-        self.balancer.told_changes(now, entries, first=True, own=False)
+        self.balancer.apply_list_changes(now, entries, is_first_list=True, from_own_watch=False)
         if not config.deployment.ask_for_list and not self.discovery.watching and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
@@ -306,7 +308,7 @@
         # Restart the wait between calls. Otherwise a wait that was running for the old address would cause
         # another call at once; and if this call received no data, the next one would start only after it was
         # given up.
-        self.balancer.asked(clock())
+        self.balancer.list_service_moved(clock())
         if self._pace is not None:
             self._pace.call_started(clock(), new_service=True)
             self._schedule_list_call()
@@ -492,7 +494,7 @@
         request = taken.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         taken.errands = [None] * len(before)
-        taken.handle = self.balancer.take(now, taken.tag, prefix, time_left, request.repeat, before)
+        taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
         if self.covering is not None and len(taken.errands) == len(before):
             self.covering.decided(now, taken)
         self._discard_if_settled(taken)
@@ -678,7 +680,7 @@
             report = parse_load_report(outcome.report or outcome.body, self._report_fields)
         end = classify_end(outcome)
         self.counts["probes"] += 1
-        self.balancer.probed(now, upstream, end, now - sent, report)
+        self.balancer.probe_ended(now, upstream, end, now - sent, report)
 
     # -- the upstream list --------------------------------------------------------------------------------
 
@@ -725,7 +727,7 @@
                 self._pace.update_lost(now)
                 self._schedule_list_call()
         elif self._config.deployment.ask_for_list:
-            self.balancer.ask_again(now)
+            self.balancer.schedule_list_call(now)
         elif not self.discovery.waiting:
             self.discovery.watch(True)
 
@@ -744,7 +746,7 @@
             self.call_at(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
             self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
-        self.balancer.told_nothing(now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(now, failure.lost, failure.turned_away)
 
     def _reopen_watch(self, now: float) -> None:
         if not self._config.deployment.ask_for_list and not self.discovery.watching:
@@ -758,7 +760,7 @@
 
     def _on_bank_message(self, now: float, body: bytes) -> None:
         if self._config.deployment.may_tell:
-            self.balancer.heard(now, body)
+            self.balancer.receive_hint(now, body)
 
     def _on_list_from_balancer(self, now: float, forwarded: Any) -> None:
         """Apply a newer upstream list that another balancer received and forwarded."""
@@ -776,9 +778,9 @@
         self.discovery.took(update.rev)
         entries = self._list_entries(update)
         if update.whole:
-            self.balancer.told_all(now, entries, own=False)
+            self.balancer.apply_list(now, entries, from_own_watch=False)
         else:
-            self.balancer.told_changes(now, entries, own=False)
+            self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
             self._list_cache.told(changed=True)
 
@@ -800,9 +802,9 @@
             )
         entries = self._list_entries(update)
         if update.whole:
-            self.balancer.told_all(now, entries, from_watch)
+            self.balancer.apply_list(now, entries, from_watch)
         else:
-            self.balancer.told_changes(now, entries, own=from_watch)
+            self.balancer.apply_list_changes(now, entries, from_own_watch=from_watch)
 
     def _list_entries(self, update: News) -> list[ListedUpstream]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
@@ -884,7 +886,7 @@
                 or len(self._index_by_uid) == 1
             ):
                 return
-            self.balancer.forget(upstream)
+            self.balancer.remove_upstream(upstream)
             del self._gone_since[uid], self._index_by_uid[uid]
             del self._readiness[uid], self._target_by_uid[uid]
             del self.upstreams.pools[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -544,7 +544,7 @@
     balancer = Balancer(_Nobody(), terms, 7, 100_000.0)
     lines = [ListedUpstream(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
     begun = process_time()
-    balancer.told_all(100_000.0, lines)
+    balancer.apply_list(100_000.0, lines)
     told = 1e3 * (process_time() - begun)
     gc.collect()
     gc.freeze()  # as `serve` does after its start
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -51,7 +51,7 @@
         self.wakes: list[tuple[float, Callable[[float], None]]] = []
         self.tags = 0
         self.balancer = Balancer(self, replace(PLAIN, **terms), seed, start)  # type: ignore[arg-type]
-        self.balancer.told_all(self.now, lines)
+        self.balancer.apply_list(self.now, lines)
 
     def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         self.sends.append((tag, upstream, timeout_ms, self.now))
@@ -98,7 +98,7 @@
 
     def take(self, lane: int = 0, ttl: float = 2_500.0) -> Visit:
         self.tags += 1
-        return self.balancer.take(self.now, self.tags, lane, ttl, False)
+        return self.balancer.accept_visit(self.now, self.tags, lane, ttl, False)
 
     def end(self, visit: Visit, end: End, spent: float = 50.0) -> None:
         """End the visit's latest fetch, `spent` ms from now."""
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -95,16 +95,16 @@
     # clocks differ a little, and a list that is received again names the same start
     host = cold_host()
     line = listed(0, came_up=host.now + 1_500)
-    host.balancer.told_changes(host.now, [line])
+    host.balancer.apply_list_changes(host.now, [line])
     sent = 0
     for _ in range(15):
         sent += send_many(host)
         host.pass_time(100)
         set_budget(host)
         if told == "whole":
-            host.balancer.told_all(host.now, [line])
+            host.balancer.apply_list(host.now, [line])
         else:
-            host.balancer.told_changes(host.now, [line])
+            host.balancer.apply_list_changes(host.now, [line])
     assert host.balancer._upstreams[0].started_at == 100_000.0
     assert 4 <= sent <= 5 and most_in_a_window(host) == sent
 
@@ -116,10 +116,10 @@
     was = listed(0, came_up=99_000.0, readiness=away)
     sent = send_many(host)
     for _ in range(4):
-        host.balancer.told_changes(host.now, [was])
+        host.balancer.apply_list_changes(host.now, [was])
         host.pass_time(100)
         set_budget(host)
-        host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0 + newer)])
+        host.balancer.apply_list_changes(host.now, [listed(0, came_up=99_000.0 + newer)])
         sent += send_many(host)
     assert 4 <= sent <= 5 and most_in_a_window(host) == sent
 
@@ -128,9 +128,9 @@
 def test_one_that_is_back_is_as_old_as_the_list_says(came_up, cold):
     # the list has each start of a process; 0 means long ago, whatever happened to the machine
     host = FakeHost([listed(0, came_up=came_up)], **TERMS)
-    host.balancer.told_changes(host.now, [listed(0, came_up=came_up, readiness=Readiness.GONE)])
+    host.balancer.apply_list_changes(host.now, [listed(0, came_up=came_up, readiness=Readiness.GONE)])
     host.pass_time(500)
-    host.balancer.told_changes(host.now, [listed(0, came_up=came_up)])
+    host.balancer.apply_list_changes(host.now, [listed(0, came_up=came_up)])
     set_budget(host)
     assert send_many(host) in ((4, 5) if cold else (30,))
 
@@ -138,10 +138,10 @@
 def test_one_that_was_forgotten_and_is_named_again_is_as_old_as_the_list_says():
     host = cold_host(2)
     send_many(host)
-    host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0, readiness=Readiness.GONE)])
+    host.balancer.apply_list_changes(host.now, [listed(0, came_up=99_000.0, readiness=Readiness.GONE)])
     host.pass_time(50_000)
-    host.balancer.forget(0)
-    host.balancer.told_changes(host.now, [listed(0, came_up=99_000.0)])
+    host.balancer.remove_upstream(0)
+    host.balancer.apply_list_changes(host.now, [listed(0, came_up=99_000.0)])
     u = host.balancer._upstreams[0]
     assert u.started_at == 99_000.0 and host.balancer._warmth(u, host.now) == pytest.approx(
         0.5 + 0.5 * 51 / 60
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -145,11 +145,11 @@
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 30.0
     terms = replace(host.balancer._settings, report_fields=("util",))
-    host.balancer.set_terms(host.now, terms)
+    host.balancer.apply_settings(host.now, terms)
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 0.0
     host.balancer._record_load(u, host.now, (0.5,))
-    host.balancer.set_terms(host.now, terms)  # applying the same settings again changes nothing
+    host.balancer.apply_settings(host.now, terms)  # applying the same settings again changes nothing
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 0.5
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -148,7 +148,7 @@
         visit.out += 1
         self.out.setdefault(self.ready[0].upstream, 0)
         self.out[self.ready[0].upstream] += 1
-        self.host.send(visit.tag, self.ready[0].upstream, 100.0)
+        self.host.start_fetch(visit.tag, self.ready[0].upstream, 100.0)
 """,
     "twice": """
     def _may(self, visit, line, ran, now):
@@ -161,8 +161,8 @@
 """,
     "cold": """
     def pick(self, visit, allowed, now):
-        newest = max(allowed, key=lambda line: line.came_up)
-        return newest if newest.came_up else super().pick(visit, allowed, now)
+        newest = max(allowed, key=lambda line: line.started_at)
+        return newest if newest.started_at else super().pick(visit, allowed, now)
 """,
 }
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -168,7 +168,7 @@
     host = FakeHost([listed(0)], ask_for_list=True, balancers=200)
     host.pass_time(5_000.0)
     began = len(host.watches)
-    host.balancer.told_nothing(host.now, lost=True)
+    host.balancer.list_call_failed(host.now, possibly_lost=True)
     host.pass_time(151.0)
     assert len(host.watches) == began + 1
 
@@ -245,7 +245,7 @@
     began = host.now
     while host.now < began + 10_000.0:
         calls = len(host.watches)
-        host.balancer.told_nothing(host.now, lost=True)
+        host.balancer.list_call_failed(host.now, possibly_lost=True)
         while len(host.watches) == calls:
             host.pass_time(1.0)
     gaps = [later - earlier for earlier, later in pairwise(host.watches)]
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -148,7 +148,7 @@
 
 def written_late(peer, errand):
     found = look(peer, errand)
-    if found and turn.clock() > turns[0].balancer.lease.expires - 30.0:
+    if found and turn.clock() > turns[0].balancer.lease.expires_at - 30.0:
         time.sleep(STALL_S)
     return found
 
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -96,7 +96,7 @@
     hold_up()
 
 if place == "the decision":
-    before(decide.Balancer, "take")
+    before(decide.Balancer, "accept_visit")
 elif place == "the write":
     before(turn.Turn, "write")
 else:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -218,12 +218,12 @@
     # what is missed counts as received 6 s after the silence began; a queued call waits for 1 s here
     for seed in range(200):
         host = FakeHost([listed(0)], ask_for_list=True, seed=seed)
-        host.balancer.told_changes(host.now, [])
+        host.balancer.apply_list_changes(host.now, [])
         silent = host.now
         host.pass_time(1e3 * (list_call.SILENCE_TIMEOUT_S + service_module.MAINTENANCE_INTERVAL_S))
         for _ in range(2):
             host.watches.clear()
-            host.balancer.told_nothing(host.now)
+            host.balancer.list_call_failed(host.now)
             while not host.watches:
                 host.pass_time(10.0)
             called = host.now - silent
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -134,7 +134,7 @@
             balancer, cold = host.balancer, host.balancer._upstreams[0]
             balancer._localities[0].capacity = 0.2  # of 20 visits a second that the 100 send to a warm one
             if not window:
-                host.balancer.told_changes(host.now, [listed(0, came_up=host.now)])
+                host.balancer.apply_list_changes(host.now, [listed(0, came_up=host.now)])
             visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
             sends += balancer._send(visit, cold, host.now)
             host.pass_time(2_000)
@@ -149,7 +149,7 @@
     for _ in range(100):
         host.pass_time(300)
         host.serve(1)
-    host.balancer.told_changes(host.now, [listed(0, came_up=host.now - 8_000)])
+    host.balancer.apply_list_changes(host.now, [listed(0, came_up=host.now - 8_000)])
     host.balancer._localities[0].latency = 2_000.0
     for u in host.balancer._upstreams.values():
         if u.id:
@@ -190,7 +190,7 @@
         sends.append(0)
         for host in hosts:
             balancer, cold = host.balancer, host.balancer._upstreams[0]
-            host.balancer.told_changes(host.now, [listed(0, came_up=host.now - 3_000)])
+            host.balancer.apply_list_changes(host.now, [listed(0, came_up=host.now - 3_000)])
             balancer._localities[0].capacity = 1.0
             visit = Visit(balancer, 1, balancer._request_classes[0], host.now, 2_500.0, False)
             sends[-1] += balancer._send(visit, cold, host.now)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -108,10 +108,10 @@
 def test_nothing_goes_to_one_that_drains(how):
     host = FakeHost([listed(0), listed(1)])
     if how == "missing":
-        host.balancer.told_all(host.now, [listed(1)])
+        host.balancer.apply_list(host.now, [listed(1)])
     else:
         state = Readiness.DRAINING if how == "draining" else Readiness.GONE
-        host.balancer.told_changes(host.now, [listed(0, readiness=state)])
+        host.balancer.apply_list_changes(host.now, [listed(0, readiness=state)])
     assert set(host.serve(30)) == {1}
 
 
@@ -120,7 +120,7 @@
     for _ in range(400):
         host.pass_time(100)
         if host.watches and host.watches[-1] > host.now - 100:
-            host.balancer.told_nothing(host.now)
+            host.balancer.list_call_failed(host.now)
     waits = [b - a for a, b in zip(host.watches, host.watches[1:], strict=False)]
     assert host.watches[0] < 100_600 and waits[0] < 1_000
     assert 1_000 < max(waits) < 10_000  # never as long as until an update counts as received
@@ -131,7 +131,7 @@
     host = FakeHost([listed(i) for i in range(3)], cold_from=0.1, overload_factor=4.0)
     host.serve(400)
     back = 0
-    host.balancer.told_changes(host.now, [listed(back, came_up=host.now)])
+    host.balancer.apply_list_changes(host.now, [listed(back, came_up=host.now)])
     start = host.now
     host.serve(400, lambda u: end if u == back else End.DELIVERED)
     capacity = host.balancer._localities[0].capacity  # of now; the estimate may have grown since the sends
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -68,7 +68,7 @@
 def test_one_changed_upstream_costs_a_ranking_of_all(size, touched):
     host = FakeHost([listed(i, i % 3) for i in range(size)])
     touched.update(ranked=0, placed=0)
-    host.balancer.told_changes(host.now, [listed(1, 1, readiness=Readiness.DRAINING)])
+    host.balancer.apply_list_changes(host.now, [listed(1, 1, readiness=Readiness.DRAINING)])
     assert (touched["ranked"], touched["placed"]) == (size - 1, 1)
 
 
@@ -76,7 +76,7 @@
 def test_new_settings_place_every_upstream_anew(size, touched):
     host = FakeHost([listed(i, i % 3) for i in range(size)])
     touched.update(ranked=0, placed=0)
-    host.balancer.set_terms(host.now, replace(PLAIN, cross_fee=0.5))
+    host.balancer.apply_settings(host.now, replace(PLAIN, cross_fee=0.5))
     assert touched["placed"] == size
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -227,7 +227,7 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("call", ["take", "_fetch_ended"])
+@pytest.mark.parametrize("call", ["accept_visit", "_fetch_ended"])
 def test_a_fault_in_the_decisions_costs_one_visit_and_that_is_answered(call, monkeypatch):
     async def scenario():
         peers = Peer(ok(b"", b"", b"500 Internal Server Error"), ok()), Peer()
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -140,12 +140,12 @@
 @pytest.mark.parametrize("enough", [True, False])
 def test_others_hints_count_when_as_many_agree(enough):
     host = warm()
-    host.balancer.set_terms(
+    host.balancer.apply_settings(
         host.now, replace(host.balancer._settings, may_tell=True, balancers=3 * BALANCERS_PER_HINT)
     )
     for _ in range(5 if enough else 4):
-        host.balancer.heard(host.now, IDLE_TIMEOUT_HINT.pack(1_500))
-    host.balancer.heard(host.now, b"odd")
+        host.balancer.receive_hint(host.now, IDLE_TIMEOUT_HINT.pack(1_500))
+    host.balancer.receive_hint(host.now, b"odd")
     assert replaces_idle(host, 2_000) is enough and not replaces_idle(host, 500)
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -253,8 +253,8 @@
 def apply_settings(host: FakeHost, lines: list, **terms: object) -> None:
     from dataclasses import replace
 
-    host.balancer.set_terms(host.now, replace(host.balancer._settings, **terms))
-    host.balancer.told_changes(host.now, lines, first=True)
+    host.balancer.apply_settings(host.now, replace(host.balancer._settings, **terms))
+    host.balancer.apply_list_changes(host.now, lines, is_first_list=True)
 
 
 @pytest.mark.parametrize("factor", [3.9, 0.0])
@@ -263,7 +263,7 @@
     host = FakeHost(lines, cold_from=0.5, overload_factor=4.0, warm_within=60_000.0)
     host.serve(400)
     lines[0] = listed(0, came_up=host.now)
-    host.balancer.told_changes(host.now, lines[:1])
+    host.balancer.apply_list_changes(host.now, lines[:1])
     cold = host.balancer._upstreams[0]
     while not cold.cold_sends:
         host.serve(1)
@@ -337,13 +337,13 @@
     terms = (prefix(Kind.TAGGED, DedupScope.ZONE),)
     host = FakeHost(lines, prefixes=terms, zones=2, zone_names=("a", "b"))
     visit = host.take()
-    host.balancer.set_terms(
+    host.balancer.apply_settings(
         host.now,
         host.balancer._settings.__class__(
             zone=0, zones=1, balancers=3, number=0, prefixes=terms, zone_names=("c",), ask_for_list=False
         ),
     )
-    host.balancer.told_changes(host.now, [listed(i) for i in range(4)], first=True)
+    host.balancer.apply_list_changes(host.now, [listed(i) for i in range(4)], is_first_list=True)
     host.end(visit, End.RESET)
     assert len(visit.fetches) == 1 and visit.tag in host.failed
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -131,7 +131,7 @@
         own = self.discovery.told_by_watch
         if self.pace is not None and own:
             self.pace.call_answered()
-        self.balancer.told_changes(self.now, [], own=own)
+        self.balancer.apply_list_changes(self.now, [], from_own_watch=own)
         if self.now > self.reachable_at and own and news.targets:  # and the watch is open
             self.told_at = min(self.told_at, self.now)
 
@@ -139,11 +139,11 @@
         if self.pace is not None:
             self.pace.call_failed(self.now, failure.retry_after)
             self._plan()
-        self.balancer.told_nothing(self.now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(self.now, failure.lost, failure.turned_away)
 
     def _move(self, now: float) -> None:
         self.discovery.move(("", 1))
-        self.balancer.asked(now)
+        self.balancer.list_service_moved(now)
         if self.pace is not None:
             self.pace.call_started(now, new_service=True)
             self._plan()
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -51,7 +51,7 @@
             if coming < end and coming <= due[0]:
                 host.pass_time(max(0.0, coming - host.now))
                 host.tags += 1
-                self.visits[host.tags] = host.balancer.take(host.now, host.tags, 0, 2_500.0, False)
+                self.visits[host.tags] = host.balancer.accept_visit(host.now, host.tags, 0, 2_500.0, False)
                 coming += self.step
             else:
                 host.pass_time(max(0.0, due[0] - host.now))
@@ -111,7 +111,7 @@
         def tell(host=host, told=told):
             if host.watches and not told:
                 told.append(host.now)
-                host.balancer.told_all(host.now, [listed(100 + i, zone=i % 3) for i in range(30)])
+                host.balancer.apply_list(host.now, [listed(100 + i, zone=i % 3) for i in range(30)])
 
         day = Day(host, per_s, lambda upstream: upstream >= 100).play(8, tell)
         assert host.watches[0] - began <= min(3_000.0, 500.0 + 10 * balancers) + TICK_MS
