--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -1,7 +1,7 @@
 """Model checker of the list lease: until when a balancer sends to servers of a possibly stale upstream list.
 
-Explores the production code: `lease.py`, `net/list_call.py`, `net/discovery.py`, and `asking.py`, which
-decides when the next call starts. `list_world` simulates the list service and the connections. One server
+Explores the production code: `lease.py`, `net/list_call.py`, `net/discovery.py`, and `call_schedule.py`,
+which decides when the next call starts. `list_world` simulates the list service and the connections. One server
 begins to drain at any of the points that matter. The balancer counts as notified at the first of: the drain
 is written on any of its calls; 6 s after a call fell silent, if the drain was written on it; 6 s after the
 drain began, if the service can be reached. A path is one combination of all choices; all paths are explored
@@ -204,7 +204,7 @@
     if notified_at == inf or not world.process.u0_active:
         return ""
     at = max(world.now, notified_at + GRACE_MS - STALL_MS + 1.0)
-    if at >= world.next_at() or world.process.lease.withholds(at):
+    if at >= world.next_at() or world.process.lease.blocks_sends(at):
         return ""
     world.now = at
     world.record(
@@ -220,7 +220,7 @@
     """The violation, if sends are blocked though the service has long answered every call; else empty."""
     if world.later_outcome is None or world.later_outcome.kind != "answered":
         return ""
-    why = world.process.lease.why(world.now)
+    why = world.process.lease.block_reason(world.now)
     if why is None:
         return ""
     world.record("requests are withheld still")
@@ -237,7 +237,7 @@
     """Runs the world until the first watch is answered, without choices."""
     calls_left, world.calls_left = world.calls_left, 0
     world.later_outcome = STAYS_OPEN
-    world.process.asking.due = world.now
+    world.process.call_schedule.next_call_at = world.now
     while not world.process.lists.told_by_watch:
         world.step()
     world.calls_left, world.later_outcome = calls_left, None
@@ -255,7 +255,7 @@
     if world.choose((False, True)):
         world.drain_began_at = world.now - NOTIFIED_AFTER_MS - 1_000.0
         world.record("u0 has drained for 7 s")
-    world.process.asking.begin(world.now, True)
+    world.process.call_schedule.begin(world.now, True)
 
 
 def _begin_moved(world: World) -> None:
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -1,6 +1,6 @@
 """A simulated list service, one balancer and the connections between them, without sockets.
 
-The balancer is the real `Discovery` with its real calls, `ListLease` and `Asking`, driven by bytes on a
+The balancer is the real `Discovery` with its real calls, `ListLease` and `CallSchedule`, driven by bytes on a
 simulated clock (ms). The service knows what it has written. Each event with more than one possible outcome is
 passed to `choose`; `list_lease` explores all choices. One server, u0, begins to drain at a chosen point.
 """
@@ -17,7 +17,7 @@
 from math import inf
 from typing import Any, Protocol, TypeVar, cast
 
-from ospreyline.asking import Asking
+from ospreyline.call_schedule import CallSchedule
 from ospreyline.lease import LeaseMessage, ListLease, UpdateRead
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.list_call import ListCall
@@ -242,10 +242,10 @@
         self.world = world
         self.u0_active = True  # state of u0 in its list
         self.lease = ListLease()
-        self.lease.fit(GRACE_MS, MUST_ASK_IN_MS, False)
-        self.lease.begin(world.now)
-        self.asking = Asking(0.5)
-        self.asking.fit(BALANCER_COUNT, MUST_ASK_IN_MS)
+        self.lease.configure(GRACE_MS, MUST_ASK_IN_MS, False)
+        self.lease.start(world.now)
+        self.call_schedule = CallSchedule(0.5)
+        self.call_schedule.configure(BALANCER_COUNT, MUST_ASK_IN_MS)
         self._events: list[Callable[[], None]] = []
         self.lists = Discovery(
             cast(asyncio.AbstractEventLoop, _FakeLoop(world)),
@@ -256,7 +256,7 @@
             tell_failed=lambda failure: self._events.append(lambda: self._on_failure(failure)),
             tell_lease=lambda message: self._events.append(lambda: self._on_lease_message(message)),
         )
-        self.lists.again, self.lists.patient = self.asking.period / 1e3, True
+        self.lists.again, self.lists.patient = self.call_schedule.period / 1e3, True
 
     def run_pending(self) -> None:
         """Handles all enqueued events, and starts a list call that is due."""
@@ -264,27 +264,31 @@
             pending, self._events = self._events, []
             for call in pending:
                 call()
-        if self.world.now >= self.asking.due:
-            self.asking.called(self.world.now)
+        if self.world.now >= self.call_schedule.next_call_at:
+            self.call_schedule.call_started(self.world.now)
             self.lists.watch(True)
             self.run_pending()
 
     def _on_update(self, news: News) -> None:
         if self.lists.told_by_watch:
-            self.asking.told()
+            self.call_schedule.call_answered()
         state = next((target.state for target, _ in news.targets if target.uid == "u0"), "")
         if state or news.whole:
             self.u0_active = state == "active"
 
     def _on_failure(self, failure: CallFailure) -> None:
-        self.asking.failed(self.world.now, failure.turned_away)
+        self.call_schedule.call_failed(self.world.now, failure.turned_away)
         if failure.lost:
-            self.asking.lost(self.world.now)
+            self.call_schedule.update_lost(self.world.now)
 
     def _on_lease_message(self, message: LeaseMessage) -> None:
-        self.lease.take(self.world.now, message)
-        if isinstance(message, UpdateRead) and self.lease.lost and self.asking.due == inf:
-            self.asking.lost(self.world.now)
+        self.lease.apply(self.world.now, message)
+        if (
+            isinstance(message, UpdateRead)
+            and self.lease.has_lost_update
+            and self.call_schedule.next_call_at == inf
+        ):
+            self.call_schedule.update_lost(self.world.now)
 
 
 class World:
@@ -326,7 +330,7 @@
         heapq.heappush(self._events, (time, self._serial, action))
 
     def next_at(self) -> float:
-        return max(self.now, min(self._events[0][0], self.process.asking.due))
+        return max(self.now, min(self._events[0][0], self.process.call_schedule.next_call_at))
 
     def step(self) -> None:
         """Runs the next event, and the process's reaction to it."""
@@ -520,7 +524,7 @@
         self.offer_drain("before the balancer is led to another service")
         self.record("the balancer is led to another service")
         self.process.lists.move(SECOND_SERVICE)
-        self.process.asking.called(self.now, anew=True)
+        self.process.call_schedule.call_started(self.now, new_service=True)
         self.process.run_pending()
 
     def restart(self) -> None:
@@ -532,7 +536,7 @@
         # writes to the former process do not notify the new one; only `NOTIFIED_AFTER_MS` does
         self.notified_by_write = self.notified_before_last_write = inf
         self.process = Process(self)
-        self.process.asking.begin(self.now, True)
+        self.process.call_schedule.begin(self.now, True)
 
     def close(self) -> None:
         self.process.lists.close()
--- a/ospreyline/drill/frames.py
+++ b/ospreyline/drill/frames.py
@@ -11,9 +11,9 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.decide import Balancer
-from ospreyline.host import End, Listed, Readiness
+from ospreyline.host import End, ListedUpstream, Readiness
 from ospreyline.state import Visit
 
 _BATCH_HEADER = Struct("<IIIQ")
@@ -73,7 +73,7 @@
         self._indices: dict[bytes, int] = {}
         self._timers: dict[int, Callable[[float], None]] = {}
         self._last_timer = 0
-        self.balancer = Balancer(self, facts.read(settings), seed, now)
+        self.balancer = Balancer(self, config.parse_settings(settings), seed, now)
 
     def _index_of(self, address: bytes) -> int:
         """The index of an upstream's address; a new one if it is unknown."""
@@ -97,7 +97,7 @@
         marks: int,
     ) -> None:
         """A client's request."""
-        visit = self.balancer.take(now, visit_id, prefix, ttl / 1e3, bool(marks & _REPEAT_MARK))
+        visit = self.balancer.accept_visit(now, visit_id, prefix, ttl / 1e3, bool(marks & _REPEAT_MARK))
         if not visit.settled:
             self.visits[visit_id] = visit
 
@@ -114,14 +114,16 @@
     ) -> None:
         """A backend fetch has ended, with the `End` of this code."""
         if (visit := self.visits.get(visit_id)) is not None:
-            visit.ended(now, fetch, _ENDS.get(end_code, End.ERRORED), spent_us / 1e3, bool(final), report)
+            visit.fetch_ended(
+                now, fetch, _ENDS.get(end_code, End.ERRORED), spent_us / 1e3, bool(final), report
+            )
             if visit.settled:
                 del self.visits[visit_id]
 
     def client_left(self, now: float, visit_id: int) -> None:
         """The client of a visit has disconnected."""
         if (visit := self.visits.get(visit_id)) is not None:
-            visit.left(now)
+            visit.client_left(now)
             if visit.settled:
                 del self.visits[visit_id]
 
@@ -134,66 +136,66 @@
     def probe_ended(self, now: float, address: bytes, end_code: int, spent_us: int, report: Report) -> None:
         """A probe has ended."""
         end = _ENDS.get(end_code, End.ERRORED)
-        self.balancer.probed(now, self._index_of(address), end, spent_us / 1e3, report)
+        self.balancer.probe_ended(now, self._index_of(address), end, spent_us / 1e3, report)
 
     def message_received(self, now: float, message: bytes) -> None:
         """A message of another balancer."""
-        self.balancer.heard(now, message)
+        self.balancer.receive_hint(now, message)
 
     def list_updated(self, now: float, kind: int, entries: ListEntries) -> None:
         """The whole list, changes of it, or a failed call or watch."""
         if kind == _LIST_CALL_FAILED:
-            self.balancer.told_nothing(now)
+            self.balancer.list_call_failed(now)
             return
         listed = [
-            Listed(
+            ListedUpstream(
                 upstream=self._index_of(address),
-                mark=int.from_bytes(address, "big"),
+                hash_key=int.from_bytes(address, "big"),
                 zone=zone,
                 cell=cell,
                 readiness=_READINESS.get(state, Readiness.DRAINING),
-                came_up=came_up / 1e3,
+                started_at=started_at / 1e3,
             )
-            for _, state, _, zone, cell, came_up, address in entries
+            for _, state, _, zone, cell, started_at, address in entries
         ]
         if kind == _LIST_CHANGES:
-            self.balancer.told_changes(now, listed)
+            self.balancer.apply_list_changes(now, listed)
         else:
-            self.balancer.told_all(now, listed)
+            self.balancer.apply_list(now, listed)
 
     # actions of the decisions: methods of `host.Host`
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
-        time_out_us = max(1, min(int(time_out * 1e3), _U32_MAX))
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
+        time_out_us = max(1, min(int(timeout_ms * 1e3), _U32_MAX))
         self._append(_SEND.pack(1, tag, self._addresses[upstream], time_out_us))
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         self._append(_CANCEL.pack(4, tag, fetch))
 
     def bounce(self, tag: int, retry_after: float) -> None:
         self._append(_BOUNCE.pack(2, tag, min(int(retry_after * 1e3), _U32_MAX)))
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self._append(_FAIL.pack(3, tag))
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self._last_timer = self._last_timer + 1 & _U32_MAX
         self._timers[self._last_timer] = call
         self._append(_TIMER.pack(5, int(at * 1e3), self._last_timer))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self._append(_UPSTREAM_ACTION.pack(6, self._addresses[upstream]))
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self._append(_UPSTREAM_ACTION.pack(7, self._addresses[upstream]))
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         self._append(_MESSAGE_OUT.pack(8, _ALL_BALANCERS, len(message)) + message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self._append(_WATCH.pack(11, on))
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self._append(_CODE.pack(12))
 
     def log(self, text: str) -> None:
@@ -303,7 +305,7 @@
             raise FrameError("the settings are longer than their batch")
         try:
             self._instances[instance_id] = Instance(seed, body[start : start + size], now)
-        except facts.FactError as error:
+        except config.ConfigError as error:
             raise FrameError(f"instance {instance_id}: unusable settings: {error}") from error
         return start + size
 
--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -18,7 +18,17 @@
 from typing import Any
 
 from ospreyline import decide
-from ospreyline.host import NEVER_RAN, Deployment, End, Host, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import (
+    NEVER_RAN,
+    DedupScope,
+    Deployment,
+    End,
+    Host,
+    Kind,
+    ListedUpstream,
+    PathPrefix,
+    Readiness,
+)
 from ospreyline.lab.bank import Balancer, Maker, Policy
 from ospreyline.lab.servers import Server
 from ospreyline.lab.words import ScenarioError
@@ -46,7 +56,7 @@
         self.prefix = prefix
         self.expires = now + ttl
         self.target_at = now + min(ttl, prefix.target_latency)
-        self.upstreams: list[Listed] = []
+        self.upstreams: list[ListedUpstream] = []
         self.ends: list[End | None] = []
         self.sent_at: list[float] = []
         self.in_flight = 0
@@ -56,7 +66,7 @@
     def settled(self) -> bool:
         return self.done and not self.in_flight
 
-    def ended(
+    def fetch_ended(
         self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
     ) -> None:
         if self.ends[number] is None:
@@ -68,11 +78,11 @@
         elif not self.done and not self.in_flight:
             self._policy.send_or_answer(self, now)
 
-    def left(self, now: float) -> None:
+    def client_left(self, now: float) -> None:
         self.done = True
         for number, end in enumerate(self.ends):
             if end is None:
-                self._policy.host.cancel(self.tag, number)
+                self._policy.host.cancel_fetch(self.tag, number)
 
 
 class BaselinePolicy:
@@ -82,47 +92,49 @@
         self.host = host
         self.settings = settings
         self.random = Random(seed).random
-        self.listed: dict[int, Listed] = {}
-        self.ready: list[Listed] = []
+        self.listed: dict[int, ListedUpstream] = {}
+        self.ready: list[ListedUpstream] = []
         self.in_flight: dict[int, int] = {}
         self._watch_established = not settings.ask_for_list
         self._watch_backoff = 500.0
         if settings.ask_for_list:
-            host.wake(now + self.random() * (500.0 + 10 * settings.balancers), self._start_watch)
+            host.call_at(now + self.random() * (500.0 + 10 * settings.balancers), self._start_watch)
 
     # the upstream list
 
     def _start_watch(self, now: float) -> None:
         """Starts a watch of the list unless one is established; retries until it is."""
         if not self._watch_established:
-            self.host.watch(True)
-            self.host.wake(now + 0.4 * self.settings.must_ask_in, self._start_watch)
+            self.host.watch_list(True)
+            self.host.call_at(now + 0.4 * self.settings.must_ask_in, self._start_watch)
 
-    def told_all(self, now: float, lines: list[Listed]) -> None:
+    def apply_list(self, now: float, lines: list[ListedUpstream]) -> None:
         self.listed.clear()
         self._update_listed(lines)
 
-    def told_changes(self, now: float, lines: list[Listed]) -> None:
+    def apply_list_changes(self, now: float, lines: list[ListedUpstream]) -> None:
         self._watch_established = True
         self._watch_backoff = 500.0
         self._update_listed(lines)
 
-    def told_nothing(self, now: float) -> None:
+    def list_call_failed(self, now: float) -> None:
         self._watch_established = False
-        self.host.wake(now + self._watch_backoff * (0.5 + self.random()), self._start_watch)
+        self.host.call_at(now + self._watch_backoff * (0.5 + self.random()), self._start_watch)
         self._watch_backoff = min(2 * self._watch_backoff, 4_000.0)
 
-    def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
+    def probe_ended(
+        self, now: float, upstream: int, end: End, spent_ms: float, report: tuple[float, ...]
+    ) -> None:
         pass
 
-    def _update_listed(self, lines: list[Listed]) -> None:
+    def _update_listed(self, lines: list[ListedUpstream]) -> None:
         for line in lines:
             self.listed[line.upstream] = line
         self.ready = [line for line in self.listed.values() if line.readiness is Readiness.READY]
 
     # visits and their fetches
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> PolicyVisit:
+    def accept_visit(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> PolicyVisit:
         visit = PolicyVisit(self, tag, self.settings.prefixes[prefix], now, ttl)
         self.send_or_answer(visit, now)
         return visit
@@ -142,17 +154,17 @@
         visit.sent_at.append(now)
         visit.in_flight += 1
         self.in_flight[line.upstream] = self.in_flight.get(line.upstream, 0) + 1
-        self.host.send(visit.tag, line.upstream, visit.expires - now)
+        self.host.start_fetch(visit.tag, line.upstream, visit.expires - now)
 
-    def _may_send(self, visit: PolicyVisit, line: Listed, prior: int | None, now: float) -> bool:
+    def _may_send(self, visit: PolicyVisit, line: ListedUpstream, prior: int | None, now: float) -> bool:
         """Whether the rules on repeats allow this fetch; `prior`: the first fetch that may have run."""
         if prior is None or visit.prefix.kind is Kind.READ_LIKE:
             return True
         first = visit.upstreams[prior]
         if visit.prefix.kind is Kind.MUTATING or now >= visit.sent_at[prior] + visit.prefix.window:
             return False
-        return visit.prefix.scope is Scope.ALL or (
-            first.zone == line.zone and (visit.prefix.scope is Scope.ZONE or first.cell == line.cell)
+        return visit.prefix.scope is DedupScope.ALL or (
+            first.zone == line.zone and (visit.prefix.scope is DedupScope.ZONE or first.cell == line.cell)
         )
 
     def _give_up(self, visit: PolicyVisit, prior: int | None) -> None:
@@ -161,30 +173,30 @@
         if (
             prior is None
             or kind is Kind.READ_LIKE
-            or (kind is Kind.TAGGED and visit.prefix.scope is Scope.ALL)
+            or (kind is Kind.TAGGED and visit.prefix.scope is DedupScope.ALL)
         ):
             self.host.bounce(visit.tag, self.settings.max_retry_after)
         else:
-            self.host.fail(visit.tag)
+            self.host.answer_error(visit.tag)
         visit.done = True
 
     def ended(self, upstream: int, end: End, spent: float, now: float) -> None:
         self.in_flight[upstream] -= 1
 
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         """One of the allowed upstreams (at least one), or None to answer without a fetch."""
         raise NotImplementedError
 
 
 class RandomChoice(BaselinePolicy):
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         return allowed[int(self.random() * len(allowed))]
 
 
 class RoundRobin(BaselinePolicy):
     _next = -1
 
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         if self._next < 0:
             self._next = int(self.random() * len(allowed))  # else all balancers begin at the same one
         self._next += 1
@@ -192,14 +204,14 @@
 
 
 class LeastInFlight(BaselinePolicy):
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         least = min(self.in_flight.get(x.upstream, 0) for x in allowed)
         among = [x for x in allowed if self.in_flight.get(x.upstream, 0) == least]
         return among[int(self.random() * len(among))]
 
 
 class PowerOfTwoChoices(BaselinePolicy):
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         a, b = (allowed[int(self.random() * len(allowed))] for _ in range(2))
         return a if self.in_flight.get(a.upstream, 0) <= self.in_flight.get(b.upstream, 0) else b
 
@@ -207,7 +219,7 @@
 class LocalZoneFirst(PowerOfTwoChoices):
     """Two random choices among the servers of the own zone; among all only where it has none."""
 
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         home = [x for x in allowed if x.zone == self.settings.zone]
         return super().pick(visit, home or allowed, now)
 
@@ -221,7 +233,7 @@
         self._simulation = host.around
         self._mean = host.around.scenario.mean_work()
 
-    def pick(self, visit: PolicyVisit, allowed: list[Listed], now: float) -> Listed | None:
+    def pick(self, visit: PolicyVisit, allowed: list[ListedUpstream], now: float) -> ListedUpstream | None:
         simulation, home = self._simulation, self.settings.zone
         time_left = visit.target_at - now
         best, least_cost = None, 1.0
--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -18,7 +18,7 @@
 
 import xxhash
 
-from ospreyline.host import Deployment, End, Listed, Readiness
+from ospreyline.host import Deployment, End, ListedUpstream, Readiness
 from ospreyline.lab.links import Links
 from ospreyline.lab.registry import Line, Registry
 from ospreyline.lab.scenario import Scenario
@@ -32,12 +32,12 @@
 class Policy(Protocol):
     """What an arm answers to: the calls of `decide.Balancer`."""
 
-    def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
-    def told_all(self, now: float, lines: list[Listed]) -> None: ...
-    def told_changes(self, now: float, lines: list[Listed]) -> None: ...
-    def told_nothing(self, now: float) -> None: ...
-    def probed(
-        self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]
+    def accept_visit(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
+    def apply_list(self, now: float, lines: list[ListedUpstream]) -> None: ...
+    def apply_list_changes(self, now: float, lines: list[ListedUpstream]) -> None: ...
+    def list_call_failed(self, now: float) -> None: ...
+    def probe_ended(
+        self, now: float, upstream: int, end: End, spent_ms: float, report: tuple[float, ...]
     ) -> None: ...
 
 
@@ -254,7 +254,7 @@
         terms = around.terms(zone, number)
         self.policy = around.make(self, terms, seed, now)
         self._list(known)
-        self.policy.told_all(now, [self._line(line) for line in known])
+        self.policy.apply_list(now, [self._line(line) for line in known])
         if around.scenario.registry.mode == "push":
             around.registry.subscribe(self)
         self.world.after(around.keep_idle / 4 * (1 + number * 0.618 % 1), self._round)
@@ -276,9 +276,11 @@
 
     def _take(self, ask: Ask) -> None:
         now = self.world.now
-        ask.handle = self.policy.take(now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat)
+        ask.handle = self.policy.accept_visit(
+            now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat
+        )
         if ask.gone:
-            ask.handle.left(now)
+            ask.handle.client_left(now)
         self._tidy(ask)
 
     def left(self, ask: Ask) -> None:
@@ -287,7 +289,7 @@
             ask.gone = True
             self.around.watching.left(ask)
             if ask.handle is not None:
-                ask.handle.left(self.world.now)
+                ask.handle.client_left(self.world.now)
                 self._tidy(ask)
 
     def _backstop(self, ask: Ask) -> None:
@@ -295,7 +297,7 @@
             self.around.logged.append((self.world.now, self.number, "visit answered by the backstop"))
             self._answer(ask, "failed")
             if ask.handle is not None:
-                ask.handle.left(self.world.now)
+                ask.handle.client_left(self.world.now)
                 self._tidy(ask)
 
     def _answer(self, ask: Ask, answer: str) -> None:
@@ -325,12 +327,12 @@
 
     # -- the host's calls ------------------------------------------------------------------------------------
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         ask = self.asks[tag]
         now = self.world.now
-        shot = Shot(self, ask, self.around.servers[upstream], now, time_out)
+        shot = Shot(self, ask, self.around.servers[upstream], now, timeout_ms)
         ask.shots.append(shot)
-        shot.timer = self.world.after(max(0.0, time_out), self._expire, shot)
+        shot.timer = self.world.after(max(0.0, timeout_ms), self._expire, shot)
         server = shot.server
         pool = self.idle.get(upstream)
         while pool:
@@ -345,7 +347,7 @@
             self._closed(server, incarnation)
         self._connect(shot)
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         shot = self.asks[tag].shots[fetch]
         if shot.end is None:
             self._cut(shot, End.CANCELLED)
@@ -355,17 +357,17 @@
         ask.retry_after = retry_after
         self._answer(ask, "bounced")
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self._answer(self.asks[tag], "failed")
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self.world.at(at, self._wake, call)
 
     def _wake(self, call: Callable[[float], None]) -> None:
         if self.living:
             call(self.world.now)
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         server = self.around.servers[upstream]
         self.probes += 1
         trip = self.around.links.trip(self.zone, server.zone)
@@ -380,20 +382,20 @@
 
     def _probed(self, server: Server, end: End, spent: float, report: tuple[float, ...]) -> None:
         if self.living:
-            self.policy.probed(self.world.now, server.index, end, spent, report)
+            self.policy.probe_ended(self.world.now, server.index, end, spent, report)
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         for _, incarnation in self.idle.pop(upstream, []):
             self._closed(self.around.servers[upstream], incarnation)
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         pass  # balancers are not modelled to reach one another; what is told is only ever a hint
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if on:
             self.around.registry.watch(self, self.known)
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self.around.registry.refresh(self)
 
     def log(self, text: str) -> None:
@@ -409,16 +411,16 @@
         self._list(lines, whole)
         listed = [self._line(line) for line in lines]
         if whole:
-            self.policy.told_all(self.world.now, listed)
+            self.policy.apply_list(self.world.now, listed)
         else:
-            self.policy.told_changes(self.world.now, listed)
+            self.policy.apply_list_changes(self.world.now, listed)
 
     def told_nothing(self) -> None:
-        self.policy.told_nothing(self.world.now)
+        self.policy.list_call_failed(self.world.now)
 
-    def _line(self, line: Line) -> Listed:
+    def _line(self, line: Line) -> ListedUpstream:
         server = line.server
-        return Listed(
+        return ListedUpstream(
             server.index,
             self.around.mark(server),
             server.zone,
@@ -543,7 +545,9 @@
         if final:
             self._answer(ask, "delivered")
         if ask.handle is not None:
-            ask.handle.ended(self.world.now, shot.number, end, self.world.now - shot.started, final, report)
+            ask.handle.fetch_ended(
+                self.world.now, shot.number, end, self.world.now - shot.started, final, report
+            )
             self._tidy(ask)
 
     def _expire(self, shot: Shot) -> None:
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -13,13 +13,13 @@
 from random import Random
 
 from ospreyline.decide import Balancer
-from ospreyline.fleet.pace import Pace
-from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.fleet.pace import CallPacer
+from ospreyline.host import DedupScope, Deployment, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lab.turns import Turns
 from ospreyline.lab.world import World
 
 TRIP = 1.0  # ms that a call and its refusal take
-LIST = [Listed(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
+LIST = [ListedUpstream(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
 
 
 class _Starter:
@@ -29,31 +29,31 @@
         self.bank, self.world = bank, bank.world
         self.listed_at = inf
         self.calls = 0
-        self.pace: Pace | None = None
+        self.pace: CallPacer | None = None
         if bank.paced:
-            self.pace = Pace(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
+            self.pace = CallPacer(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
         self.decisions = Balancer(self, terms, seed, self.world.now)
-        self.decisions.told_all(self.world.now, [])
+        self.decisions.apply_list(self.world.now, [])
         if self.pace is not None:
             self.pace.start(self.world.now)
             self._plan()
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if self.pace is None:
             self._call()
         else:
-            self.pace.wanted(self.world.now)
+            self.pace.request_watch(self.world.now)
             self._plan()
 
     def _plan(self) -> None:
         assert self.pace is not None
-        if self.pace.due < inf:
-            self.world.at(self.pace.due, self._due)
+        if self.pace.next_call_at < inf:
+            self.world.at(self.pace.next_call_at, self._due)
 
     def _due(self) -> None:
         assert self.pace is not None
-        if self.world.now >= self.pace.due:
-            self.pace.called(self.world.now)
+        if self.world.now >= self.pace.next_call_at:
+            self.pace.call_started(self.world.now)
             self._plan()
             self._call()
 
@@ -64,28 +64,28 @@
 
     def _failed(self) -> None:
         if self.pace is not None:
-            self.pace.failed(self.world.now)
+            self.pace.call_failed(self.world.now)
             self._plan()
-        self.decisions.told_nothing(self.world.now)
+        self.decisions.list_call_failed(self.world.now)
 
     def _told(self) -> None:
         if self.pace is not None:
-            self.pace.told()
+            self.pace.call_answered()
         self.listed_at = min(self.listed_at, self.world.now)
-        self.decisions.told_changes(self.world.now, LIST)
+        self.decisions.apply_list_changes(self.world.now, LIST)
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         if at <= self.bank.until:
             self.world.at(at, lambda: call(self.world.now))
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None: ...
-    def cancel(self, tag: int, fetch: int) -> None: ...
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None: ...
+    def cancel_fetch(self, tag: int, fetch: int) -> None: ...
     def bounce(self, tag: int, retry_after: float) -> None: ...
-    def fail(self, tag: int) -> None: ...
-    def probe(self, upstream: int) -> None: ...
-    def drop(self, upstream: int) -> None: ...
-    def tell(self, message: bytes) -> None: ...
-    def refresh(self) -> None: ...
+    def answer_error(self, tag: int) -> None: ...
+    def send_probe(self, upstream: int) -> None: ...
+    def close_idle_connections(self, upstream: int) -> None: ...
+    def broadcast(self, message: bytes) -> None: ...
+    def poll_list(self) -> None: ...
     def log(self, text: str) -> None: ...
 
 
@@ -144,7 +144,7 @@
     """Start `count` balancers at once against a service that does so many calls a second."""
     until = 1e3 * (down_s + 30.0 + 4 * count / calls_per_s)
     bank = _Bank(calls_per_s, queue, 1e3 * down_s, paced, until)
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 0.0, 500.0, 1_000.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 0.0, 500.0, 1_000.0, 1.0, 0.0)
     draw = Random(seed).random
     starters: list[_Starter] = []
 
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -20,11 +20,11 @@
 import structlog
 from msgspec import json, structs
 
-from ospreyline.asking import period_of
+from ospreyline.call_schedule import call_period_ms
+from ospreyline.config import ProxyConfig
 from ospreyline.decide import Balancer
-from ospreyline.facts import Post
-from ospreyline.host import End, Kind, Listed, PathPrefix, Readiness
-from ospreyline.lease import CallSilent, LeaseMessage, UpdateLost, UpdateRead
+from ospreyline.host import End, Kind, ListedUpstream, PathPrefix, Readiness
+from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
 from ospreyline.net.clients import Client, Request
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.events import EventLog
@@ -44,9 +44,9 @@
 if TYPE_CHECKING:
     from ospreyline.fleet.bank import Bank
     from ospreyline.fleet.kept import Keeping
-    from ospreyline.fleet.pace import Pace
+    from ospreyline.fleet.pace import CallPacer
     from ospreyline.net.covering import Covering
-    from ospreyline.operator import Operator
+    from ospreyline.operator_settings import OperatorSettings
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
 LATE_TIMER_MS = 20.0  # if a timer fires later than this, sockets are read before due timers run
@@ -110,10 +110,12 @@
 class Turn:
     """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, post: Post, operator: Operator | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, config: ProxyConfig, operator: OperatorSettings | None = None
+    ) -> None:
         self.logger: Any = structlog.get_logger()
-        self._operator: Operator | None = None
-        self._pace: Pace | None = None  # paces calls to the list service, if enabled
+        self._operator: OperatorSettings | None = None
+        self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
         self._list_cache: Keeping | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
         self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
@@ -125,7 +127,7 @@
         self.latencies_ms: list[float] = []  # of the visits delivered since the last "counts" log line
         self.max_timer_lag_ms = 0.0  # maximum timer delay since the last "counts" log line
         self._loop = loop
-        self._use_config(post)
+        self._use_config(config)
         self._last_tag = 0
         self._queued_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self._pending_actions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
@@ -152,20 +154,32 @@
         # Descriptor budget: 32 are reserved for the event loop, the listener and discovery; the rest is split
         # evenly between clients and upstreams.
         max_per_side = (
-            post.sockets - 32 - (FLEET_DESCRIPTORS if operator is not None and operator.fleet.bank else 0)
+            config.max_descriptors
+            - 32
+            - (FLEET_DESCRIPTORS if operator is not None and operator.fleet.bank else 0)
         ) // 2
         self.max_clients = max_per_side
-        self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(post.seed + 2).random
+        self._watch_retry_ms, self._random = WATCH_RETRY_MS, Random(config.seed + 2).random
         self.upstreams = ConnectionPools(
-            loop, clock, max_per_side, post.connect_time_out, post.keep_idle, post.memory // 8, self.events
+            loop,
+            clock,
+            max_per_side,
+            config.connect_timeout_ms,
+            config.upstream_keepalive_ms,
+            config.memory_bytes // 8,
+            self.events,
         )
         if operator is not None:
             self._enable_features(operator)
-        kept = self._list_cache.known(post.known) if self._list_cache is not None else post.known
+        kept = (
+            self._list_cache.known(config.initial_list)
+            if self._list_cache is not None
+            else config.initial_list
+        )
         known = read(kept, self.logger)
         self.discovery = Discovery(
             loop,
-            post.discovery,
+            config.discovery,
             known.rev if known else 0,
             self.logger,
             tell=self._enqueue_list_update,
@@ -174,37 +188,39 @@
         )
         self._configure_discovery()
         now = clock()
-        self.balancer = Balancer(self, post.terms, post.seed, now)
-        self.balancer.lease.begin(now)
+        self.balancer = Balancer(self, config.deployment, config.seed, now)
+        self.balancer.lease.start(now)
         self.upstreams.sends_blocked = self._sends_blocked
-        self.balancer.told_all(now, self._list_entries(known) if known else [])
+        self.balancer.apply_list(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
             self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.targets])
         if self._pace is not None:
             later = 0.0
             if self.bank is not None and self.bank.lists is not None and not self.bank.lists.passing:
-                later = self.bank.lists.late(post.terms.must_ask_in)
+                later = self.bank.lists.late(config.deployment.must_ask_in)
             self._pace.start(now, later)
             self._schedule_list_call()
-        elif not post.terms.ask_for_list:
+        elif not config.deployment.ask_for_list:
             # a pushed list: the decisions never ask for it, so a watch is opened here
             self.discovery.watch(True)
         self.note(lambda now: None)  # the first batch executes the actions requested during construction
 
-    def _enable_features(self, operator: Operator) -> None:
+    def _enable_features(self, operator: OperatorSettings) -> None:
         """Set up the features that the operator file enables; only those modules are imported."""
         self._operator = operator
-        terms, lists = self._post.terms, operator.list
+        terms, lists = self._config.deployment, operator.list
         if lists.calls_per_s:
-            from ospreyline.fleet.pace import Pace
+            from ospreyline.fleet.pace import CallPacer
 
             if self._pace is None:
-                self._pace = Pace(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
+                self._pace = CallPacer(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
             else:
-                self._pace.adopt(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
+                self._pace.apply_settings(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
-            self.note(self.balancer.told_nothing)  # the decisions schedule list calls themselves from now on
+            self.note(
+                self.balancer.list_call_failed
+            )  # the decisions schedule list calls themselves from now on
         if lists.keep and self._list_cache is None:
             from ospreyline.fleet.kept import Keeping
 
@@ -212,14 +228,14 @@
         if operator.fleet.bank and self.bank is None:
             from ospreyline.fleet.bank import Bank
 
-            zone = self._post.zone_names[terms.zone]
+            zone = self._config.zone_names[terms.zone]
             self.bank = Bank(
                 self._loop,
                 self.logger,
-                self._post.name,
+                self._config.name,
                 zone,
                 operator.fleet,
-                self._post.seed,
+                self._config.seed,
                 listed=lambda update: self.note(self._on_list_from_balancer, update),
                 hinted=lambda body: self.note(self._on_bank_message, body),
                 hasten=lambda: self.note(self._hasten_list_call),
@@ -230,58 +246,60 @@
                 self.covering = Covering(
                     self,
                     operator.takeover,
-                    self._post.name,
+                    self._config.name,
                     zone,
                     self.bank.members.me.start,
-                    self._post.seed,
+                    self._config.seed,
                     terms.max_fetches,
                 )
                 self.bank.guard(self.covering.takeover, lambda: self.note(self.run_takeover_results))
 
-    def _use_config(self, post: Post) -> None:
-        self._post = post
-        self.prefixes = {name.encode(): i for i, name in enumerate(post.prefix_names)}
-        self.tagged = frozenset(i for i, terms in enumerate(post.terms.prefixes) if terms.kind is Kind.TAGGED)
-        self._zone_index = {name: i for i, name in enumerate(post.zone_names)}
-        self._report_fields = post.terms.report_fields
+    def _use_config(self, config: ProxyConfig) -> None:
+        self._config = config
+        self.prefixes = {name.encode(): i for i, name in enumerate(config.prefix_names)}
+        self.tagged = frozenset(
+            i for i, terms in enumerate(config.deployment.prefixes) if terms.kind is Kind.TAGGED
+        )
+        self._zone_index = {name: i for i, name in enumerate(config.zone_names)}
+        self._report_fields = config.deployment.report_fields
 
     def _configure_discovery(self) -> None:
-        terms = self._post.terms
-        self.discovery.again = period_of(terms.balancers, terms.must_ask_in) / 1e3
+        terms = self._config.deployment
+        self.discovery.again = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
         self.discovery.patient = terms.ask_for_list or self._pace is not None
 
-    def apply_config(self, post: Post) -> None:
+    def apply_config(self, config: ProxyConfig) -> None:
         """Apply a new, validated configuration; events queued before are still handled under the old one."""
         self._dispatch()
         now = clock()
-        self._use_config(post)
-        self.upstreams.apply_config(post.connect_time_out, post.keep_idle)
+        self._use_config(config)
+        self.upstreams.apply_config(config.connect_timeout_ms, config.upstream_keepalive_ms)
         if self._operator is not None:
             self._enable_features(self._operator)  # the number of balancers affects the pace of list calls
-        self.balancer.set_terms(now, post.terms)
+        self.balancer.apply_settings(now, config.deployment)
         self._configure_discovery()
         # Passed on as a first list, so that it renews no subscription and leaves cold and draining upstreams
         # in their state.
         entries = [
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
-        self.balancer.told_changes(now, entries, first=True, own=False)
-        if not post.terms.ask_for_list and not self.discovery.watching and self._pace is None:
+        self.balancer.apply_list_changes(now, entries, is_first_list=True, from_own_watch=False)
+        if not config.deployment.ask_for_list and not self.discovery.watching and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
 
-    def apply_operator(self, operator: Operator) -> None:
+    def apply_operator(self, operator: OperatorSettings) -> None:
         """Apply the reloadable settings of a new, validated operator file."""
         paced = self._pace is not None
         self._enable_features(operator)
         self._configure_discovery()
         if self._pace is not None and not paced:
             # An open watch is kept and still counts; without one the first paced call replaces it.
-            self._pace.called(clock())
+            self._pace.call_started(clock())
             if self.discovery.told_by_watch:
-                self._pace.told()
+                self._pace.call_answered()
             elif not self.discovery.watching:
-                self._pace.failed(clock())
+                self._pace.call_failed(clock())
             self._schedule_list_call()
 
     def move_discovery(self, at: tuple[str, int]) -> None:
@@ -290,9 +308,9 @@
         # Restart the wait between calls. Otherwise a wait that was running for the old address would cause
         # another call at once; and if this call received no data, the next one would start only after it was
         # given up.
-        self.balancer.asked(clock())
+        self.balancer.list_service_moved(clock())
         if self._pace is not None:
-            self._pace.called(clock(), anew=True)
+            self._pace.call_started(clock(), new_service=True)
             self._schedule_list_call()
 
     # -- event batches ------------------------------------------------------------------------------------
@@ -311,7 +329,7 @@
     def _sends_blocked(self) -> bool:
         """Whether all sends to upstreams are blocked; checked right before each one."""
         now = clock()
-        if self._update_queued or self.balancer.lease.withholds(now):
+        if self._update_queued or self.balancer.lease.blocks_sends(now):
             return True
         # Also blocks a send that was delayed since it was decided, or whose batch was late, if the list has
         # unread data.
@@ -366,7 +384,7 @@
             self.logger.exception("exception in an event handler")
             taken = next((arg for arg in args if isinstance(arg, Taken)), None)
             if taken is not None and not taken.answered:
-                self.fail(taken.tag)
+                self.answer_error(taken.tag)
                 self._discard_visit(taken)
                 for errand in taken.errands:
                     if errand is not None:
@@ -403,7 +421,7 @@
             self.covering.carry_out(now)
 
     def prefix_name(self, prefix: int) -> str:
-        return self._post.prefix_names[prefix]
+        return self._config.prefix_names[prefix]
 
     def place(self, upstream: int) -> tuple[str, int]:
         """Zone and cell of an upstream."""
@@ -415,7 +433,7 @@
             return self.covering is not None and self.covering.joins(request, client)
         self._open_ids.add(request.trace)
         self._last_tag += 1
-        terms = self._post.terms.prefixes[request.prefix]
+        terms = self._config.deployment.prefixes[request.prefix]
         taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
         taken.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
@@ -469,14 +487,14 @@
         (zone, cell, ms ago).
         """
         try:
-            prefix = self._post.terms.prefixes.index(taken.terms)
+            prefix = self._config.deployment.prefixes.index(taken.terms)
         except ValueError:
             # A reload came while the visit waited: its path prefix now has another index or no longer exists.
-            return self.fail(taken.tag) if prior_fetches else self.refuse(taken.tag)
+            return self.answer_error(taken.tag) if prior_fetches else self.refuse(taken.tag)
         request = taken.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         taken.errands = [None] * len(before)
-        taken.handle = self.balancer.take(now, taken.tag, prefix, time_left, request.repeat, before)
+        taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
         if self.covering is not None and len(taken.errands) == len(before):
             self.covering.decided(now, taken)
         self._discard_if_settled(taken)
@@ -490,7 +508,7 @@
         prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Take over a visit of a failed balancer; no client waits for it here."""
-        taken = self.visits[tag] = Taken(tag, request, self._post.terms.prefixes[request.prefix], None)
+        taken = self.visits[tag] = Taken(tag, request, self._config.deployment.prefixes[request.prefix], None)
         taken.arrived_at = now
         self._open_ids.add(request.trace)
         taken.backstop_timer = self._loop.call_later(
@@ -500,13 +518,13 @@
 
     def refuse(self, tag: int) -> None:
         """Answer a visit that the decisions have not seen with "retry": no fetch of it ran."""
-        self.bounce(tag, self._post.terms.max_retry_after)
+        self.bounce(tag, self._config.deployment.max_retry_after)
 
     def close_visit(self, now: float, taken: Taken) -> None:
         """Close a visit for which this balancer is no longer responsible."""
         taken.answered = True
         if taken.handle is not None:
-            taken.handle.left(now)
+            taken.handle.client_left(now)
         self._discard_if_settled(taken)
 
     def _on_client_left(self, now: float, taken: Taken) -> None:
@@ -520,7 +538,7 @@
         if taken.handle is not None:
             self.counts["clients_left"] += not taken.answered
             taken.answered = True
-            taken.handle.left(now)
+            taken.handle.client_left(now)
             for number, errand in enumerate(taken.errands):
                 if errand is not None:
                     errand.withdraw()
@@ -536,9 +554,9 @@
             return self._discard_if_settled(taken)
         self.counts["overdue"] += 1
         self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
-        self.fail(taken.tag)
+        self.answer_error(taken.tag)
         if taken.handle is not None:
-            taken.handle.left(now)
+            taken.handle.client_left(now)
         self._discard_if_settled(taken)
 
     def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
@@ -565,7 +583,7 @@
                 if self.covering is None or self.covering.may_tell(now, taken, reply):
                     self._pending_actions.append((self.reply, reply))
         if taken.handle is not None:
-            taken.handle.ended(now, number, reported, elapsed, taken.answered, report)
+            taken.handle.fetch_ended(now, number, reported, elapsed, taken.answered, report)
             self._discard_if_settled(taken)
 
     def answer_all(self) -> None:
@@ -632,7 +650,7 @@
             taken.wanted,
         )
         if taken.handle is not None:
-            errand.begin_by = taken.handle.begin_by
+            errand.begin_by = taken.handle.repeat_deadline
         self.upstreams.pools[upstream].run(errand)
 
     def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
@@ -650,7 +668,7 @@
             head,
             b"",
             now,
-            PROBE_TIMEOUT_FACTOR * self._post.connect_time_out,
+            PROBE_TIMEOUT_FACTOR * self._config.connect_timeout_ms,
             False,
             lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
         )
@@ -662,87 +680,87 @@
             report = parse_load_report(outcome.report or outcome.body, self._report_fields)
         end = classify_end(outcome)
         self.counts["probes"] += 1
-        self.balancer.probed(now, upstream, end, now - sent, report)
+        self.balancer.probe_ended(now, upstream, end, now - sent, report)
 
     # -- the upstream list --------------------------------------------------------------------------------
 
     def _schedule_list_call(self) -> None:
         """Set a timer for the next paced list call."""
-        if self._pace is not None and self._pace.due < inf:
-            self.wake(self._pace.due, self._make_list_call)
+        if self._pace is not None and self._pace.next_call_at < inf:
+            self.call_at(self._pace.next_call_at, self._make_list_call)
 
     def _make_list_call(self, now: float) -> None:
-        if self._pace is not None and now >= self._pace.due:
-            self._pace.called(now)
+        if self._pace is not None and now >= self._pace.next_call_at:
+            self._pace.call_started(now)
             self._schedule_list_call()
             self.discovery.watch(True)
 
     def _request_list_call(self, now: float) -> None:
         if self._pace is not None:
-            self._pace.wanted(now)
+            self._pace.request_watch(now)
             self._schedule_list_call()
 
     def _on_lease_message(self, now: float, message: LeaseMessage) -> None:
         """Update the list lease from the outcome of a list call: it is shortened or renewed."""
         lease = self.balancer.lease
-        before = lease.expires
-        lease.take(now, message)
+        before = lease.expires_at
+        lease.apply(now, message)
         match message:
             case UpdateLost(call, version):
                 self.logger.warning(
                     "list update may be lost",
                     call=call,
                     rev=version or None,
-                    expires_in_ms=round(lease.expires - now),
+                    expires_in_ms=round(lease.expires_at - now),
                 )
-            case CallSilent(call, age):
+            case CallTimedOut(call, age):
                 self.logger.info("list call received no data", call=call, s=round(age, 1))
-            case UpdateRead() if lease.lost:
+            case UpdateRead() if lease.has_lost_update:
                 self._repeat_list_call(now)
-        if lease.expires > now >= before + LEASE_DOUBT_LOG_MS:
+        if lease.expires_at > now >= before + LEASE_DOUBT_LOG_MS:
             self.logger.info("list lease renewed", after_ms=round(now - before))
 
     def _repeat_list_call(self, now: float) -> None:
         """Call again: the answer does not settle a possibly lost update, being requested before the loss."""
         if self._pace is not None:
-            if self._pace.due == inf:
-                self._pace.lost(now)
+            if self._pace.next_call_at == inf:
+                self._pace.update_lost(now)
                 self._schedule_list_call()
-        elif self._post.terms.ask_for_list:
-            self.balancer.ask_again(now)
+        elif self._config.deployment.ask_for_list:
+            self.balancer.schedule_list_call(now)
         elif not self.discovery.waiting:
             self.discovery.watch(True)
 
     def _on_list_call_failed(self, now: float, failure: CallFailure) -> None:
         relayed = self.bank is not None and self.bank.told_nothing()
         if self._pace is not None:
-            self._pace.failed(now, failure.retry_after, relayed)
+            self._pace.call_failed(now, failure.retry_after, relayed)
             # A list service that goes down resets the calls of the whole bank, which must still keep its
             # pace.
             if failure.seen:
-                self._pace.lost(now)
+                self._pace.update_lost(now)
             self._schedule_list_call()
-        elif not self._post.terms.ask_for_list:
+        elif not self._config.deployment.ask_for_list:
             # For a pushed list, every change counts as received even if no watch is open. The decisions
             # expect no failed calls then, and their retry delays, meant for polling, are far too long.
-            self.wake(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
+            self.call_at(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
             self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
-        self.balancer.told_nothing(now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(now, failure.lost, failure.turned_away)
 
     def _reopen_watch(self, now: float) -> None:
-        if not self._post.terms.ask_for_list and not self.discovery.watching:
+        if not self._config.deployment.ask_for_list and not self.discovery.watching:
             self.discovery.watch(True)
 
     def _hasten_list_call(self, now: float) -> None:
         """Schedule the next list call as if no other balancer forwarded the list."""
         if self._pace is not None:
-            self._pace.hasten(now)
+            self._pace.relays_lost(now)
             self._schedule_list_call()
 
     def _on_bank_message(self, now: float, body: bytes) -> None:
-        if self._post.terms.may_tell:
-            self.balancer.heard(now, body)
+        if self._config.deployment.may_tell:
+            self.balancer.receive_hint(now, body)
 
     def _on_list_from_balancer(self, now: float, forwarded: Any) -> None:
         """Apply a newer upstream list that another balancer received and forwarded."""
@@ -760,9 +778,9 @@
         self.discovery.took(update.rev)
         entries = self._list_entries(update)
         if update.whole:
-            self.balancer.told_all(now, entries, own=False)
+            self.balancer.apply_list(now, entries, from_own_watch=False)
         else:
-            self.balancer.told_changes(now, entries, own=False)
+            self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
             self._list_cache.told(changed=True)
 
@@ -773,7 +791,7 @@
         # nothing.
         from_watch = self.discovery.told_by_watch
         if self._pace is not None and from_watch:
-            self._pace.told()
+            self._pace.call_answered()
         if self._list_cache is not None:
             self._list_cache.told(changed=update.whole or bool(update.targets))
         if self.bank is not None:
@@ -784,11 +802,11 @@
             )
         entries = self._list_entries(update)
         if update.whole:
-            self.balancer.told_all(now, entries, from_watch)
+            self.balancer.apply_list(now, entries, from_watch)
         else:
-            self.balancer.told_changes(now, entries, own=from_watch)
+            self.balancer.apply_list_changes(now, entries, from_own_watch=from_watch)
 
-    def _list_entries(self, update: News) -> list[Listed]:
+    def _list_entries(self, update: News) -> list[ListedUpstream]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
         entries = []
         for target, at in update.targets:
@@ -815,7 +833,7 @@
                     self.upstreams.pools[upstream].withdraw()
         return entries
 
-    def _list_entry(self, target: Target, upstream: int) -> Listed:
+    def _list_entry(self, target: Target, upstream: int) -> ListedUpstream:
         # An entry may omit its zone and cell (a removed one does); the upstream keeps its former ones, as
         # repeats of fetches that may have executed there depend on them. An unseen upstream is assigned to
         # the last spillover zone.
@@ -826,15 +844,15 @@
         cell = previous.pod_group or 0 if target.pod_group is None else target.pod_group
         self._target_by_uid[target.uid] = structs.replace(target, az=az, pod_group=cell)
         self._place_by_index[upstream] = (az, cell)
-        zone = self._zone_index.get(az, (self._post.terms.zone - 1) % self._post.terms.zones)
-        return Listed(
+        zone = self._zone_index.get(az, (self._config.deployment.zone - 1) % self._config.deployment.zones)
+        return ListedUpstream(
             upstream=upstream,
-            mark=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
+            hash_key=int.from_bytes(blake2b(target.uid.encode(), digest_size=8).digest(), "big"),
             zone=zone,
             cell=cell,
             # an unknown state: no new requests
             readiness=_READINESS_BY_STATE.get(target.state, Readiness.DRAINING),
-            came_up=target.boot_ms - self._unix_offset if target.boot_ms > 0 else 0.0,
+            started_at=target.boot_ms - self._unix_offset if target.boot_ms > 0 else 0.0,
         )
 
     def _record_readiness(self, uid: str, state: Readiness, target: Target | None) -> None:
@@ -852,7 +870,7 @@
         if self._list_cache is not None and not self._update_queued:
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
-            whole = self.discovery.complete and not self.balancer.lease.lost
+            whole = self.discovery.complete and not self.balancer.lease.has_lost_update
             self._list_cache.tidy(
                 self.discovery.rev if whole else 0,
                 lambda: [
@@ -868,14 +886,14 @@
                 or len(self._index_by_uid) == 1
             ):
                 return
-            self.balancer.forget(upstream)
+            self.balancer.remove_upstream(upstream)
             del self._gone_since[uid], self._index_by_uid[uid]
             del self._readiness[uid], self._target_by_uid[uid]
             del self.upstreams.pools[upstream], self._place_by_index[upstream], self._uid_by_index[upstream]
 
     # -- Host: actions for the decisions ------------------------------------------------------------------
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
         taken = self.visits[tag]
         if taken.fetch_ends:
             self.events.line(
@@ -889,12 +907,12 @@
         taken.errands.append(None)
         generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
-        until = self._last_batch_at + time_out
+        until = self._last_batch_at + timeout_ms
         self._pending_actions.append(
             (self._start_fetch, (taken, len(taken.errands) - 1, upstream, generation, until))
         )
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         if (taken := self.visits.get(tag)) is not None:
             self._pending_actions.append((self._cancel_fetch, (taken, fetch)))
 
@@ -907,7 +925,7 @@
         if self.covering is None or self.covering.may_bounce(self._last_batch_at, taken, reply):
             self._pending_actions.append((self.reply, reply))
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         taken = self.visits[tag]
         taken.answered = True
         self._log_refusal("failed", taken)
@@ -920,7 +938,7 @@
     def _log_refusal(self, event: str, taken: Taken) -> None:
         """Log why a request gets an answer that did not come from an upstream."""
         why = "its attempts failed" if taken.fetch_ends else "no upstream has room for it in time"
-        if (withheld := self.balancer.lease.why(self._last_batch_at)) is not None:
+        if (withheld := self.balancer.lease.block_reason(self._last_batch_at)) is not None:
             why = withheld.value
         self.events.line(
             event,
@@ -930,29 +948,29 @@
             attempts=taken.fetch_ends,
         )
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self._timer_number += 1
         heappush(self._timers, (at, self._timer_number, call))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self._pending_actions.append((self._send_probe, (upstream,)))
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self._pending_actions.append(
             (lambda now: self.upstreams.pools[upstream].close_idle("it may be silent"), ())
         )
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         if self.bank is not None:  # without links nothing is sent; these messages are only hints
             self.bank.tell(message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if self._pace is not None:
             self._pending_actions.append((self._request_list_call, ()))
             return
         self._pending_actions.append((lambda now: self.discovery.watch(on), ()))
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         self._pending_actions.append((lambda now: self.discovery.refresh(), ()))
 
     def log(self, text: str) -> None:
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -561,17 +561,17 @@
 def measure_ranking(count: int) -> tuple[float, float]:
     """Processor time (ms) of one ranking and of loading the full list, with `count` upstreams."""
     from ospreyline.decide import Balancer
-    from ospreyline.host import Deployment, Kind, Listed, PathPrefix, Readiness, Scope
+    from ospreyline.host import DedupScope, Deployment, Kind, ListedUpstream, PathPrefix, Readiness
 
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
     zones = len(ZONES)
     deployment = Deployment(
         zone=0, zones=zones, balancers=bank_size(count), number=1, prefixes=(prefix,), ask_for_list=False
     )
     balancer = Balancer(_NullHost(), deployment, 7, 100_000.0)
-    lines = [Listed(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
+    lines = [ListedUpstream(i, i * 7919 + 13, i % zones, i, Readiness.READY, 0.0) for i in range(count)]
     begun = process_time()
-    balancer.told_all(100_000.0, lines)
+    balancer.apply_list(100_000.0, lines)
     full_list_ms = 1e3 * (process_time() - begun)
     gc.collect()
     gc.freeze()  # as `serve` does after startup
@@ -677,7 +677,7 @@
 
 async def measure_routes(results: Measurements, folder: Path, count: int, seconds: float) -> None:
     """Measures `serve` with `count` path prefixes."""
-    from ospreyline import facts
+    from ospreyline.config import load
 
     service = await ListService().start()
     config = folder / "balancer.json"
@@ -685,7 +685,7 @@
     config.write_bytes(text)
     results.add("routes_bytes", count, len(text) - len(balancer_config(100, 0, service.address)))
     begun = process_time()
-    facts.load(config, {})
+    load(config, {})
     results.add("routes_check_ms", count, 1e3 * (process_time() - begun))
     try:
         async with running_serve(config) as process:
@@ -770,10 +770,10 @@
     """First list calls of `count` balancers that start at once, unpaced and paced; pure modules."""
 
     from ospreyline.decide import Balancer
-    from ospreyline.fleet.pace import Pace
-    from ospreyline.host import Deployment, Kind, PathPrefix, Scope
+    from ospreyline.fleet.pace import CallPacer
+    from ospreyline.host import DedupScope, Deployment, Kind, PathPrefix
 
-    prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
+    prefix = PathPrefix(Kind.READ_LIKE, DedupScope.ALL, 1_500.0, 1_000.0, 2_500.0, 1.0, 0.0)
 
     def most_in_one_second(times: list[float]) -> int:
         """The most of these times (ms) within any one second."""
@@ -796,15 +796,15 @@
             ask_for_list=True,
             must_ask_in=10_000.0,
         )
-        unpaced_due.append(Balancer(_NullHost(), deployment, number, 0.0)._call_schedule.due)
+        unpaced_due.append(Balancer(_NullHost(), deployment, number, 0.0)._call_schedule.next_call_at)
     results.add("calls_alone_most_s", count, most_in_one_second(unpaced_due))
     pacers = []
     for number in range(count):
-        pacer = Pace(number, count, per_s, 10_000.0)
+        pacer = CallPacer(number, count, per_s, 10_000.0)
         pacer.start(0.0)
         pacers.append(pacer)
-    results.add("calls_paced_most_s", count, most_in_one_second([pacer.due for pacer in pacers]))
-    results.add("calls_paced_window_s", count, max(pacer.due for pacer in pacers) / 1e3)
+    results.add("calls_paced_most_s", count, most_in_one_second([pacer.next_call_at for pacer in pacers]))
+    results.add("calls_paced_window_s", count, max(pacer.next_call_at for pacer in pacers) / 1e3)
 
 
 def measure_forwarding(results: Measurements, count: int) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -12,15 +12,15 @@
 from itertools import count
 from typing import Any
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.decide import Balancer, Visit
-from ospreyline.host import Deployment, End, Kind, Listed, PathPrefix, Readiness, Scope
+from ospreyline.host import DedupScope, Deployment, End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.net.service import Service
 from ospreyline.net.turn import clock
-from ospreyline.operator import Operator
+from ospreyline.operator_settings import OperatorSettings
 
 
-def prefix(kind: Kind, scope: Scope = Scope.ALL, gain: float = 1.0) -> PathPrefix:
+def prefix(kind: Kind, scope: DedupScope = DedupScope.ALL, gain: float = 1.0) -> PathPrefix:
     return PathPrefix(kind, scope, 1_500.0, 1_000.0, 2_500.0, gain, 0.0)
 
 
@@ -31,12 +31,14 @@
 
 def listed(
     upstream: int, zone: int = 0, cell: int = 0, came_up: float = 0.0, readiness: Readiness = Readiness.READY
-) -> Listed:
-    return Listed(upstream, upstream * 7919 + 13, zone, cell, readiness, came_up)
+) -> ListedUpstream:
+    return ListedUpstream(upstream, upstream * 7919 + 13, zone, cell, readiness, came_up)
 
 
 class FakeHost:
-    def __init__(self, lines: list[Listed], start: float = 100_000.0, seed: int = 7, **terms: object) -> None:
+    def __init__(
+        self, lines: list[ListedUpstream], start: float = 100_000.0, seed: int = 7, **terms: object
+    ) -> None:
         self.now = start
         self.sends: list[tuple[int, int, float, float]] = []  # tag, upstream, timeout, time of sending
         self.bounced: dict[int, float] = {}
@@ -49,36 +51,36 @@
         self.wakes: list[tuple[float, Callable[[float], None]]] = []
         self.tags = 0
         self.balancer = Balancer(self, replace(PLAIN, **terms), seed, start)  # type: ignore[arg-type]
-        self.balancer.told_all(self.now, lines)
+        self.balancer.apply_list(self.now, lines)
 
-    def send(self, tag: int, upstream: int, time_out: float) -> None:
-        self.sends.append((tag, upstream, time_out, self.now))
+    def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
+        self.sends.append((tag, upstream, timeout_ms, self.now))
 
-    def cancel(self, tag: int, fetch: int) -> None:
+    def cancel_fetch(self, tag: int, fetch: int) -> None:
         self.cancelled.append((tag, fetch))
 
     def bounce(self, tag: int, retry_after: float) -> None:
         self.bounced[tag] = retry_after
 
-    def fail(self, tag: int) -> None:
+    def answer_error(self, tag: int) -> None:
         self.failed.append(tag)
 
-    def wake(self, at: float, call: Callable[[float], None]) -> None:
+    def call_at(self, at: float, call: Callable[[float], None]) -> None:
         self.wakes.append((at, call))
 
-    def probe(self, upstream: int) -> None:
+    def send_probe(self, upstream: int) -> None:
         self.probes.append(upstream)
 
-    def drop(self, upstream: int) -> None:
+    def close_idle_connections(self, upstream: int) -> None:
         self.dropped.append(upstream)
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         self.told.append(message)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self.watches.append(self.now)
 
-    def refresh(self) -> None:
+    def poll_list(self) -> None:
         pass
 
     def log(self, text: str) -> None:
@@ -96,12 +98,12 @@
 
     def take(self, lane: int = 0, ttl: float = 2_500.0) -> Visit:
         self.tags += 1
-        return self.balancer.take(self.now, self.tags, lane, ttl, False)
+        return self.balancer.accept_visit(self.now, self.tags, lane, ttl, False)
 
     def end(self, visit: Visit, end: End, spent: float = 50.0) -> None:
         """End the visit's latest fetch, `spent` ms from now."""
         self.pass_time(spent)
-        visit.ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
+        visit.fetch_ended(self.now, len(visit.fetches) - 1, end, spent, end is End.DELIVERED, ())
 
     def serve(
         self, visits: int, end: Callable[[int], End] = lambda upstream: End.DELIVERED, lane: int = 0
@@ -113,7 +115,7 @@
             sent = len(visit.fetches)
             if sent:
                 first.append(visit.fetches[0].upstream.id)
-            while visit.out:
+            while visit.in_flight:
                 self.end(visit, end(visit.fetches[-1].upstream.id))
         return first
 
@@ -298,7 +300,7 @@
     *peers: Peer,
     registry: Peer | None = None,
     known: list[dict[str, Any]] | None = None,
-    operator: Operator | None = None,
+    operator: OperatorSettings | None = None,
     **more: Any,
 ) -> AsyncIterator[Service]:
     """A running balancer in front of the given servers, which are started if necessary."""
@@ -307,8 +309,8 @@
             await peer.start()
     if known is None:
         known = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
-    config = configuration(known, registry.port if registry else 1, **more)
-    service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}), operator)
+    raw_config = configuration(known, registry.port if registry else 1, **more)
+    service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw_config).encode(), {}), operator)
     service.start()
     if registry is None:
         await until_ready(service)  # no list service listens, which the first call has to find out
@@ -321,7 +323,7 @@
 async def until_ready(service: Service) -> None:
     """Wait until a balancer may send requests: the list service has answered, or nothing listens there."""
     async with asyncio.timeout(5):
-        while service.turn.balancer.lease.withholds(clock()):
+        while service.turn.balancer.lease.blocks_sends(clock()):
             await asyncio.sleep(0)
 
 
--- a/tests/test_explore_lists.py
+++ b/tests/test_explore_lists.py
@@ -37,15 +37,15 @@
 
 
 def limit_effect_of_loss(patch, duration_ms):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
         not_arriving = isinstance(message, UpdateLost) and message.call not in self._arriving
-        take(self, now, message)
+        apply(self, now, message)
         if not_arriving:
             self._losses.last = now + duration_ms - self._max_age
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def reset_before_any_data_blocks_for_1_s(patch):
@@ -57,21 +57,21 @@
 
 
 def new_process_starts_with_a_lease(patch):
-    patch.setattr(ListLease, "begin", lambda self, now: None)
+    patch.setattr(ListLease, "start", lambda self, now: None)
 
 
 def reset_blocks_for_1_s_and_503_is_ignored(patch):
     # a reset blocks sends for 1 s only, and the list does not get out of date until the next answer
     limit_effect_of_loss(patch, 1_000.0)
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
-        take(self, now, message)
+        apply(self, now, message)
         if isinstance(message, UpdateLost):
             self._proven_at = inf
             self._renew()
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def answer_requested_before_a_loss_settles_it(patch):
@@ -79,26 +79,26 @@
 
 
 def regular_end_counts_as_evidence(patch):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
-        take(self, now, message)
+        apply(self, now, message)
         if isinstance(message, MessageComplete):
             self._prove(now)
             self._renew()
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def refused_connection_settles_losses(patch):
-    take = ListLease.take
+    apply = ListLease.apply
 
     def wrong(self, now, message):
         if isinstance(message, ConnectionRefused):
             self._losses = lease._Losses()
-        take(self, now, message)
+        apply(self, now, message)
 
-    patch.setattr(ListLease, "take", wrong)
+    patch.setattr(ListLease, "apply", wrong)
 
 
 def nothing_settles_a_loss(patch):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
 from test_clients import play
 from test_lists import served_by
 
-from ospreyline import facts
+from ospreyline import config
 from ospreyline.host import Kind
 from ospreyline.net import upstreams
 from ospreyline.net.covering import Covering
@@ -35,11 +35,11 @@
 
 def reload(service, names, **settings):
     """Reload with just these path prefixes, in this order."""
-    config = configuration([])
-    settings_now = config["settings"]
+    raw_config = configuration([])
+    settings_now = raw_config["settings"]
     by_name = {p["Name"]: p for p in settings_now["PathPrefixes"]}
     settings_now["PathPrefixes"] = [by_name[name] | settings.get(name, {}) for name in names]
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 class WaitingTakeover:
@@ -90,7 +90,7 @@
             # a visit that may have executed is never answered as harmless to repeat
             assert got == (502 if ran and status == 503 else status) and len(peer.requests) == (got == 200)
             if got == 200:
-                assert taken.handle.lane.kind is Kind.READ_LIKE
+                assert taken.handle.request_class.kind is Kind.READ_LIKE
             assert not turn.counts["faults"] and not turn.visits
 
     play(scenario)
@@ -145,19 +145,19 @@
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 30.0
     terms = replace(host.balancer._settings, report_fields=("util",))
-    host.balancer.set_terms(host.now, terms)
+    host.balancer.apply_settings(host.now, terms)
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 0.0
     host.balancer._record_load(u, host.now, (0.5,))
-    host.balancer.set_terms(host.now, terms)  # applying the same settings again changes nothing
+    host.balancer.apply_settings(host.now, terms)  # applying the same settings again changes nothing
     host.balancer._update_candidates(host.now)
     assert host.balancer._mean_load == 0.5
 
 
 def reload_as_pushed(service, registry):
-    config = configuration([], registry.port)
-    config["settings"]["Discovery"] = "push"
-    service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
+    raw_config = configuration([], registry.port)
+    raw_config["settings"]["Discovery"] = "push"
+    service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
 
 
 async def ready(service):
@@ -181,7 +181,7 @@
             while not await ready(service):
                 pass
             # an agent that resets calls may have sent a drain on them
-            assert service.turn.balancer.lease.withholds(clock()) is (first == "failure")
+            assert service.turn.balancer.lease.blocks_sends(clock()) is (first == "failure")
 
     play(scenario)
 
@@ -191,7 +191,7 @@
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry, Discovery="push") as service:
             await registry.tell(4)
-            loop, waits, wake = asyncio.get_running_loop(), [], service.turn.wake
+            loop, waits, wake = asyncio.get_running_loop(), [], service.turn.call_at
             while service.turn.discovery.rev != 4:
                 await asyncio.sleep(0)
 
@@ -200,7 +200,7 @@
                     waits.append(at - service.turn._last_batch_at)
                 wake(at, call)
 
-            service.turn.wake = recording_wake
+            service.turn.call_at = recording_wake
             registry.answers = [RESET]
             registry.writers[0].close()
             began = loop.time()
@@ -256,11 +256,13 @@
 def test_a_key_that_a_new_file_leaves_out_has_its_default_and_not_the_last_files():
     async def scenario():
         async with running(Peer(), Cancel=True, MostBackendFetches=5, KeepaliveUs=7_000_000) as service:
-            assert service.turn._post.terms.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
-            config = configuration([])
-            del config["settings"]["Caps"], config["settings"]["Dcs"]
-            service.reload(lambda: (facts.post(json.dumps(config).encode(), {}), None))
-            terms = service.turn._post.terms
+            assert (
+                service.turn._config.deployment.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
+            )
+            raw_config = configuration([])
+            del raw_config["settings"]["Caps"], raw_config["settings"]["Dcs"]
+            service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
+            terms = service.turn._config.deployment
             assert not terms.may_cancel and terms.max_fetches == 1 and terms.zones == 1
             assert service.turn.upstreams.keep_idle == 0.8 * 15_000
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -148,7 +148,7 @@
         visit.in_flight += 1
         self.in_flight.setdefault(self.ready[0].upstream, 0)
         self.in_flight[self.ready[0].upstream] += 1
-        self.host.send(visit.tag, self.ready[0].upstream, 100.0)
+        self.host.start_fetch(visit.tag, self.ready[0].upstream, 100.0)
 """,
     "twice": """
     def _may_send(self, visit, line, prior, now):
@@ -161,8 +161,8 @@
 """,
     "cold": """
     def pick(self, visit, allowed, now):
-        newest = max(allowed, key=lambda line: line.came_up)
-        return newest if newest.came_up else super().pick(visit, allowed, now)
+        newest = max(allowed, key=lambda line: line.started_at)
+        return newest if newest.started_at else super().pick(visit, allowed, now)
 """,
 }
 
@@ -249,14 +249,14 @@
 def test_a_rested_connection_is_replaced_in_the_laboratory(monkeypatch):
     # Fails if the simulated balancer cannot close idle connections: unresponsive servers then break the run.
     fault = {"kind": "mute", "at_s": 1.5, "for_s": 2.5, "part": 0.4}
-    drop, idle_counts = bank.Balancer.drop, []
+    drop, idle_counts = bank.Balancer.close_idle_connections, []
 
     def counting_drop(self, upstream):
         before = len(self.idle.get(upstream, ()))
         drop(self, upstream)
         idle_counts.append((before, len(self.idle.get(upstream, ()))))
 
-    monkeypatch.setattr(bank.Balancer, "drop", counting_drop)
+    monkeypatch.setattr(bank.Balancer, "close_idle_connections", counting_drop)
     faulty = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
     assert any(before for before, _ in idle_counts) and not any(after for _, after in idle_counts)
     assert not any(faulty["breaches"].values()) and faulty["open"] == 0
@@ -265,7 +265,9 @@
 @pytest.mark.parametrize("front", [bank.Balancer, Instance, Turn])
 def test_every_front_has_all_that_the_decisions_may_call(front):
     calls = {name for name in vars(Host) if not name.startswith("_")}
-    assert {"send", "drop", "tell"} <= calls and not [name for name in calls if not hasattr(front, name)]
+    assert {"start_fetch", "close_idle_connections", "broadcast"} <= calls and not [
+        name for name in calls if not hasattr(front, name)
+    ]
 
 
 def test_overlapping_faults_are_taken_back_whole():
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -23,8 +23,8 @@
     target,
 )
 
-from ospreyline import facts
-from ospreyline.host import End, Kind, Scope
+from ospreyline import config
+from ospreyline.host import DedupScope, End, Kind
 from ospreyline.net.service import Service
 
 FETCHES = 3  # maximum fetches of a visit in `configuration`
@@ -75,9 +75,9 @@
 
 def settings_text(registry: Registry, old: bool = False) -> bytes:
     """Settings before (`old`) or after the switch, which moves prefixes, removes a zone, pushes the list."""
-    config = configuration([], registry.port)
+    raw_config = configuration([], registry.port)
     if not old:
-        settings = config["settings"]
+        settings = raw_config["settings"]
         read, tag, change = settings["PathPrefixes"]
         settings |= {
             "Dcs": ["a"],
@@ -88,11 +88,11 @@
             "Goal": {"Whole": 0.7, "Availability": 0.3, "FullAtNines": 3},
         }
         assert tag
-    return json.dumps(config).encode()
+    return json.dumps(raw_config).encode()
 
 
 def switch(service: Service, text: bytes) -> None:
-    service.reload(lambda: (facts.post(text, {}), None))
+    service.reload(lambda: (config.parse(text, {}), None))
 
 
 async def load(service: Service, path: str, stop: asyncio.Event, statuses: Counter[tuple[str, int]]) -> None:
@@ -181,7 +181,7 @@
             def accept_then_switch(found, by):
                 done = accept(found, by)
                 switch(service, settings_text(registry))  # in the same loop iteration, before the event batch
-                seen.append(next(iter(service.turn.visits.values())).handle.lane.kind)
+                seen.append(next(iter(service.turn.visits.values())).handle.request_class.kind)
                 return done
 
             service.turn.accept_request = accept_then_switch  # type: ignore[method-assign]
@@ -215,9 +215,9 @@
         peer, registry = SlowPeer(), Registry()
         await peer.start()
         await registry.start()
-        config = configuration([], registry.port)
-        config["settings"]["Discovery"] = mode
-        service = Service(asyncio.get_running_loop(), facts.post(json.dumps(config).encode(), {}))
+        raw_config = configuration([], registry.port)
+        raw_config["settings"]["Discovery"] = mode
+        service = Service(asyncio.get_running_loop(), config.parse(json.dumps(raw_config).encode(), {}))
         service.start()
         try:
             await registry.tell(4, target("u0", peer.port), whole=True)
@@ -244,17 +244,17 @@
     ],
 )
 def test_settings_that_cannot_be_used_are_refused_by_the_name_of_their_key(change, says):
-    config = configuration([], 7)
-    config["settings"] |= change
-    with pytest.raises(facts.FactError, match=says):
-        facts.post(json.dumps(config).encode(), {})
+    raw_config = configuration([], 7)
+    raw_config["settings"] |= change
+    with pytest.raises(config.ConfigError, match=says):
+        config.parse(json.dumps(raw_config).encode(), {})
 
 
 def apply_settings(host: FakeHost, lines: list, **terms: object) -> None:
     from dataclasses import replace
 
-    host.balancer.set_terms(host.now, replace(host.balancer._settings, **terms))
-    host.balancer.told_changes(host.now, lines, first=True)
+    host.balancer.apply_settings(host.now, replace(host.balancer._settings, **terms))
+    host.balancer.apply_list_changes(host.now, lines, is_first_list=True)
 
 
 @pytest.mark.parametrize("factor", [3.9, 0.0])
@@ -263,7 +263,7 @@
     host = FakeHost(lines, cold_from=0.5, overload_factor=4.0, warm_within=60_000.0)
     host.serve(400)
     lines[0] = listed(0, came_up=host.now)
-    host.balancer.told_changes(host.now, lines[:1])
+    host.balancer.apply_list_changes(host.now, lines[:1])
     cold = host.balancer._upstreams[0]
     while not cold.cold_sends:
         host.serve(1)
@@ -325,7 +325,7 @@
     host.serve(30)
     host.balancer._delivery_rate = 50.0
     visits = [host.take() for _ in range(18)]
-    waiting = [v for v in visits if v.held]
+    waiting = [v for v in visits if v.queued]
     assert waiting
     apply_settings(host, lines, prefixes=(prefix(Kind.MUTATING),))
     host.pass_time(2_500)
@@ -334,16 +334,16 @@
 
 def test_a_tagged_visit_is_not_repeated_once_its_zones_have_other_names():
     lines = [listed(i, zone=i // 2) for i in range(4)]
-    terms = (prefix(Kind.TAGGED, Scope.ZONE),)
+    terms = (prefix(Kind.TAGGED, DedupScope.ZONE),)
     host = FakeHost(lines, prefixes=terms, zones=2, zone_names=("a", "b"))
     visit = host.take()
-    host.balancer.set_terms(
+    host.balancer.apply_settings(
         host.now,
         host.balancer._settings.__class__(
             zone=0, zones=1, balancers=3, number=0, prefixes=terms, zone_names=("c",), ask_for_list=False
         ),
     )
-    host.balancer.told_changes(host.now, [listed(i) for i in range(4)], first=True)
+    host.balancer.apply_list_changes(host.now, [listed(i) for i in range(4)], is_first_list=True)
     host.end(visit, End.RESET)
     assert len(visit.fetches) == 1 and visit.tag in host.failed
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -27,11 +27,11 @@
 from test_lists import END, chunk, listing, served_by, settled
 from test_service import moved
 
-from ospreyline import asking, facts, operator
-from ospreyline.asking import Asking
+from ospreyline import call_schedule, config, operator_settings
+from ospreyline.call_schedule import CallSchedule
 from ospreyline.fleet import pace
 from ospreyline.fleet.lists import Lists
-from ospreyline.fleet.pace import Pace
+from ospreyline.fleet.pace import CallPacer
 from ospreyline.net import service as service_module
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.list_call import ListCall
@@ -96,56 +96,56 @@
         self.reachable_at = self.told_at = inf
         self.changed = False  # the phase is longer than the wait
         terms_now = self.balancer._settings
-        self.balancer._call_schedule.place = place
-        self.pace = Pace(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
+        self.balancer._call_schedule.phase = place
+        self.pace = CallPacer(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
         if self.pace is not None:
-            self.pace.place = place
+            self.pace.phase = place
         self.discovery = SimulatedDiscovery(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
-        self.wake(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
+        self.call_at(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
 
     def _tidy(self, now: float) -> None:
-        self.wake(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
+        self.call_at(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
         self.discovery.tidy()
 
     # as net/turn.py does it
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         if self.pace is None:
             self.discovery.watch(on)
         else:
-            self.pace.wanted(self.now)
+            self.pace.request_watch(self.now)
             self._plan()
 
     def _plan(self) -> None:
-        if self.pace is not None and self.pace.due < inf:
-            self.wake(self.pace.due, self._due)
+        if self.pace is not None and self.pace.next_call_at < inf:
+            self.call_at(self.pace.next_call_at, self._due)
 
     def _due(self, now: float) -> None:
-        if self.pace is not None and now >= self.pace.due:
-            self.pace.called(now)
+        if self.pace is not None and now >= self.pace.next_call_at:
+            self.pace.call_started(now)
             self._plan()
             self.discovery.watch(True)
 
     def _news(self, news: News) -> None:
         own = self.discovery.told_by_watch
         if self.pace is not None and own:
-            self.pace.told()
-        self.balancer.told_changes(self.now, [], own=own)
+            self.pace.call_answered()
+        self.balancer.apply_list_changes(self.now, [], from_own_watch=own)
         if self.now > self.reachable_at and own and news.targets:  # and the watch is open
             self.told_at = min(self.told_at, self.now)
 
     def _failed(self, failure: CallFailure) -> None:
         if self.pace is not None:
-            self.pace.failed(self.now, failure.retry_after)
+            self.pace.call_failed(self.now, failure.retry_after)
             self._plan()
-        self.balancer.told_nothing(self.now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(self.now, failure.lost, failure.turned_away)
 
     def _move(self, now: float) -> None:
         self.discovery.move(("", 1))
-        self.balancer.asked(now)
+        self.balancer.list_service_moved(now)
         if self.pace is not None:
-            self.pace.called(now, anew=True)
+            self.pace.call_started(now, new_service=True)
             self._plan()
 
     # what becomes of calls
@@ -163,7 +163,7 @@
             self.lost -= 1
             self._apply_outcome(call, "turned away")
         else:
-            self.wake(self.now + self.answer, lambda now: self._answer(call))
+            self.call_at(self.now + self.answer, lambda now: self._answer(call))
 
     def _receive(self, call: ListCall, news: News | None) -> None:
         if not call.over:
@@ -177,17 +177,17 @@
 
     def _apply_outcome(self, call: ListCall, outcome: str) -> None:
         if outcome == "refused":
-            self.wake(self.now + 1.0, lambda now: call.stop("refused"))
+            self.call_at(self.now + 1.0, lambda now: call.stop("refused"))
         elif outcome == "turned away":
             call.retry_after_ms, call.rejected = HOUR if self.now < self.reachable_at else 0.0, True
-            self.wake(self.now + QUEUE, lambda now: call.stop("status 503"))
+            self.call_at(self.now + QUEUE, lambda now: call.stop("status 503"))
         elif outcome == "moved":  # it is not answered, and SIGHUP names another service
-            self.wake(self.now + 300.0, self._move)
+            self.call_at(self.now + 300.0, self._move)
         elif outcome == "ends":  # a watch that was answered and ended
-            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
-            self.wake(self.now + 9.0, lambda now: call.stop("the watch has ended"))
+            self.call_at(self.now + 5.0, lambda now: self._receive(call, None))
+            self.call_at(self.now + 9.0, lambda now: call.stop("the watch has ended"))
         elif outcome == "spoke":  # a watch that was answered and then receives nothing
-            self.wake(self.now + 5.0, lambda now: self._receive(call, None))
+            self.call_at(self.now + 5.0, lambda now: self._receive(call, None))
 
     def play(self) -> float:
         """ms from when the service was reachable until the list was in effect; -inf for no such phase."""
@@ -265,35 +265,35 @@
     assert 3_000.0 < took <= NOTIFIED_AFTER, (chain, phase)
 
 
-class Growing(Asking):
+class Growing(CallSchedule):
     """Waits that are too long: they grow with each failure, and an open call is repeated after 4 s."""
 
     wait = 500.0
 
-    def called(self, now: float, anew: bool = False) -> None:
-        super().called(now, anew)
-        self.due = now + 4_000.0
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        super().call_started(now, new_service)
+        self.next_call_at = now + 4_000.0
 
-    def told(self) -> None:
-        super().told()
+    def call_answered(self) -> None:
+        super().call_answered()
         self.wait = 500.0
 
-    def failed(self, now: float, turned_away: bool = False) -> None:
-        self._told, self.due = False, now + self.wait * (0.5 + self.place)
+    def call_failed(self, now: float, rejected: bool = False) -> None:
+        self._answered, self.next_call_at = False, now + self.wait * (0.5 + self.phase)
         self.wait = min(2 * self.wait, 7_500.0)
 
 
-class SingleCall(Asking):
+class SingleCall(CallSchedule):
     """A schedule that makes no other call while one is open, answered or not."""
 
-    def called(self, now: float, anew: bool = False) -> None:
-        super().called(now, anew)
-        self.due = inf
+    def call_started(self, now: float, new_service: bool = False) -> None:
+        super().call_started(now, new_service)
+        self.next_call_at = inf
 
 
 @pytest.mark.parametrize("waits", [Growing, SingleCall])
 def test_the_walk_finds_waits_that_are_too_long(waits, monkeypatch):
-    monkeypatch.setattr("ospreyline.decide.Asking", waits)
+    monkeypatch.setattr("ospreyline.decide.CallSchedule", waits)
     took, _, _ = longest([*chains(5)][-700::3], 200, False, 1_000.0, 2)
     assert took > NOTIFIED_AFTER
 
@@ -315,11 +315,11 @@
 
 def test_a_period_lets_two_or_three_calls_of_any_bank_fit_and_a_bank_calls_no_faster_than_before():
     for balancers in range(1, 3_000):
-        period = asking.period_of(balancers, 30_000.0)
+        period = call_schedule.call_period_ms(balancers, 30_000.0)
         assert 1_400.0 <= period <= 2_200.0 and (period == 1_400.0) == (balancers <= 200)
         # a small bank overloads no service; hundreds call no more often than with grown waits
         assert balancers / period * 1e3 <= max(143.0, balancers / 2.2 + 1e-6)
-    assert asking.period_of(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
+    assert call_schedule.call_period_ms(200, 1_000.0) == 400.0  # well before `must_ask_in` is over
 
 
 # over loopback
@@ -328,9 +328,9 @@
 @pytest.fixture
 def short(monkeypatch):
     """Periods of 0.3 s, far below the time after which a call times out."""
-    monkeypatch.setattr(asking, "MIN_PERIOD_MS", 300.0)
-    monkeypatch.setattr(asking, "MAX_PERIOD_MS", 300.0)
-    monkeypatch.setattr(asking, "MAX_REJECTED_PERIOD_MS", 600.0)
+    monkeypatch.setattr(call_schedule, "MIN_PERIOD_MS", 300.0)
+    monkeypatch.setattr(call_schedule, "MAX_PERIOD_MS", 300.0)
+    monkeypatch.setattr(call_schedule, "MAX_REJECTED_PERIOD_MS", 600.0)
 
 
 class ScriptedRegistry(Registry):
@@ -369,7 +369,11 @@
     # the next call must not wait until the first one is given up after 2.5 s
     async def scenario():
         registry, peers = ScriptedRegistry(said), (Peer(ok(b"0")), Peer(ok(b"1")))
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: bool(registry.writers))
             assert len(registry.scripted) == 1  # the first is still open
@@ -426,9 +430,13 @@
 def test_a_service_that_turns_calls_away_is_asked_again_in_time_whatever_it_says(paced, short, monkeypatch):
     # neither rejections nor, with pacing, the Retry-After header may delay calls for too long
     async def scenario():
-        monkeypatch.setattr(pace, "HONOUR", 400.0)
+        monkeypatch.setattr(pace, "MAX_RETRY_AFTER_MS", 400.0)
         registry, peers = ScriptedRegistry(*[BUSY] * 6), (Peer(ok(b"0")), Peer(ok(b"1")))
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=registry, operator=on) as service:
             await registry.until(lambda: len(registry.requests) > 6)
             await registry.tell(40, target("u0", peers[0].port, state="leaving"))
@@ -492,14 +500,18 @@
         old, new = Registry(), ScriptedRegistry(b"")
         peers = Peer(ok(b"0")), Peer(ok(b"1"))
         await new.start()
-        on = operator.Operator(list=operator.Lists(calls_per_s=250.0)) if paced else None
+        on = (
+            operator_settings.OperatorSettings(list=operator_settings.ListSettings(calls_per_s=250.0))
+            if paced
+            else None
+        )
         async with running(*peers, registry=old, operator=on) as service:
             await old.tell(7)
             while (
                 service.turn._pace or service.turn.balancer._call_schedule
-            ).due < inf:  # until it is answered
+            ).next_call_at < inf:  # until it is answered
                 await asyncio.sleep(0)
-            service.reload(lambda: (moved_post(new), on))
+            service.reload(lambda: (moved_config(new), on))
             await new.until(lambda: len(new.scripted) == 1)
             await old.tell(8)  # updates on the former watch say nothing about the new one
             await new.until(lambda: bool(new.writers))
@@ -510,23 +522,23 @@
     play(scenario)
 
 
-def moved_post(registry: Registry) -> facts.Post:
-    return facts.post(json.dumps(configuration([], registry.port)).encode(), {})
+def moved_config(registry: Registry) -> config.ProxyConfig:
+    return config.parse(json.dumps(configuration([], registry.port)).encode(), {})
 
 
 def test_one_that_was_spared_by_others_asks_in_time_once_they_are_gone():
     # its own call may be up to 22 s away, as rare as the rule allows, and an earlier failure must not matter
-    rare = Pace(150, 200, 250.0, 30_000.0)
+    rare = CallPacer(150, 200, 250.0, 30_000.0)
     rare.start(0.0)
     for _ in range(3):
-        now = rare.due
-        rare.called(now)
-        rare.failed(now, told=True)
-    assert rare.due - now > 20_000.0
-    rare.hasten(now + 5_000.0)
-    assert rare.due - now <= 5_000.0 + rare.period
-    rare.hasten(now + 5_100.0)  # a repetition delays nothing
-    assert rare.due - now <= 5_000.0 + rare.period
+        now = rare.next_call_at
+        rare.call_started(now)
+        rare.call_failed(now, told=True)
+    assert rare.next_call_at - now > 20_000.0
+    rare.relays_lost(now + 5_000.0)
+    assert rare.next_call_at - now <= 5_000.0 + rare.period
+    rare.relays_lost(now + 5_100.0)  # a repetition delays nothing
+    assert rare.next_call_at - now <= 5_000.0 + rare.period
 
 
 def test_a_bank_says_when_nobody_asks_for_us_any_more(monkeypatch):
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -51,7 +51,7 @@
             if coming < end and coming <= due[0]:
                 host.pass_time(max(0.0, coming - host.now))
                 host.tags += 1
-                self.visits[host.tags] = host.balancer.take(host.now, host.tags, 0, 2_500.0, False)
+                self.visits[host.tags] = host.balancer.accept_visit(host.now, host.tags, 0, 2_500.0, False)
                 coming += self.step
             else:
                 host.pass_time(max(0.0, due[0] - host.now))
@@ -59,11 +59,11 @@
                 visit = self.visits[due[1]]
                 number = len(visit.fetches) - 1
                 end_is = End.DELIVERED if self.reached(due[2]) else End.UNREACHED
-                visit.ended(
+                visit.fetch_ended(
                     host.now,
                     number,
                     end_is,
-                    host.now - visit.fetches[number].sent,
+                    host.now - visit.fetches[number].sent_at,
                     end_is is End.DELIVERED,
                     (),
                 )
@@ -111,7 +111,7 @@
         def tell(host=host, told=told):
             if host.watches and not told:
                 told.append(host.now)
-                host.balancer.told_all(host.now, [listed(100 + i, zone=i % 3) for i in range(30)])
+                host.balancer.apply_list(host.now, [listed(100 + i, zone=i % 3) for i in range(30)])
 
         day = Day(host, per_s, lambda upstream: upstream >= 100).play(8, tell)
         assert host.watches[0] - began <= min(3_000.0, 500.0 + 10 * balancers) + TICK_MS
@@ -152,9 +152,9 @@
         visits = [host.take() for _ in range(out)]
         host.now += stop
         for visit in visits:
-            if visit.out:
+            if visit.in_flight:
                 f = visit.fetches[-1]
-                visit.ended(host.now, 0, told, host.now - f.sent, True, ())
+                visit.fetch_ended(host.now, 0, told, host.now - f.sent_at, True, ())
         since = host.now
         assert Day(host, per_s, lambda upstream: True).play(10).longest(since) < MAX_REJECTING_MS
 
