--- a/ospreyline/lab/arms.py
+++ b/ospreyline/lab/arms.py
@@ -23,6 +23,9 @@
 from ospreyline.lab.servers import Server
 from ospreyline.lab.words import ScenarioError
 
+FIRST_BACKOFF_MS = 500.0  # of a failed watch of the list; doubles up to the next
+MAX_BACKOFF_MS = 4_000.0
+
 
 class PolicyVisit:
     """The handle of one visit at a baseline policy (the calls of `decide.Visit`)."""
@@ -59,6 +62,7 @@
     def ended(
         self, now: float, number: int, end: End, spent: float, final: bool, report: tuple[float, ...]
     ) -> None:
+        """Fetch `number` has ended; `final`: the client has its answer."""
         if self.ends[number] is None:
             self.ends[number] = end
             self.in_flight -= 1
@@ -69,6 +73,7 @@
             self._policy.send_or_answer(self, now)
 
     def left(self, now: float) -> None:
+        """The client disconnected: cancels the fetches that are in flight."""
         self.done = True
         for number, end in enumerate(self.ends):
             if end is None:
@@ -86,7 +91,7 @@
         self.ready: list[Listed] = []
         self.in_flight: dict[int, int] = {}
         self._watch_established = not settings.ask_for_list
-        self._watch_backoff = 500.0
+        self._watch_backoff = FIRST_BACKOFF_MS
         if settings.ask_for_list:
             host.wake(now + self.random() * (500.0 + 10 * settings.balancers), self._start_watch)
 
@@ -104,13 +109,13 @@
 
     def told_changes(self, now: float, lines: list[Listed]) -> None:
         self._watch_established = True
-        self._watch_backoff = 500.0
+        self._watch_backoff = FIRST_BACKOFF_MS
         self._update_listed(lines)
 
     def told_nothing(self, now: float) -> None:
         self._watch_established = False
         self.host.wake(now + self._watch_backoff * (0.5 + self.random()), self._start_watch)
-        self._watch_backoff = min(2 * self._watch_backoff, 4_000.0)
+        self._watch_backoff = min(2 * self._watch_backoff, MAX_BACKOFF_MS)
 
     def probed(self, now: float, upstream: int, end: End, spent: float, report: tuple[float, ...]) -> None:
         pass
--- a/ospreyline/lab/command.py
+++ b/ospreyline/lab/command.py
@@ -123,14 +123,14 @@
     scenario: str, seed: int, arms: tuple[str, ...], settings: tuple[str, ...], out: Path | None, visits: str
 ) -> None:
     """Run SCENARIO once, a file or the name of a shipped one."""
-    from ospreyline.lab.run import play
+    from ospreyline.lab.run import run_scenario
 
     found = _load(scenario, settings)
     names = arms or ("ours",)
     for arm in names:
         folder = out / arm.replace("/", "_").replace(":", "_") if out and len(names) > 1 else out
         begun = perf_counter()
-        summary = play(found, seed, arm, folder, visits)
+        summary = run_scenario(found, seed, arm, folder, visits)
         click.echo(f"{_summary_line(summary)}; {perf_counter() - begun:.1f} s")
         if folder:
             click.echo(f"records in {folder}")
--- a/ospreyline/lab/run.py
+++ b/ospreyline/lab/run.py
@@ -331,7 +331,7 @@
     return float(locality.capacity if hasattr(locality, "capacity") else policy._capacity)
 
 
-def play(
+def run_scenario(
     scenario: Scenario, seed: int, arm: str = "ours", path: Path | None = None, visits: str = "none"
 ) -> dict[str, Any]:
     """Runs the scenario once; the summary. Records go to `path`, if given."""
--- a/ospreyline/lab/sweep.py
+++ b/ospreyline/lab/sweep.py
@@ -19,7 +19,7 @@
 import xxhash
 
 from ospreyline.lab import arms, records, scenario
-from ospreyline.lab.run import play
+from ospreyline.lab.run import run_scenario
 from ospreyline.lab.scenario import Scenario
 from ospreyline.lab.words import ScenarioError
 
@@ -74,7 +74,7 @@
 def _run_cell(base: Scenario, cell: Cell, target: Path) -> dict[str, Any]:
     """Runs one cell and writes its row to `target` atomically."""
     changed = scenario.change(base, dict(cell.settings))
-    summary = play(changed, cell.seed, cell.arm)
+    summary = run_scenario(changed, cell.seed, cell.arm)
     row = {"settings": dict(cell.settings), "seed": cell.seed, "arm": cell.arm, "summary": summary}
     partial = target.with_suffix(f".{os.getpid()}.part")
     partial.write_bytes(msgspec.json.encode(row, order="deterministic") + b"\n")
@@ -154,7 +154,7 @@
     if (folder / "summary.json").exists():
         summary = records.read_json(folder, "summary")
         return [{"settings": {}, "seed": summary["seed"], "arm": summary["arm"], "summary": summary}]
-    raise records.RecordError(f"{folder}: neither a run nor a sweep that was played to its end")
+    raise records.RecordError(f"{folder}: neither a run nor a sweep that has finished")
 
 
 def by_settings(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 from ospreyline.drill.frames import Instance
 from ospreyline.host import Host
 from ospreyline.lab import arms, bank, compare, records, scenario, servers, sweep, theory
-from ospreyline.lab.run import Run, play
+from ospreyline.lab.run import Run, run_scenario
 from ospreyline.lab.words import FAULTS, ScenarioError
 from ospreyline.lab.world import Streams, World
 from ospreyline.net.turn import Turn
@@ -102,7 +102,7 @@
 def test_the_same_seed_gives_the_same_bytes_wherever_it_is_played(tmp_path):
     settings = {"chance.count": 3}
     for name in ("one", "two"):
-        play(small(**settings), 5, "ours", tmp_path / name, "all")
+        run_scenario(small(**settings), 5, "ours", tmp_path / name, "all")
     names = sorted(p.name for p in (tmp_path / "one").iterdir())
     assert "visits.jsonl" in names and "beliefs.jsonl" in names
     for name in names:
@@ -178,8 +178,8 @@
         "cold": [{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.2}],
     }[rule]
     settings = {"faults": faults, "rules.drain_grace_ms": 200}
-    assert play(small(**settings), 1, f"file:{path}")["breaches"][rule]
-    assert not any(play(small(**settings), 1)["breaches"].values())
+    assert run_scenario(small(**settings), 1, f"file:{path}")["breaches"][rule]
+    assert not any(run_scenario(small(**settings), 1)["breaches"].values())
 
 
 def test_a_visit_that_nobody_answers_is_found(tmp_path):
@@ -192,7 +192,7 @@
             super().send_or_answer(visit, now)
 """
     )
-    assert play(small(), 1, f"file:{path}")["breaches"]["lost"]
+    assert run_scenario(small(), 1, f"file:{path}")["breaches"]["lost"]
 
 
 def test_a_bounce_that_promises_too_much_is_found(tmp_path):
@@ -206,14 +206,14 @@
 """
     )
     errors = [{"kind": "errors", "at_s": 1, "for_s": 4, "part": 1.0, "size": 1.0}]
-    assert play(small(faults=errors), 1, f"file:{path}")["breaches"]["twice"]
+    assert run_scenario(small(faults=errors), 1, f"file:{path}")["breaches"]["twice"]
 
 
 def test_a_mutating_visit_that_truly_ran_twice_is_counted(tmp_path):
     path = tmp_path / "bad.py"
     path.write_text(RULE_BREAKING_ARM + VIOLATIONS["twice"])
-    assert play(small(**{"servers.0.error_rate": 0.2}), 1, f"file:{path}")["effects_twice"]
-    assert not play(small(**{"servers.0.error_rate": 0.2}), 1)["effects_twice"]
+    assert run_scenario(small(**{"servers.0.error_rate": 0.2}), 1, f"file:{path}")["effects_twice"]
+    assert not run_scenario(small(**{"servers.0.error_rate": 0.2}), 1)["effects_twice"]
 
 
 def test_a_server_pushed_over_while_cold_dies_and_comes_back(tmp_path):
@@ -238,8 +238,8 @@
     size = {"zone-loss": 0.5, "burst": 1.8, "lossy": 0.02, "roll": 0.2, "restart": 0.3}.get(kind, 2.0)
     extra = {"zone-loss": 1.0, "heavy-tail": 0.05, "uneven": 2.0}.get(kind, 0.5)
     fault = {"kind": kind, "at_s": 1.5, "for_s": 2.5, "part": 0.4, "size": size, "extra": extra, "zone": ""}
-    quiet = play(small(**{"registry.mode": mode}), 3)
-    faulty = play(small(faults=[fault], **{"registry.mode": mode}), 3)
+    quiet = run_scenario(small(**{"registry.mode": mode}), 3)
+    faulty = run_scenario(small(faults=[fault], **{"registry.mode": mode}), 3)
     assert not any(faulty["breaches"].values())
     assert faulty["effects_twice"] == 0 and faulty["open"] == 0
     assert faulty["little"]["area"] == pytest.approx(faulty["little"]["sojourn"], rel=1e-9)
@@ -257,7 +257,7 @@
         idle_counts.append((before, len(self.idle.get(upstream, ()))))
 
     monkeypatch.setattr(bank.Balancer, "drop", counting_drop)
-    faulty = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
+    faulty = run_scenario(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
     assert any(before for before, _ in idle_counts) and not any(after for _, after in idle_counts)
     assert not any(faulty["breaches"].values()) and faulty["open"] == 0
 
@@ -303,7 +303,7 @@
 
 @pytest.mark.parametrize("arm", [*arms.BASELINES, "ours"])
 def test_every_arm_plays_a_day_of_faults(arm):
-    summary = play(small(**{"chance.count": 2, "chance.kinds": ["crash", "slow"]}), 2, arm)
+    summary = run_scenario(small(**{"chance.count": 2, "chance.kinds": ["crash", "slow"]}), 2, arm)
     assert summary["in_time"] > 0.5 and summary["breaches"]["lost"] == summary["breaches"]["twice"] == 0
 
 
@@ -368,7 +368,7 @@
 
 
 def test_a_broken_result_file_is_named_with_its_line(tmp_path):
-    play(small(), 1, path=tmp_path)
+    run_scenario(small(), 1, path=tmp_path)
     with (tmp_path / "time.jsonl").open("ab") as file:
         file.write(b'{"t": 7,\n')
     found = invoke("plot", tmp_path)
