--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -1,12 +1,12 @@
-"""The bank of balancers: each a front around the decisions, on the modelled network instead of sockets.
+"""The simulated balancers: each runs the decisions of one arm on the modelled network instead of sockets.
 
-A `Balancer` here is the `host.Host` of one arm: it carries out sends over connections that must be
-opened, ends them as the front on sockets words them, and keeps that front's habits (the connection last
-used first, closed before the server does, a send that waits for its connection withdrawn when the list
-says so, a backstop 15 ms past the client timeout). It decides nothing.
+`Balancer` implements `host.Host` for the decisions and makes none itself. It follows the real network front:
+it opens connections, reuses the most recently used one first, closes idle ones before the server does,
+aborts a fetch that still waits for its connection when the list withdraws the server, reports the same fetch
+ends, and answers a visit 15 ms after its client timeout if the decisions have not.
 
-Assumption on the core: where a turn costs time, what comes is told to the decisions one after the other,
-each that much later; timers are not.
+Assumption on CPU time: where handling an event costs time, visits and answers reach the decisions one after
+the other, each delayed by that cost; timers are not delayed.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from ospreyline.lab.servers import Job, Server
 from ospreyline.lab.world import Due, World
 
-KEEP_SHARE = 0.8  # of the time that a server keeps an idle connection, after which we close it
-BACKSTOP = 15.0  # ms past its client timeout at which a visit is answered whatever the decisions say
+IDLE_TIMEOUT_SHARE = 0.8  # of the keep-alive time; balancers close idle connections before servers do
+BACKSTOP_MS = 15.0  # after its client timeout a visit gets an error answer if the decisions gave none
 
 
 class Policy(Protocol):
-    """What an arm answers to: the calls of `decide.Balancer`."""
+    """The calls that an arm must implement, those of `decide.Balancer`."""
 
     def take(self, now: float, tag: int, prefix: int, ttl: float, repeat: bool) -> Any: ...
     def told_all(self, now: float, lines: list[Listed]) -> None: ...
@@ -45,7 +45,7 @@
 
 
 class Ask:
-    """One visit as a balancer is asked it: a client's try."""
+    """One try of a client's visit, as a balancer receives it; times in ms."""
 
     __slots__ = (
         "answer",
@@ -84,8 +84,8 @@
         repeat: bool,
         work: float,
     ) -> None:
-        self.number = number  # of all tries of the day
-        self.want = want  # of the client that sent it
+        self.number = number  # counts all tries of the simulation
+        self.want = want  # the `clients.Want` that this is a try of
         self.prefix = prefix
         self.zone = zone
         self.key = key
@@ -99,15 +99,15 @@
         self.tag = -1
         self.handle: Any = None
         self.shots: list[Shot] = []
-        self.answer = ""  # delivered, bounced, failed; cut if the balancer died
+        self.answer = ""  # delivered, bounced, failed, or cut if the balancer died
         self.answered_at = inf
         self.retry_after = 0.0
-        self.gone = False  # its client left
-        self.effects = 0  # times that it ran to its end
+        self.gone = False  # the client has closed its connection
+        self.effects = 0  # how many times a server executed it to the end
 
 
 class Shot:
-    """One backend fetch on the wire."""
+    """One backend fetch; times in ms."""
 
     __slots__ = (
         "ask",
@@ -115,9 +115,9 @@
         "connection",
         "end",
         "ended_at",
-        "fresh",
         "job",
         "number",
+        "on_new_connection",
         "sent",
         "server",
         "started",
@@ -134,9 +134,9 @@
         self.started = now
         self.time_out = time_out
         self.written = False
-        self.sent = inf  # its first and last byte left then
-        self.fresh = False  # on a connection that it had opened
-        self.connection: int | None = None  # the incarnation of the server it leads to
+        self.sent = inf  # when the whole request was sent
+        self.on_new_connection = False  # sent on a newly opened connection
+        self.connection: int | None = None  # its server's incarnation when it was opened
         self.job: Job | None = None
         self.end: End | None = None
         self.ended_at = inf
@@ -144,7 +144,7 @@
 
 
 class Watching(Protocol):
-    """Who is told what is on the wire: the referee and the records."""
+    """Receives the events of visits and fetches: the referee and the records."""
 
     def taken(self, ask: Ask) -> None: ...
     def sent(self, shot: Shot) -> None: ...
@@ -157,40 +157,40 @@
 
 
 class Reports:
-    """The servers' load figures as answers and probes carry them, refreshed now and then."""
+    """The servers' load reports in answers and probes, refreshed once per report period."""
 
     def __init__(self, world: World, scenario: Scenario, draw: Callable[[], float]) -> None:
         self._world = world
-        self._figures = scenario.reports
+        self._settings = scenario.reports
         self._draw = draw
-        self._last: dict[Server, tuple[float, int, tuple[float, ...]]] = {}
+        self._cached: dict[Server, tuple[float, int, tuple[float, ...]]] = {}
 
     def of(self, server: Server) -> tuple[float, ...]:
-        """Figures in the order of the settings; () where there are none."""
-        figures = self._figures
+        """The report of a server, in the order of the configured fields; () if reports are off."""
+        figures = self._settings
         if figures.via == "none":
             return ()
         now = self._world.now
-        at, incarnation, last = self._last.get(server, (-inf, -1, ()))
+        at, incarnation, last = self._cached.get(server, (-inf, -1, ()))
         if now - at >= figures.period_ms or incarnation != server.incarnation:
-            last = tuple(self._figure(server, field) for field in figures.fields)
-            self._last[server] = (now, server.incarnation, last)
+            last = tuple(self._measure(server, field) for field in figures.fields)
+            self._cached[server] = (now, server.incarnation, last)
         return last
 
-    def _figure(self, server: Server, field: str) -> float:
+    def _measure(self, server: Server, field: str) -> float:
         on_core = min(server.held, server.cores)
         value = {
             "in-flight": float(server.held),
             "queue": max(0.0, server.held - server.cores),
             "util": on_core / server.cores,
         }.get(field, 0.0)
-        if self._figures.noise:
-            value *= max(0.0, 1 + self._figures.noise * 3.46 * (self._draw() - 0.5))
+        if self._settings.noise:
+            value *= max(0.0, 1 + self._settings.noise * 3.46 * (self._draw() - 0.5))
         return value
 
 
 class Surroundings:
-    """What all balancers of a day stand in."""
+    """What all balancers of a simulation share."""
 
     def __init__(
         self,
@@ -210,85 +210,85 @@
         self.registry = registry
         self.reports = reports
         self.watching = watching
-        self.servers = servers  # by index; more may join
+        self.servers = servers  # by index; grows when servers are added
         self.terms = terms
         self.make = make
-        self.marks: list[int] = []
+        self._hash_keys: list[int] = []
         self.connect_timeout = scenario.links.connect_timeout_ms
-        self.keep_idle = KEEP_SHARE * scenario.links.keepalive_ms
-        self.trips = max(1.0, scenario.links.handshake_trips)
-        self.turn = scenario.bank.turn_us / 1e3 / scenario.bank.cores
+        self.idle_timeout_ms = IDLE_TIMEOUT_SHARE * scenario.links.keepalive_ms
+        self.handshake_trips = max(1.0, scenario.links.handshake_trips)
+        self.cpu_ms_per_event = scenario.bank.turn_us / 1e3 / scenario.bank.cores
         self.logged: list[tuple[float, int, str]] = []
-        self.seen: dict[tuple[int, int], list[float]] = {}  # of the far-seeing arm alone
+        self.seen: dict[tuple[int, int], list[float]] = {}  # used by the far-seeing arm only
 
     def mark(self, server: Server) -> int:
-        """The same number for a server at every balancer, for hashing only."""
-        while len(self.marks) < len(self.servers):
-            self.marks.append(xxhash.xxh3_64_intdigest(b"server %d" % len(self.marks)) >> 1)
-        return self.marks[server.index]
+        """The hash ring key of a server, the same at every balancer."""
+        while len(self._hash_keys) < len(self.servers):
+            self._hash_keys.append(xxhash.xxh3_64_intdigest(b"server %d" % len(self._hash_keys)) >> 1)
+        return self._hash_keys[server.index]
 
 
 class Balancer:
-    """One process of a balancer, from its start to its death; the host of its decisions."""
+    """One balancer process from start to death; the host of its decisions."""
 
     def __init__(
-        self, around: Surroundings, number: int, zone: int, seed: int, known: list[Line], known_number: int
+        self, around: Surroundings, number: int, zone: int, seed: int, known: list[Line], list_version: int
     ) -> None:
         self.around = around
         self.world = around.world
         self.number = number
         self.zone = zone
         self.living = True
-        self.asks: dict[int, Ask] = {}
-        self.tags = 0
-        self.idle: dict[
+        self.open_asks: dict[int, Ask] = {}
+        self._last_tag = 0
+        self.idle_connections: dict[
             int, list[tuple[float, int]]
-        ] = {}  # by server: when last used, incarnation; last used last
-        self.connecting: dict[int, dict[Shot, None]] = {}  # by server
-        self.listed: dict[int, Readiness] = {}
-        self.known = known_number  # changes of the list that it has been sent
+        ] = {}  # by server, oldest first: when last used, server incarnation
+        self.connecting: dict[int, dict[Shot, None]] = {}  # by server: fetches that wait for a connection
+        self.readiness: dict[int, Readiness] = {}
+        self.list_version = list_version  # number of list changes received
         self.busy_until = 0.0
-        self.turn = around.turn
+        self.cpu_ms_per_event = around.cpu_ms_per_event
         self.probes = 0
         now = self.world.now
         terms = around.terms(zone, number)
         self.policy = around.make(self, terms, seed, now)
-        self._list(known)
-        self.policy.told_all(now, [self._line(line) for line in known])
+        self._apply_list(known)
+        self.policy.told_all(now, [self._to_listed(line) for line in known])
         if around.scenario.registry.mode == "push":
             around.registry.subscribe(self)
-        self.world.after(around.keep_idle / 4 * (1 + number * 0.618 % 1), self._round)
+        self.world.after(around.idle_timeout_ms / 4 * (1 + number * 0.618 % 1), self._close_idle_connections)
 
-    # -- from clients ----------------------------------------------------------------------------------------
+    # -- visits from clients ---------------------------------------------------------------------------------
 
     def take(self, ask: Ask) -> None:
-        """A whole visit has come in."""
+        """Accept a visit that was received whole."""
         ask.balancer = self
         now = self.world.now
         ask.came = now
         ask.expires = ask.sent + ask.ttl
-        self.tags += 1
-        ask.tag = self.tags
-        self.asks[ask.tag] = ask
+        self._last_tag += 1
+        ask.tag = self._last_tag
+        self.open_asks[ask.tag] = ask
         self.around.watching.taken(ask)
-        self.world.at(ask.expires + BACKSTOP, self._backstop, ask)
-        self._turn(self._take, ask)
+        self.world.at(ask.expires + BACKSTOP_MS, self._backstop, ask)
+        self._after_cpu_delay(self._pass_to_decisions, ask)
 
-    def _take(self, ask: Ask) -> None:
+    def _pass_to_decisions(self, ask: Ask) -> None:
         now = self.world.now
         ask.handle = self.policy.take(now, ask.tag, ask.prefix, max(0.0, ask.expires - now), ask.repeat)
         if ask.gone:
             ask.handle.left(now)
-        self._tidy(ask)
+        self._discard_if_settled(ask)
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: Ask) -> None:
         """The client has closed its connection."""
         if self.living and not ask.answer:
             ask.gone = True
             self.around.watching.left(ask)
             if ask.handle is not None:
                 ask.handle.left(self.world.now)
-                self._tidy(ask)
+                self._discard_if_settled(ask)
 
     def _backstop(self, ask: Ask) -> None:
         if self.living and not ask.answer and not ask.gone:
@@ -296,10 +296,10 @@
             self._answer(ask, "failed")
             if ask.handle is not None:
                 ask.handle.left(self.world.now)
-                self._tidy(ask)
+                self._discard_if_settled(ask)
 
     def _answer(self, ask: Ask, answer: str) -> None:
-        """The one final answer."""
+        """Send the final answer of a visit, once."""
         if ask.answer or ask.gone:
             return
         ask.answer = answer
@@ -307,61 +307,61 @@
         self.around.watching.answered(ask)
         ask.want.heard(ask, self.around.links.client())
 
-    def _turn(self, call: Callable[..., None], *args: Any) -> None:
-        """Tell the decisions, as late as the core makes it."""
-        if not self.turn:
+    def _after_cpu_delay(self, call: Callable[..., None], *args: Any) -> None:
+        """Call the decisions after the CPU delay, one event after the other."""
+        if not self.cpu_ms_per_event:
             call(*args)
             return
-        self.busy_until = max(self.world.now, self.busy_until) + self.turn
-        self.world.at(self.busy_until, self._late, call, args)
+        self.busy_until = max(self.world.now, self.busy_until) + self.cpu_ms_per_event
+        self.world.at(self.busy_until, self._call_if_alive, call, args)
 
-    def _late(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _call_if_alive(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         if self.living:
             call(*args)
 
-    def _tidy(self, ask: Ask) -> None:
+    def _discard_if_settled(self, ask: Ask) -> None:
         if ask.handle is not None and ask.handle.settled:
-            self.asks.pop(ask.tag, None)
+            self.open_asks.pop(ask.tag, None)
 
     # -- the host's calls ------------------------------------------------------------------------------------
 
     def send(self, tag: int, upstream: int, time_out: float) -> None:
-        ask = self.asks[tag]
+        ask = self.open_asks[tag]
         now = self.world.now
         shot = Shot(self, ask, self.around.servers[upstream], now, time_out)
         ask.shots.append(shot)
-        shot.timer = self.world.after(max(0.0, time_out), self._expire, shot)
+        shot.timer = self.world.after(max(0.0, time_out), self._time_out, shot)
         server = shot.server
-        pool = self.idle.get(upstream)
+        pool = self.idle_connections.get(upstream)
         while pool:
             used, incarnation = pool.pop()
-            # one whose process has died was reset; one to a machine that has vanished looks as it did
-            if now - used < self.around.keep_idle and (
+            # connections to a dead process were reset; those to a vanished machine still look open
+            if now - used < self.around.idle_timeout_ms and (
                 server.vanished or (server.up and incarnation == server.incarnation)
             ):
                 shot.connection = incarnation
                 self._write(shot)
                 return
-            self._closed(server, incarnation)
+            self._close_connection(server, incarnation)
         self._connect(shot)
 
     def cancel(self, tag: int, fetch: int) -> None:
-        shot = self.asks[tag].shots[fetch]
+        shot = self.open_asks[tag].shots[fetch]
         if shot.end is None:
-            self._cut(shot, End.CANCELLED)
+            self._abort(shot, End.CANCELLED)
 
     def bounce(self, tag: int, retry_after: float) -> None:
-        ask = self.asks[tag]
+        ask = self.open_asks[tag]
         ask.retry_after = retry_after
         self._answer(ask, "bounced")
 
     def fail(self, tag: int) -> None:
-        self._answer(self.asks[tag], "failed")
+        self._answer(self.open_asks[tag], "failed")
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
-        self.world.at(at, self._wake, call)
+        self.world.at(at, self._fire_timer, call)
 
-    def _wake(self, call: Callable[[float], None]) -> None:
+    def _fire_timer(self, call: Callable[[float], None]) -> None:
         if self.living:
             call(self.world.now)
 
@@ -383,15 +383,15 @@
             self.policy.probed(self.world.now, server.index, end, spent, report)
 
     def drop(self, upstream: int) -> None:
-        for _, incarnation in self.idle.pop(upstream, []):
-            self._closed(self.around.servers[upstream], incarnation)
+        for _, incarnation in self.idle_connections.pop(upstream, []):
+            self._close_connection(self.around.servers[upstream], incarnation)
 
     def tell(self, message: bytes) -> None:
-        pass  # balancers are not modelled to reach one another; what is told is only ever a hint
+        pass  # messages between balancers are not modelled; the decisions use them as hints only
 
     def watch(self, on: bool) -> None:
         if on:
-            self.around.registry.watch(self, self.known)
+            self.around.registry.watch(self, self.list_version)
 
     def refresh(self) -> None:
         self.around.registry.refresh(self)
@@ -404,19 +404,19 @@
     def alive(self) -> bool:
         return self.living
 
-    def told(self, lines: list[Line], whole: bool, number: int) -> None:
-        self.known = max(self.known, number)
-        self._list(lines, whole)
-        listed = [self._line(line) for line in lines]
+    def receive_list(self, lines: list[Line], whole: bool, number: int) -> None:
+        self.list_version = max(self.list_version, number)
+        self._apply_list(lines, whole)
+        listed = [self._to_listed(line) for line in lines]
         if whole:
             self.policy.told_all(self.world.now, listed)
         else:
             self.policy.told_changes(self.world.now, listed)
 
-    def told_nothing(self) -> None:
+    def list_call_failed(self) -> None:
         self.policy.told_nothing(self.world.now)
 
-    def _line(self, line: Line) -> Listed:
+    def _to_listed(self, line: Line) -> Listed:
         server = line.server
         return Listed(
             server.index,
@@ -427,19 +427,19 @@
             max(0.0, line.started),
         )
 
-    def _list(self, lines: list[Line], whole: bool = False) -> None:
-        """Take in what the list says; what still waits for a connection to one withdrawn never leaves."""
-        news = {line.server.index: line.readiness for line in lines}
+    def _apply_list(self, lines: list[Line], whole: bool = False) -> None:
+        """Apply a list update; fetches waiting for a connection to a withdrawn server are aborted unsent."""
+        readiness_of = {line.server.index: line.readiness for line in lines}
         if whole:
-            news = {**{i: Readiness.GONE for i in self.listed}, **news}
-        for index, readiness in news.items():
-            if self.listed.get(index) is readiness:
+            readiness_of = {**{i: Readiness.GONE for i in self.readiness}, **readiness_of}
+        for index, readiness in readiness_of.items():
+            if self.readiness.get(index) is readiness:
                 continue
-            self.listed[index] = readiness
+            self.readiness[index] = readiness
             self.around.watching.told(self, self.around.servers[index], readiness)
             if readiness is not Readiness.READY:
                 for shot in list(self.connecting.get(index, ())):
-                    self._cut(shot, End.UNSENT)
+                    self._abort(shot, End.UNSENT)
 
     # -- fetches ---------------------------------------------------------------------------------------------
 
@@ -449,27 +449,27 @@
         trip = links.trip(self.zone, server.zone)
         limit = server.group.connections
         if server.vanished or trip == inf:
-            self.world.after(self.around.connect_timeout, self._unreached, shot)
+            self.world.after(self.around.connect_timeout, self._connect_failed, shot)
         elif not server.up or (limit and server.connections >= limit):
-            self.world.after(trip, self._unreached, shot)
-        elif trip * self.around.trips > self.around.connect_timeout:
-            self.world.after(self.around.connect_timeout, self._unreached, shot)
+            self.world.after(trip, self._connect_failed, shot)
+        elif trip * self.around.handshake_trips > self.around.connect_timeout:
+            self.world.after(self.around.connect_timeout, self._connect_failed, shot)
         else:
             server.connections += 1
-            self.world.after(trip * self.around.trips, self._connected, shot, server.incarnation)
+            self.world.after(trip * self.around.handshake_trips, self._connected, shot, server.incarnation)
 
-    def _unreached(self, shot: Shot) -> None:
+    def _connect_failed(self, shot: Shot) -> None:
         if shot.end is None:
-            self._ended(shot, End.UNREACHED, ())
+            self._finish_fetch(shot, End.UNREACHED, ())
 
     def _connected(self, shot: Shot, incarnation: int) -> None:
         if shot.end is not None or not self.living:
-            self._closed(shot.server, incarnation)
+            self._close_connection(shot.server, incarnation)
         elif not shot.server.up or shot.server.incarnation != incarnation:
-            self._unreached(shot)
+            self._connect_failed(shot)
         else:
             shot.connection = incarnation
-            shot.fresh = True
+            shot.on_new_connection = True
             self._write(shot)
 
     def _write(self, shot: Shot) -> None:
@@ -479,53 +479,53 @@
         self.around.watching.sent(shot)
         way = self.around.links.way(self.zone, shot.server.zone)
         if way < inf:
-            self.world.after(way, self._arrive, shot)
+            self.world.after(way, self._arrive_at_server, shot)
 
-    def _arrive(self, shot: Shot) -> None:
-        """At the server."""
+    def _arrive_at_server(self, shot: Shot) -> None:
+        """The request has reached its server."""
         server = shot.server
         if server.vanished or server.mute:
             return
         if not server.up or server.incarnation != shot.connection:
-            self._answer_with(shot, End.RESET, ())
+            self._send_response(shot, End.RESET, ())
             return
         ask = shot.ask
         prefix = self.around.scenario.prefixes[ask.prefix]
         job = Job(
-            ask.work, prefix.wait_ms, ask.key, shot.started + shot.time_out, partial(self._served, shot)
+            ask.work, prefix.wait_ms, ask.key, shot.started + shot.time_out, partial(self._job_finished, shot)
         )
         shot.job = job
-        accepted = server.arrive(job, shot.fresh, self.number)
+        accepted = server.arrive(job, shot.on_new_connection, self.number)
         self.around.watching.arrived(shot, job.work, accepted)
         if not accepted:
-            self._answer_with(shot, End.FULL, self.around.reports.of(server))
+            self._send_response(shot, End.FULL, self.around.reports.of(server))
         elif shot.end is not None and shot.end is not End.DELIVERED:
-            server.cancel(job)  # it was given up before it came
+            server.cancel(job)  # it was aborted before it arrived
 
-    def _served(self, shot: Shot, well: bool | None) -> None:
-        """The server has worked it off, or its process died with it."""
+    def _job_finished(self, shot: Shot, well: bool | None) -> None:
+        """The server has finished the job (True if without error), or its process died (None)."""
         if well is None:
-            self._answer_with(shot, End.RESET, ())
+            self._send_response(shot, End.RESET, ())
             return
         shot.ask.effects += 1
         self.around.watching.ran(shot)
         report = self.around.reports.of(shot.server) if self.around.scenario.reports.via == "answers" else ()
-        self._answer_with(shot, End.DELIVERED if well else End.ERRORED, report)
+        self._send_response(shot, End.DELIVERED if well else End.ERRORED, report)
 
-    def _answer_with(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
+    def _send_response(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
         way = self.around.links.way(shot.server.zone, self.zone)
         if way < inf:
-            self.world.after(way, self._back, shot, end, report)
+            self.world.after(way, self._receive_response, shot, end, report)
 
-    def _back(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
+    def _receive_response(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
         if shot.end is not None or not self.living:
             return
         if end is not End.RESET and shot.connection is not None:
-            self.idle.setdefault(shot.server.index, []).append((self.world.now, shot.connection))
+            self.idle_connections.setdefault(shot.server.index, []).append((self.world.now, shot.connection))
             shot.connection = None
-        self._turn(self._ended, shot, end, report)
+        self._after_cpu_delay(self._finish_fetch, shot, end, report)
 
-    def _ended(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
+    def _finish_fetch(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
         if shot.end is not None or not self.living:
             return
         now = self.world.now
@@ -533,9 +533,9 @@
         self.world.drop(shot.timer)
         self.connecting.get(shot.server.index, {}).pop(shot, None)
         self.around.watching.ended(shot)
-        self._tell(shot, report)
+        self._report_end(shot, report)
 
-    def _tell(self, shot: Shot, report: tuple[float, ...]) -> None:
+    def _report_end(self, shot: Shot, report: tuple[float, ...]) -> None:
         ask = shot.ask
         end = shot.end
         assert end is not None
@@ -544,62 +544,62 @@
             self._answer(ask, "delivered")
         if ask.handle is not None:
             ask.handle.ended(self.world.now, shot.number, end, self.world.now - shot.started, final, report)
-            self._tidy(ask)
+            self._discard_if_settled(ask)
 
-    def _expire(self, shot: Shot) -> None:
+    def _time_out(self, shot: Shot) -> None:
         if shot.end is None and self.living:
-            self._cut(shot, End.TIMED_OUT if shot.written else End.UNREACHED)
+            self._abort(shot, End.TIMED_OUT if shot.written else End.UNREACHED)
 
-    def _cut(self, shot: Shot, end: End) -> None:
-        """We give a fetch up: its connection is closed, and the decisions hear of it next."""
+    def _abort(self, shot: Shot, end: End) -> None:
+        """Abort a fetch: close its connection and report the end to the decisions in the next event."""
         now = self.world.now
         shot.end, shot.ended_at = end, now
         self.world.drop(shot.timer)
         self.connecting.get(shot.server.index, {}).pop(shot, None)
         if shot.connection is not None:
             if end is End.TIMED_OUT:
-                # connections that have not answered since it was sent may be as dead as its own
-                pool = self.idle.get(shot.server.index, [])
+                # connections without an answer since it was sent may be dead, too
+                pool = self.idle_connections.get(shot.server.index, [])
                 for used, incarnation in [c for c in pool if c[0] < shot.sent]:
                     pool.remove((used, incarnation))
-                    self._closed(shot.server, incarnation)
-            self._closed(shot.server, shot.connection, shot)
+                    self._close_connection(shot.server, incarnation)
+            self._close_connection(shot.server, shot.connection, shot)
         self.around.watching.ended(shot)
-        self.world.after(0.0, self._told_cut, shot)
+        self.world.after(0.0, self._report_abort, shot)
 
-    def _told_cut(self, shot: Shot) -> None:
+    def _report_abort(self, shot: Shot) -> None:
         if self.living:
-            self._tell(shot, ())
+            self._report_end(shot, ())
 
-    def _closed(self, server: Server, incarnation: int, shot: Shot | None = None) -> None:
-        """The end of a connection reaches the server, if anything does."""
+    def _close_connection(self, server: Server, incarnation: int, shot: Shot | None = None) -> None:
+        """Close a connection; the server learns of it unless the network path is cut."""
         way = self.around.links.way(self.zone, server.zone)
         if way < inf:
-            self.world.after(way, self._close_there, server, incarnation, shot)
+            self.world.after(way, self._close_at_server, server, incarnation, shot)
 
     @staticmethod
-    def _close_there(server: Server, incarnation: int, shot: Shot | None) -> None:
+    def _close_at_server(server: Server, incarnation: int, shot: Shot | None) -> None:
         if server.up and server.incarnation == incarnation:
             server.connections = max(0, server.connections - 1)
             if shot is not None and shot.job is not None:
                 server.cancel(shot.job)
 
-    def _round(self) -> None:
-        """Close what has been idle for long, before the other side does."""
+    def _close_idle_connections(self) -> None:
+        """Periodically close connections near the server's keep-alive time, before the server does."""
         if not self.living:
             return
-        before = self.world.now - self.around.keep_idle
-        for index, pool in self.idle.items():
+        before = self.world.now - self.around.idle_timeout_ms
+        for index, pool in self.idle_connections.items():
             while pool and pool[0][0] <= before:
-                self._closed(self.around.servers[index], pool.pop(0)[1])
-        self.world.after(self.around.keep_idle / 4, self._round)
+                self._close_connection(self.around.servers[index], pool.pop(0)[1])
+        self.world.after(self.around.idle_timeout_ms / 4, self._close_idle_connections)
 
-    # -- its end ---------------------------------------------------------------------------------------------
+    # -- process end -----------------------------------------------------------------------------------------
 
     def die(self) -> None:
-        """The process is killed: its connections end, its clients see that."""
+        """Kill the process: its connections close and its clients see their visits cut."""
         self.living = False
-        for ask in self.asks.values():
+        for ask in self.open_asks.values():
             if not ask.answer and not ask.gone:
                 ask.answer = "cut"
                 ask.answered_at = self.world.now
@@ -610,7 +610,7 @@
                     self.world.drop(shot.timer)
                     shot.end, shot.ended_at = End.CANCELLED, self.world.now
                     if shot.connection is not None:
-                        self._closed(shot.server, shot.connection, shot)
-        for index, pool in self.idle.items():
+                        self._close_connection(shot.server, shot.connection, shot)
+        for index, pool in self.idle_connections.items():
             for _, incarnation in pool:
-                self._closed(self.around.servers[index], incarnation)
+                self._close_connection(self.around.servers[index], incarnation)
--- a/ospreyline/lab/clients.py
+++ b/ospreyline/lab/clients.py
@@ -257,7 +257,7 @@
     def _leave(self, want: Want, ask: Ask) -> None:
         """The client gives the try up: its time is over, or it has none of it left."""
         if ask.balancer is not None and ask.balancer.living:
-            self.world.after(self.links.client(), ask.balancer.left, ask)
+            self.world.after(self.links.client(), ask.balancer.client_left, ask)
         if want.asked is not ask:
             return
         want.asked = None
--- a/ospreyline/lab/faults.py
+++ b/ospreyline/lab/faults.py
@@ -336,7 +336,7 @@
             if self.run.scenario.registry.mode == "push":
                 for balancer in self.run.front.living:
                     if balancer is not None:
-                        registry.watch(balancer, balancer.known)
+                        registry.watch(balancer, balancer.list_version)
 
         return undo
 
--- a/ospreyline/lab/registry.py
+++ b/ospreyline/lab/registry.py
@@ -30,8 +30,8 @@
 class Watcher(Protocol):
     """Who asks for the list."""
 
-    def told(self, lines: list[Line], whole: bool, number: int) -> None: ...
-    def told_nothing(self) -> None: ...
+    def receive_list(self, lines: list[Line], whole: bool, number: int) -> None: ...
+    def list_call_failed(self) -> None: ...
     def alive(self) -> bool: ...
 
 
@@ -106,7 +106,7 @@
 
     def refresh(self, who: Watcher) -> None:
         """A call for the whole list, once."""
-        self._call(who, lambda: who.told(list(self._now_listed.values()), True, len(self._changes)))
+        self._call(who, lambda: who.receive_list(list(self._now_listed.values()), True, len(self._changes)))
 
     def subscribe(self, who: Watcher) -> None:
         """A watch that needs no call, from the start of the day."""
@@ -139,11 +139,11 @@
 
     def _say_nothing(self, who: Watcher) -> None:
         if who.alive():
-            who.told_nothing()
+            who.list_call_failed()
 
     def _subscribe(self, who: Watcher, known: int) -> None:
         self._watches[who] = len(self._changes)
-        who.told(self._since(known), False, len(self._changes))
+        who.receive_list(self._since(known), False, len(self._changes))
 
     def _since(self, known: int) -> list[Line]:
         """The last word on each server that changed since."""
@@ -164,7 +164,7 @@
 
     def _send(self, who: Watcher, lines: list[Line], number: int) -> None:
         if who.alive() and who in self._watches:
-            who.told(lines, False, number)
+            who.receive_list(lines, False, number)
 
     def end_watches(self) -> None:
         """All watches end, which each balancer notices at once."""
--- a/ospreyline/lab/servers.py
+++ b/ospreyline/lab/servers.py
@@ -152,7 +152,7 @@
         self.since_start = 0  # visits done
         self._memory: OrderedDict[int, float] = OrderedDict()
 
-    # -- process --------------------------------------------------------------------------------------------
+    # -- process ---------------------------------------------------------------------------------------------
 
     def start(self, warm: bool = False) -> None:
         """A new process begins, cold unless the scenario's day begins with it."""
@@ -179,7 +179,7 @@
             for job in lost:
                 job.done(None)
 
-    # -- capacity -------------------------------------------------------------------------------------------
+    # -- capacity --------------------------------------------------------------------------------------------
 
     def warmth(self) -> float:
         """Its share of the whole capacity."""
@@ -204,7 +204,7 @@
         """ms of work at speed 1 that it does in a ms."""
         return self.speed() * self.cores * (1 - min(0.9, self.cores_lost))
 
-    # -- visits ---------------------------------------------------------------------------------------------
+    # -- visits ----------------------------------------------------------------------------------------------
 
     def arrive(self, job: Job, new_connection: bool, caller: int) -> bool:
         """A fetch has come whole; False if it is turned away unseen."""
@@ -355,7 +355,7 @@
         self._fill()
         job.done(well)
 
-    # -- what changes by itself -----------------------------------------------------------------------------
+    # -- what changes by itself ------------------------------------------------------------------------------
 
     def _look(self) -> None:
         self._tick = self._world.after(STEP, self._look)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -252,9 +252,9 @@
     drop, idle = bank.Balancer.drop, []
 
     def dropped(self, upstream):
-        before = len(self.idle.get(upstream, ()))
+        before = len(self.idle_connections.get(upstream, ()))
         drop(self, upstream)
-        idle.append((before, len(self.idle.get(upstream, ()))))
+        idle.append((before, len(self.idle_connections.get(upstream, ()))))
 
     monkeypatch.setattr(bank.Balancer, "drop", dropped)
     met = play(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
