--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -305,7 +305,7 @@
         ask.answer = answer
         ask.answered_at = self.world.now
         self.around.watching.answered(ask)
-        ask.want.heard(ask, self.around.links.client())
+        ask.want.answer_sent(ask, self.around.links.client())
 
     def _after_cpu_delay(self, call: Callable[..., None], *args: Any) -> None:
         """Call the decisions after the CPU delay, one event after the other."""
@@ -604,7 +604,7 @@
                 ask.answer = "cut"
                 ask.answered_at = self.world.now
                 self.around.watching.answered(ask)
-                ask.want.heard(ask, self.around.links.client())
+                ask.want.answer_sent(ask, self.around.links.client())
             for shot in ask.shots:
                 if shot.end is None:
                     self.world.drop(shot.timer)
--- a/ospreyline/lab/clients.py
+++ b/ospreyline/lab/clients.py
@@ -1,11 +1,11 @@
-"""The model of clients, and of the front that deals their visits out among the balancers of their zone.
-
-Assumptions. First tries come as a Poisson stream whose rate may swing, ramp and burst, and do not wait
-for answers; beside them closed clients may think, ask and wait. A client gives each try a share of its
-whole client timeout, comes again after a bounce (as long as it was told, or after its own backoff), a cut
-connection or, where that is harmless, an error, and gives up when its time or its tries are over. The
-front notices a dead balancer after a while; until then visits dealt to it are cut at once. What is wanted
-is counted by first tries: an answer within the target latency of the first one earns the gain.
+"""The model of clients, and of the front that distributes their visits among the balancers of their zone.
+
+Assumptions. First tries arrive as a Poisson process whose rate may swing, ramp and burst, and do not wait for
+answers (open load); closed clients may think, send a visit and wait. A client gives each try a share of its
+client timeout, retries after a bounce (after its Retry-After or the client's own backoff), a cut connection
+or, where that is harmless, an error, and gives up when its time or its tries are used up. The front notices
+a dead balancer with a delay; until then visits sent to it are cut at once. Goodput is counted by first try: a
+delivery within the target latency, measured from the first try, earns the gain.
 """
 
 from __future__ import annotations
@@ -20,50 +20,55 @@
 
 
 class Front:
-    """Which balancer a visit comes to: by weight among those of its zone that are thought to live."""
+    """Chooses the balancer of a visit: by weight among those of its zone that it takes for alive."""
 
     def __init__(self, world: World, scenario: Scenario, streams: Streams, zones: list[int]) -> None:
         self._world = world
         self._draw = streams.uniform("front")
-        self._notice = scenario.bank.notice_ms
+        self._notice_ms = scenario.bank.notice_ms
         draw = streams.uniform("skew")
         skew = sampler("lognormal" if scenario.bank.skew else "const", 1.0, scenario.bank.skew)
         self.weights = [skew(draw) for _ in zones]
-        self.zones = zones  # of each balancer, by number
+        self.zones = zones  # zone of each balancer, by number
         self.living: list[Balancer | None] = [None] * len(zones)
-        self._open = [True] * len(zones)  # as the front sees it
-        self._closing: list[Due | None] = [None] * len(zones)
+        self._in_rotation = [True] * len(zones)  # by number: whether the front sends it visits
+        self._removals: list[Due | None] = [None] * len(zones)
         self._pickers: dict[int, tuple[list[int], Picker] | None] = {}
 
     def ready(self, balancer: Balancer) -> None:
-        """A balancer answers as ready: it is dealt visits from now on."""
+        """A balancer reports ready: it gets visits from now on."""
         number = balancer.number
         self.living[number] = balancer
-        self._world.drop(self._closing[number])
-        self._closing[number] = None
-        if not self._open[number]:
-            self._open[number] = True
+        self._world.drop(self._removals[number])
+        self._removals[number] = None
+        if not self._in_rotation[number]:
+            self._in_rotation[number] = True
             self._pickers.clear()
 
     def died(self, number: int, told: bool = False) -> None:
-        """One has died; told: it left by itself, so that nothing more is dealt to it."""
+        """A balancer has died; `told`: it announced that it stops, so it gets no more visits at once."""
         self.living[number] = None
-        self._world.drop(self._closing[number])
+        self._world.drop(self._removals[number])
         if told:
-            self._shut(number)
+            self._remove_from_rotation(number)
         else:
-            low, high = self._notice
-            self._closing[number] = self._world.after(low + (high - low) * self._draw(), self._shut, number)
+            low, high = self._notice_ms
+            self._removals[number] = self._world.after(
+                low + (high - low) * self._draw(), self._remove_from_rotation, number
+            )
 
-    def _shut(self, number: int) -> None:
-        self._open[number] = False
+    def _remove_from_rotation(self, number: int) -> None:
+        self._in_rotation[number] = False
         self._pickers.clear()
 
-    def deal(self, zone: int) -> Balancer | None:
-        """The balancer a visit of the zone comes to; None if that one is dead, or no one is left."""
+    def choose_balancer(self, zone: int) -> Balancer | None:
+        """The balancer for a visit of a zone; None if the chosen one is dead or there is none.
+
+        Balancers of other zones are used only if the zone has none.
+        """
         if zone not in self._pickers:
-            numbers = [n for n, z in enumerate(self.zones) if z == zone and self._open[n]] or [
-                n for n in range(len(self.zones)) if self._open[n]
+            numbers = [n for n, z in enumerate(self.zones) if z == zone and self._in_rotation[n]] or [
+                n for n in range(len(self.zones)) if self._in_rotation[n]
             ]
             self._pickers[zone] = (numbers, Picker([self.weights[n] for n in numbers])) if numbers else None
         found = self._pickers[zone]
@@ -74,23 +79,23 @@
 
 
 class Want:
-    """What one client wants: a first try and those that follow it."""
+    """One request of a client: its first try and its retries."""
 
     __slots__ = (
         "_clients",
-        "asked",
         "asks",
-        "ended",
+        "current_ask",
+        "deadline",
         "first",
         "key",
-        "leaving",
+        "leave_timer",
+        "on_end",
         "outcome",
         "patience",
         "prefix",
         "since",
         "tenant",
         "tries",
-        "until",
         "work",
         "zone",
     )
@@ -103,24 +108,24 @@
         self.key = key
         self.work = work
         self.since = clients.world.now
-        terms = clients.scenario.prefixes[prefix]
-        self.until = self.since + terms.timeout_ms
+        settings = clients.scenario.prefixes[prefix]
+        self.deadline = self.since + settings.timeout_ms
         self.patience = inf
         self.tries = 0
-        self.asked: Ask | None = None
+        self.current_ask: Ask | None = None
         self.asks: list[Ask] = []
-        self.first = 0  # number of its first try
-        self.leaving: Due | None = None
+        self.first = 0  # number of its first try, over all clients
+        self.leave_timer: Due | None = None
         self.outcome = ""  # in time, late, failed
-        self.ended: Callable[[Want], None] | None = None
+        self.on_end: Callable[[Want], None] | None = None
 
-    def heard(self, ask: Ask, way: float) -> None:
-        """An answer is on its way to the client."""
+    def answer_sent(self, ask: Ask, way: float) -> None:
+        """An answer was sent and reaches the client in `way` ms."""
         self._clients.world.after(way, self._clients.answered, self, ask)
 
 
 class Clients:
-    """All clients of a day."""
+    """All clients of a simulation."""
 
     def __init__(
         self,
@@ -129,95 +134,95 @@
         links: Links,
         streams: Streams,
         front: Front,
-        counted: Callable[[Want], None],
-        numbered: Callable[[Ask], None],
+        want_finished: Callable[[Want], None],
+        try_sent: Callable[[Ask], None],
     ) -> None:
         self.world = world
         self.scenario = scenario
         self.links = links
         self.front = front
-        self._counted = counted  # called when a want has come to its end
-        self._numbered = numbered  # called with each try as it is sent
-        self._arrivals = streams.uniform("arrivals")
-        self._traits = streams.uniform("traits")
-        self._works = streams.uniform("work")
-        self._manners = streams.uniform("manners")
+        self._want_finished = want_finished  # called when a want has ended
+        self._try_sent = try_sent  # called with each try as it is sent
+        self._arrival_draws = streams.uniform("arrivals")
+        self._trait_draws = streams.uniform("traits")
+        self._work_draws = streams.uniform("work")
+        self._retry_draws = streams.uniform("manners")
         load = scenario.load
         self._zone_weights = list(scenario.zones.traffic) or [1.0] * len(scenario.zones.names)
-        self._zones = Picker(self._zone_weights)
-        self._prefixes = Picker([p.share for p in scenario.prefixes])
-        self._tenants = Picker([t.share for t in scenario.tenants]) if scenario.tenants else None
-        self._keys = zipf(load.keys, load.zipf) if load.keys else None
-        self._sample = [sampler(p.dist, p.work_ms, p.cv) for p in scenario.prefixes]
-        self._rate = scenario.rate() / 1e3  # a ms
-        self.factor = 1.0  # of the rate, by faults
-        self.heavy: dict[int, tuple[float, float]] = {}  # by prefix: share of its visits, times the work
+        self._zone_picker = Picker(self._zone_weights)
+        self._prefix_picker = Picker([p.share for p in scenario.prefixes])
+        self._tenant_picker = Picker([t.share for t in scenario.tenants]) if scenario.tenants else None
+        self._key_picker = zipf(load.keys, load.zipf) if load.keys else None
+        self._samplers = [sampler(p.dist, p.work_ms, p.cv) for p in scenario.prefixes]
+        self._rate_per_ms = scenario.rate() / 1e3  # of first tries
+        self.factor = 1.0  # of the rate, set by faults
+        self.heavy_work: dict[int, tuple[float, float]] = {}  # by prefix: share of heavy visits, work factor
         self.tries = 0
         self.open = 0
-        self._end = scenario.day.seconds * 1e3
+        self._end_ms = scenario.day.seconds * 1e3
 
     def begin(self) -> None:
-        if self._rate:
-            self.world.after(0.0, self._next)
+        if self._rate_per_ms:
+            self.world.after(0.0, self._next_arrival)
         think = self.scenario.load.think_ms
         for _ in range(self.scenario.load.closed):
-            self.world.after(think * self._arrivals(), self._think)
+            self.world.after(think * self._arrival_draws(), self._start_closed)
 
     def skew(self, zone: int, times: float) -> None:
-        """A zone is asked so many times its share."""
+        """Multiply the share of the traffic that comes from a zone."""
         self._zone_weights[zone] *= times
-        self._zones = Picker(self._zone_weights)
+        self._zone_picker = Picker(self._zone_weights)
 
     def rate(self) -> float:
-        """First tries a ms now."""
+        """Current rate of first tries per ms."""
         load, now = self.scenario.load, self.world.now
-        rate = self._rate * self.factor
+        rate = self._rate_per_ms * self.factor
         if load.swing:
             rate *= 1 + load.swing * sin(2 * pi * now / (1e3 * load.period_s))
         if load.ramp:
-            rate *= 1 + load.ramp * now / self._end
+            rate *= 1 + load.ramp * now / self._end_ms
         return rate
 
-    def _next(self) -> None:
-        """One first try, or none where the rate is under its top, and the time of the next."""
-        if self.world.now >= self._end:
+    def _next_arrival(self) -> None:
+        """Send one first try with probability rate / top rate, and schedule the next candidate."""
+        if self.world.now >= self._end_ms:
             return
         load = self.scenario.load
-        # thinned from a stream at the top rate, so that a change of rate acts at once
-        top = self._rate * max(1.0, self.factor) * (1 + load.swing) * (1 + load.ramp)
-        if self._arrivals() < self.rate() / top:
-            self._want(None)
-        self.world.after(exponential(self._arrivals(), 1 / top), self._next)
-
-    def _think(self) -> None:
-        if self.world.now < self._end:
-            self._want(self._thinks_again)
-
-    def _thinks_again(self, want: Want) -> None:
-        self.world.after(exponential(self._arrivals(), self.scenario.load.think_ms), self._think)
-
-    def _want(self, ended: Callable[[Want], None] | None) -> None:
-        draw = self._traits
-        prefix = self._prefixes.at(draw())
-        key = 1 + self._keys.at(draw()) if self._keys else 0
-        tenant = self._tenants.at(draw()) if self._tenants else -1
-        zone = self._zones.at(draw())
-        work = self._sample[prefix](self._works)
-        if self.heavy and prefix in self.heavy:
-            share, times = self.heavy[prefix]
+        # thinning of a Poisson process at the top rate, so that a change of rate takes effect at once
+        top = self._rate_per_ms * max(1.0, self.factor) * (1 + load.swing) * (1 + load.ramp)
+        if self._arrival_draws() < self.rate() / top:
+            self._start_want(None)
+        self.world.after(exponential(self._arrival_draws(), 1 / top), self._next_arrival)
+
+    def _start_closed(self) -> None:
+        if self.world.now < self._end_ms:
+            self._start_want(self._think)
+
+    def _think(self, want: Want) -> None:
+        self.world.after(exponential(self._arrival_draws(), self.scenario.load.think_ms), self._start_closed)
+
+    def _start_want(self, on_end: Callable[[Want], None] | None) -> None:
+        draw = self._trait_draws
+        prefix = self._prefix_picker.at(draw())
+        key = 1 + self._key_picker.at(draw()) if self._key_picker else 0
+        tenant = self._tenant_picker.at(draw()) if self._tenant_picker else -1
+        zone = self._zone_picker.at(draw())
+        work = self._samplers[prefix](self._work_draws)
+        if self.heavy_work and prefix in self.heavy_work:
+            share, times = self.heavy_work[prefix]
             if draw() < share:
                 work *= times
         want = Want(self, prefix, zone, tenant, key, work)
-        want.ended = ended
+        want.on_end = on_end
         impatient = self.scenario.clients.impatient
         if impatient and draw() < impatient:
-            want.patience = draw() * (want.until - want.since)
+            want.patience = draw() * (want.deadline - want.since)
         self.open += 1
         self._try(want)
 
     def _try(self, want: Want) -> None:
-        now, terms = self.world.now, self.scenario.prefixes[want.prefix]
-        ttl = min(want.until - now, self.scenario.clients.patience * terms.timeout_ms)
+        now, settings = self.world.now, self.scenario.prefixes[want.prefix]
+        ttl = min(want.deadline - now, self.scenario.clients.patience * settings.timeout_ms)
         want.tries += 1
         self.tries += 1
         ask = Ask(
@@ -232,19 +237,19 @@
             want.tries > 1 and self.scenario.clients.marks,
             want.work,
         )
-        want.asked = ask
+        want.current_ask = ask
         want.asks.append(ask)
         want.first = want.first or ask.number
-        self._numbered(ask)
-        balancer = self.front.deal(want.zone)
+        self._try_sent(ask)
+        balancer = self.front.choose_balancer(want.zone)
         if balancer is None:
             ask.answer = "cut"
             ask.answered_at = now
-            want.heard(ask, 2 * self.links.client())
+            want.answer_sent(ask, 2 * self.links.client())
             return
         self.world.after(self.links.client(), self._deliver, balancer, ask)
-        leaves = min(now + ttl, want.since + want.patience)
-        want.leaving = self.world.at(leaves, self._leave, want, ask)
+        leave_at = min(now + ttl, want.since + want.patience)
+        want.leave_timer = self.world.at(leave_at, self._give_up, want, ask)
 
     def _deliver(self, balancer: Balancer, ask: Ask) -> None:
         if balancer.living:
@@ -252,34 +257,34 @@
         elif not ask.answer:
             ask.answer = "cut"
             ask.answered_at = self.world.now
-            ask.want.heard(ask, self.links.client())
+            ask.want.answer_sent(ask, self.links.client())
 
-    def _leave(self, want: Want, ask: Ask) -> None:
-        """The client gives the try up: its time is over, or it has none of it left."""
+    def _give_up(self, want: Want, ask: Ask) -> None:
+        """The client gives up a try because of the try's timeout or its own patience."""
         if ask.balancer is not None and ask.balancer.living:
             self.world.after(self.links.client(), ask.balancer.client_left, ask)
-        if want.asked is not ask:
+        if want.current_ask is not ask:
             return
-        want.asked = None
+        want.current_ask = None
         if self.world.now >= want.since + want.patience:
-            self._over(want, "failed")
+            self._finish(want, "failed")
         else:
-            self._again(want, ask, "left")
+            self._retry_or_fail(want, ask, "left")
 
     def answered(self, want: Want, ask: Ask) -> None:
-        """The client has the answer to a try."""
-        if want.asked is not ask:
-            return  # it had given it up
-        want.asked = None
-        self.world.drop(want.leaving)
+        """The client has received the answer to a try."""
+        if want.current_ask is not ask:
+            return  # the client had given up this try
+        want.current_ask = None
+        self.world.drop(want.leave_timer)
         if ask.answer == "delivered":
             late = self.world.now - want.since > self.scenario.prefixes[want.prefix].target_ms
-            self._over(want, "late" if late else "in time")
+            self._finish(want, "late" if late else "in time")
         else:
-            self._again(want, ask, ask.answer)
+            self._retry_or_fail(want, ask, ask.answer)
 
-    def _again(self, want: Want, ask: Ask, why: str) -> None:
-        """Whether the client comes again, and when."""
+    def _retry_or_fail(self, want: Want, ask: Ask, why: str) -> None:
+        """Schedule a retry if one is allowed and fits the client's time; otherwise the want has failed."""
         figures = self.scenario.clients
         harmless = why in ("bounced", "cut") or (
             figures.after_errors and self.scenario.prefixes[want.prefix].kind != "mutating"
@@ -289,24 +294,24 @@
             and ask.balancer is not None
             and self.scenario.prefixes[want.prefix].kind == "mutating"
         ):
-            harmless = False  # it may have run
+            harmless = False  # it may have executed
         if want.tries > figures.retries or not harmless:
-            self._over(want, "failed")
+            self._finish(want, "failed")
             return
         wait = 0.0
         if figures.backoff != "none":
             wait = figures.backoff_ms * (2.0 ** (want.tries - 1) if figures.backoff == "exp" else 1.0)
-            wait *= 0.5 + self._manners()
-        if why == "bounced" and ask.retry_after and self._manners() < figures.honour:
-            wait = ask.retry_after * (1 + 0.1 * self._manners())
-        if self.world.now + wait >= want.until:
-            self._over(want, "failed")
+            wait *= 0.5 + self._retry_draws()
+        if why == "bounced" and ask.retry_after and self._retry_draws() < figures.honour:
+            wait = ask.retry_after * (1 + 0.1 * self._retry_draws())
+        if self.world.now + wait >= want.deadline:
+            self._finish(want, "failed")
         else:
             self.world.after(wait, self._try, want)
 
-    def _over(self, want: Want, outcome: str) -> None:
+    def _finish(self, want: Want, outcome: str) -> None:
         want.outcome = outcome
         self.open -= 1
-        self._counted(want)
-        if want.ended is not None:
-            want.ended(want)
+        self._want_finished(want)
+        if want.on_end is not None:
+            want.on_end(want)
--- a/ospreyline/lab/faults.py
+++ b/ospreyline/lab/faults.py
@@ -311,8 +311,8 @@
         names = [p.name for p in self.run.scenario.prefixes]
         met = [names.index(fault.prefix)] if fault.prefix else list(range(len(names)))
         for prefix in met:
-            self.run.clients.heavy[prefix] = (fault.extra or 0.01, fault.size or 10.0)
-        return partial(_each, [partial(self.run.clients.heavy.pop, prefix, None) for prefix in met])
+            self.run.clients.heavy_work[prefix] = (fault.extra or 0.01, fault.size or 10.0)
+        return partial(_each, [partial(self.run.clients.heavy_work.pop, prefix, None) for prefix in met])
 
     def _skew(self, fault: Fault) -> Callable[[], None]:
         zone, times = self._zone(fault.zone or self.run.scenario.zones.names[0]), fault.size or 2.0
