--- a/ospreyline/lab/faults.py
+++ b/ospreyline/lab/faults.py
@@ -1,7 +1,8 @@
-"""What goes wrong in the laboratory: scripted faults carried out on the model; the words are in `words`.
+"""Fault injection of the simulator: applies scripted faults to the model; `words` defines their keys.
 
-Each kind is a method of `Script`; it acts at its time and is taken back at its end. Faults may overlap:
-factors multiply, cuts count, a server that another fault killed stays dead until both are over.
+Each fault kind is a method of `Script` named after it; it applies the fault and returns what undoes it at the
+end, if anything does. Faults may overlap: factors multiply, cuts are counted, and a server killed by two
+faults stays down until both are over.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Day(Protocol):
-    """What a script acts on."""
+    """The parts of a running simulation that faults act on."""
 
     scenario: Scenario
     world: World
@@ -39,24 +40,24 @@
     def add_server(self, group: Group, zone: int, cell: int = -1) -> Server: ...
 
 
-def _each(calls: Sequence[Callable[[], Any]]) -> None:
+def _call_all(calls: Sequence[Callable[[], Any]]) -> None:
     for call in calls:
         call()
 
 
 class Script:
-    """Carries out the faults of a run."""
+    """Applies the faults of a run at their times and undoes them."""
 
     def __init__(self, run: Day, faults: list[Fault]) -> None:
         self.run = run
         self.world = run.world
         self._draw = run.streams.uniform("faults")
-        self._dead: dict[Server, int] = {}  # by how many faults
-        self.log: list[dict[str, Any]] = []  # what was carried out, for the records
+        self._down_by_faults: dict[Server, int] = {}  # number of faults that keep it down
+        self.log: list[dict[str, Any]] = []  # the faults applied, for the records
         for number, fault in enumerate(faults):
-            self.world.at(fault.at_s * 1e3, self._begin, number, fault)
+            self.world.at(fault.at_s * 1e3, self._start_fault, number, fault)
 
-    def _begin(self, number: int, fault: Fault) -> None:
+    def _start_fault(self, number: int, fault: Fault) -> None:
         act: Callable[[Fault], Callable[[], None] | None] = getattr(self, "_" + fault.kind.replace("-", "_"))
         entry: dict[str, Any] = {
             "number": number,
@@ -67,205 +68,210 @@
             "balancers": [],
         }
         self.log.append(entry)
-        self._entry = entry
+        self._log_entry = entry
         undo = act(fault)
         if undo is not None:
             self.world.after(fault.for_s * 1e3, undo)
 
-    # -- whom it meets ---------------------------------------------------------------------------------------
+    # -- choice of targets -----------------------------------------------------------------------------------
 
-    def _zone(self, name: str) -> int:
+    def _zone_index(self, name: str) -> int:
         return self.run.scenario.zones.names.index(name)
 
-    def _some(self, fault: Fault, of: list[Any], least: int = 1) -> list[Any]:
-        """Part of these, drawn by chance, in a zone if one is named."""
-        among = [x for x in of if not fault.zone or x.zone == self._zone(fault.zone)]
-        count = min(len(among), max(least, round(fault.part * len(among)))) if fault.part else 0
-        places = sorted(range(len(among)), key=lambda _: self._draw())[:count]
-        return [among[i] for i in sorted(places)]
+    def _choose_part(self, fault: Fault, of: list[Any], least: int = 1) -> list[Any]:
+        """A random share `fault.part` of these, only of the fault's zone if it names one, `least` or more."""
+        candidates = [x for x in of if not fault.zone or x.zone == self._zone_index(fault.zone)]
+        count = min(len(candidates), max(least, round(fault.part * len(candidates)))) if fault.part else 0
+        places = sorted(range(len(candidates)), key=lambda _: self._draw())[:count]
+        return [candidates[i] for i in sorted(places)]
 
-    def _servers(self, fault: Fault) -> list[Server]:
-        found: list[Server] = self._some(fault, [s for s in self.run.servers if s.up])
-        self._entry["servers"] = [s.index for s in found]
+    def _choose_servers(self, fault: Fault) -> list[Server]:
+        found: list[Server] = self._choose_part(fault, [s for s in self.run.servers if s.up])
+        self._log_entry["servers"] = [s.index for s in found]
         return found
 
     # -- servers ---------------------------------------------------------------------------------------------
 
-    def _end(self, server: Server, silent: bool) -> None:
-        self._dead[server] = self._dead.get(server, 0) + 1
+    def _kill_server(self, server: Server, silent: bool) -> None:
+        self._down_by_faults[server] = self._down_by_faults.get(server, 0) + 1
         if server.up:
             server.stop(vanish=silent)
-            self.run.registry.happened(server, Readiness.GONE, silent)
+            self.run.registry.server_changed(server, Readiness.GONE, silent)
 
-    def _revive(self, server: Server) -> None:
-        self._dead[server] -= 1
-        if not self._dead[server] and not server.up and server not in self.run.retired:
+    def _restart_server(self, server: Server) -> None:
+        self._down_by_faults[server] -= 1
+        if not self._down_by_faults[server] and not server.up and server not in self.run.retired:
             server.start()
-            self.run.registry.happened(server, Readiness.READY)
+            self.run.registry.server_changed(server, Readiness.READY)
 
     def fell(self, server: Server) -> None:
-        """Pushed over while cold: it dies and starts anew later."""
-        self._end(server, False)
-        self.world.after(server.group.restart_ms, self._revive, server)
+        """A server was overloaded while cold: it dies and restarts after its restart time."""
+        self._kill_server(server, False)
+        self.world.after(server.group.restart_ms, self._restart_server, server)
 
     def _slow(self, fault: Fault) -> Callable[[], None]:
-        met = self._servers(fault)
+        affected = self._choose_servers(fault)
         times = fault.size or 4.0
 
-        def turn(by: float) -> None:
-            for server in met:
+        def apply(by: float) -> None:
+            for server in affected:
                 server.slow *= by
                 server.changed()
 
-        turn(times)
-        return lambda: turn(1 / times)
+        apply(times)
+        return lambda: apply(1 / times)
 
     def _pause(self, fault: Fault) -> Callable[[], None]:
         stops = [
             s.pauses(1e3 * (fault.extra or 2.0), fault.size or 100.0, self._draw)
-            for s in self._servers(fault)
+            for s in self._choose_servers(fault)
         ]
-        return partial(_each, stops)
+        return partial(_call_all, stops)
 
     def _crash(self, fault: Fault) -> Callable[[], None]:
-        met = self._servers(fault)
-        for server in met:
-            self._end(server, fault.silent)
-        return partial(_each, [partial(self._revive, server) for server in met])
+        affected = self._choose_servers(fault)
+        for server in affected:
+            self._kill_server(server, fault.silent)
+        return partial(_call_all, [partial(self._restart_server, server) for server in affected])
 
     def _zone_loss(self, fault: Fault) -> Callable[[], None]:
-        zone = self._zone(fault.zone or self.run.scenario.zones.names[0])
-        met = [s for s in self.run.servers if s.zone == zone and (s.up or s in self._dead)]
-        self._entry["servers"] = [s.index for s in met]
-        for server in met:
-            self._end(server, fault.silent)
+        zone = self._zone_index(fault.zone or self.run.scenario.zones.names[0])
+        affected = [s for s in self.run.servers if s.zone == zone and (s.up or s in self._down_by_faults)]
+        self._log_entry["servers"] = [s.index for s in affected]
+        for server in affected:
+            self._kill_server(server, fault.silent)
         numbers = [n for n, z in enumerate(self.run.front.zones) if z == zone] if fault.extra else []
-        self._entry["balancers"] = numbers
+        self._log_entry["balancers"] = numbers
         for number in numbers:
             self.run.kill(number)
-        back = met[: ceil(len(met) * fault.size)] if fault.size else met
+        returning = affected[: ceil(len(affected) * fault.size)] if fault.size else affected
 
         def undo() -> None:
-            for server in back:
-                self._revive(server)
+            for server in returning:
+                self._restart_server(server)
             for number in numbers:
                 self.run.start(number)
 
         return undo
 
     def _flap(self, fault: Fault) -> None:
+        """A zone is lost `size` times (2 by default), with pauses of the same length between."""
         times = max(1, round(fault.size) or 2)
         span = fault.for_s / (2 * times - 1)
         for i in range(times):
             part = Fault("zone-loss", 0, span, zone=fault.zone, silent=fault.silent)
-            self.world.after(2e3 * span * i, self._begin, -1, part)
+            self.world.after(2e3 * span * i, self._start_fault, -1, part)
 
     def _cut(self, fault: Fault) -> Callable[[], None]:
+        """Cut the network from a zone to `to_zone`, or to and from all other zones if that is not set."""
         names = self.run.scenario.zones.names
-        zone = self._zone(fault.zone or names[0])
-        ways = (
-            [(zone, self._zone(fault.to_zone))]
+        zone = self._zone_index(fault.zone or names[0])
+        directions = (
+            [(zone, self._zone_index(fault.to_zone))]
             if fault.to_zone
             else [way for z in range(len(names)) if z != zone for way in ((zone, z), (z, zone))]
         )
 
-        def turn(by: int) -> None:
-            for a, b in ways:
+        def apply(by: int) -> None:
+            for a, b in directions:
                 self.run.links.cut(a, b, by)
 
-        turn(1)
-        return lambda: turn(-1)
+        apply(1)
+        return lambda: apply(-1)
 
-    def _retire(self, server: Server, drain_ms: float) -> None:
-        """Drained, then gone for good."""
+    def _drain_server(self, server: Server, drain_ms: float) -> None:
+        """Drain a server and stop it for good after `drain_ms`."""
         self.run.retired.add(server)
         server.draining = True
-        self.run.registry.happened(server, Readiness.DRAINING)
-        self.world.after(drain_ms, self._retired, server)
+        self.run.registry.server_changed(server, Readiness.DRAINING)
+        self.world.after(drain_ms, self._stop_drained, server)
 
-    def _retired(self, server: Server) -> None:
+    def _stop_drained(self, server: Server) -> None:
         if server.up:
             server.stop()
-            self.run.registry.happened(server, Readiness.GONE)
+            self.run.registry.server_changed(server, Readiness.GONE)
 
     def _roll(self, fault: Fault) -> None:
-        met = self._servers(fault)
+        """Replace the servers batch by batch: drain the old one, start a new one in its place."""
+        affected = self._choose_servers(fault)
         batch = max(1, round((fault.size or 0.1) * len(self.run.servers)))
-        steps = ceil(len(met) / batch)
+        steps = ceil(len(affected) / batch)
         drain = 1e3 * (fault.extra or 3.0)
         for i in range(steps):
             when = 1e3 * fault.for_s * i / steps
-            for server in met[i * batch : (i + 1) * batch]:
-                self.world.after(when, self._replace, server, drain)
+            for server in affected[i * batch : (i + 1) * batch]:
+                self.world.after(when, self._replace_server, server, drain)
 
-    def _replace(self, server: Server, drain_ms: float) -> None:
-        self._retire(server, drain_ms)
-        self.world.after(drain_ms, self._join, server)
+    def _replace_server(self, server: Server, drain_ms: float) -> None:
+        self._drain_server(server, drain_ms)
+        self.world.after(drain_ms, self._start_server_like, server)
 
-    def _join(self, like: Server) -> None:
-        server = self.run.add_server(like.group, like.zone, like.cell)
+    def _start_server_like(self, template: Server) -> None:
+        server = self.run.add_server(template.group, template.zone, template.cell)
         server.start()
-        self.run.registry.happened(server, Readiness.READY)
+        self.run.registry.server_changed(server, Readiness.READY)
 
     def _shrink(self, fault: Fault) -> None:
-        for server in self._servers(fault):
-            self._retire(server, 1e3 * (fault.extra or 3.0))
+        for server in self._choose_servers(fault):
+            self._drain_server(server, 1e3 * (fault.extra or 3.0))
 
     def _grow(self, fault: Fault) -> None:
-        for server in self._servers(fault):
-            self._join(server)
+        for server in self._choose_servers(fault):
+            self._start_server_like(server)
 
     def _neighbour(self, fault: Fault) -> Callable[[], None]:
-        met, span, size = self._servers(fault), 1e3 * (fault.extra or 2.0), fault.size or 0.5
+        """Another tenant takes a share of the cores and gives it back, about every `extra` s."""
+        affected, span, size = self._choose_servers(fault), 1e3 * (fault.extra or 2.0), fault.size or 0.5
         state = {"on": True, "taken": False}
 
-        def turn() -> None:
+        def toggle() -> None:
             taken = state["on"] and not state["taken"]
             if taken != state["taken"]:
-                for server in met:
+                for server in affected:
                     server.cores_lost += size if taken else -size
                     server.changed()
             state["taken"] = taken
             if state["on"]:
-                self.world.after(span * (0.5 + self._draw()), turn)
+                self.world.after(span * (0.5 + self._draw()), toggle)
 
-        turn()
+        toggle()
 
         def undo() -> None:
             state["on"] = False
             if state["taken"]:
-                turn()
+                toggle()
 
         return undo
 
     def _errors(self, fault: Fault) -> Callable[[], None]:
-        met, rate = self._servers(fault), fault.size or 1.0
-        for server in met:
+        affected, rate = self._choose_servers(fault), fault.size or 1.0
+        for server in affected:
             server.errors.append(rate)
 
         def undo() -> None:
-            for server in met:
+            for server in affected:
                 server.errors.remove(rate)
 
         return undo
 
     def _mute(self, fault: Fault) -> Callable[[], None]:
-        met = self._servers(fault)
+        affected = self._choose_servers(fault)
 
-        def turn(by: int) -> None:
-            for server in met:
+        def apply(by: int) -> None:
+            for server in affected:
                 server.mute += by
 
-        turn(1)
-        return partial(turn, -1)
+        apply(1)
+        return partial(apply, -1)
 
     def _uneven(self, fault: Fault) -> Callable[[], None]:
-        met = self._servers(fault)
-        for server in met:
+        """The servers work `size` times slower for one balancer in `extra`."""
+        affected = self._choose_servers(fault)
+        for server in affected:
             server.uneven = (fault.size or 5.0, max(1, round(fault.extra) or 3))
 
         def undo() -> None:
-            for server in met:
+            for server in affected:
                 server.uneven = (1.0, 0)
 
         return undo
@@ -273,7 +279,8 @@
     # -- balancers -------------------------------------------------------------------------------------------
 
     def _restart(self, fault: Fault) -> None:
-        numbers = self._numbers(fault)
+        """Restart balancers batch by batch; each starts again `extra` s after it was told to stop."""
+        numbers = self._choose_balancers(fault)
         batch = max(1, round((fault.size or 0.1) * len(self.run.front.zones)))
         steps = ceil(len(numbers) / batch)
         for i in range(steps):
@@ -283,48 +290,52 @@
                 self.world.after(when + 1e3 * fault.extra, self.run.start, number)
 
     def _kill(self, fault: Fault) -> Callable[[], None]:
-        numbers = self._numbers(fault)
+        numbers = self._choose_balancers(fault)
         for number in numbers:
             self.run.kill(number)
-        return partial(_each, [partial(self.run.start, number) for number in numbers])
+        return partial(_call_all, [partial(self.run.start, number) for number in numbers])
 
-    def _numbers(self, fault: Fault) -> list[int]:
+    def _choose_balancers(self, fault: Fault) -> list[int]:
         living = [b for b in self.run.front.living if b is not None]
-        found = [b.number for b in self._some(fault, living)]
-        self._entry["balancers"] = found
+        found = [b.number for b in self._choose_part(fault, living)]
+        self._log_entry["balancers"] = found
         return found
 
-    # -- clients, network, list ------------------------------------------------------------------------------
+    # -- clients, network, list service ----------------------------------------------------------------------
 
     def _burst(self, fault: Fault) -> None:
+        """Raise the request rate to `size` times in ten steps over `extra` s, and lower it the same way."""
         steps, rise = 10, min(1e3 * fault.extra, 500.0 * fault.for_s)
         top = (fault.size or 1.5) - 1
         factor = (1 + top) ** (1 / steps)
         for i in range(steps):
-            self.world.after(rise * i / steps, self._times, factor)
-            self.world.after(1e3 * fault.for_s - rise * i / steps, self._times, 1 / factor)
+            self.world.after(rise * i / steps, self._multiply_rate, factor)
+            self.world.after(1e3 * fault.for_s - rise * i / steps, self._multiply_rate, 1 / factor)
 
-    def _times(self, factor: float) -> None:
+    def _multiply_rate(self, factor: float) -> None:
         self.run.clients.factor *= factor
 
     def _heavy_tail(self, fault: Fault) -> Callable[[], None]:
+        """A share `extra` of the visits needs `size` times the work."""
         names = [p.name for p in self.run.scenario.prefixes]
-        met = [names.index(fault.prefix)] if fault.prefix else list(range(len(names)))
-        for prefix in met:
+        affected = [names.index(fault.prefix)] if fault.prefix else list(range(len(names)))
+        for prefix in affected:
             self.run.clients.heavy_work[prefix] = (fault.extra or 0.01, fault.size or 10.0)
-        return partial(_each, [partial(self.run.clients.heavy_work.pop, prefix, None) for prefix in met])
+        return partial(
+            _call_all, [partial(self.run.clients.heavy_work.pop, prefix, None) for prefix in affected]
+        )
 
     def _skew(self, fault: Fault) -> Callable[[], None]:
-        zone, times = self._zone(fault.zone or self.run.scenario.zones.names[0]), fault.size or 2.0
+        zone, times = self._zone_index(fault.zone or self.run.scenario.zones.names[0]), fault.size or 2.0
         self.run.clients.skew(zone, times)
         return lambda: self.run.clients.skew(zone, 1 / times)
 
     def _lossy(self, fault: Fault) -> Callable[[], None]:
-        def turn(by: float) -> None:
+        def apply(by: float) -> None:
             self.run.links.lossy += by
 
-        turn(fault.size)
-        return partial(turn, -fault.size)
+        apply(fault.size)
+        return partial(apply, -fault.size)
 
     def _registry_down(self, fault: Fault) -> Callable[[], None]:
         registry = self.run.registry
