--- a/ospreyline/lab/bank.py
+++ b/ospreyline/lab/bank.py
@@ -305,7 +305,7 @@
         ask.answer = answer
         ask.answered_at = self.world.now
         self.around.watching.answered(ask)
-        ask.want.answer_sent(ask, self.around.links.client())
+        ask.want.answer_sent(ask, self.around.links.to_client())
 
     def _after_cpu_delay(self, call: Callable[..., None], *args: Any) -> None:
         """Call the decisions after the CPU delay, one event after the other."""
@@ -368,7 +368,7 @@
     def probe(self, upstream: int) -> None:
         server = self.around.servers[upstream]
         self.probes += 1
-        trip = self.around.links.trip(self.zone, server.zone)
+        trip = self.around.links.round_trip(self.zone, server.zone)
         if server.vanished or server.mute or trip == inf:
             wait = self.around.scenario.reports.probe_timeout_ms
             self.world.after(wait, self._probed, server, End.TIMED_OUT, wait, ())
@@ -446,7 +446,7 @@
     def _connect(self, shot: Shot) -> None:
         server, links = shot.server, self.around.links
         self.connecting.setdefault(server.index, {})[shot] = None
-        trip = links.trip(self.zone, server.zone)
+        trip = links.round_trip(self.zone, server.zone)
         limit = server.group.connections
         if server.vanished or trip == inf:
             self.world.after(self.around.connect_timeout, self._connect_failed, shot)
@@ -477,7 +477,7 @@
         shot.written = True
         shot.sent = self.world.now
         self.around.watching.sent(shot)
-        way = self.around.links.way(self.zone, shot.server.zone)
+        way = self.around.links.one_way(self.zone, shot.server.zone)
         if way < inf:
             self.world.after(way, self._arrive_at_server, shot)
 
@@ -513,7 +513,7 @@
         self._send_response(shot, End.DELIVERED if well else End.ERRORED, report)
 
     def _send_response(self, shot: Shot, end: End, report: tuple[float, ...]) -> None:
-        way = self.around.links.way(shot.server.zone, self.zone)
+        way = self.around.links.one_way(shot.server.zone, self.zone)
         if way < inf:
             self.world.after(way, self._receive_response, shot, end, report)
 
@@ -573,7 +573,7 @@
 
     def _close_connection(self, server: Server, incarnation: int, shot: Shot | None = None) -> None:
         """Close a connection; the server learns of it unless the network path is cut."""
-        way = self.around.links.way(self.zone, server.zone)
+        way = self.around.links.one_way(self.zone, server.zone)
         if way < inf:
             self.world.after(way, self._close_at_server, server, incarnation, shot)
 
@@ -604,7 +604,7 @@
                 ask.answer = "cut"
                 ask.answered_at = self.world.now
                 self.around.watching.answered(ask)
-                ask.want.answer_sent(ask, self.around.links.client())
+                ask.want.answer_sent(ask, self.around.links.to_client())
             for shot in ask.shots:
                 if shot.end is None:
                     self.world.drop(shot.timer)
--- a/ospreyline/lab/clients.py
+++ b/ospreyline/lab/clients.py
@@ -245,9 +245,9 @@
         if balancer is None:
             ask.answer = "cut"
             ask.answered_at = now
-            want.answer_sent(ask, 2 * self.links.client())
+            want.answer_sent(ask, 2 * self.links.to_client())
             return
-        self.world.after(self.links.client(), self._deliver, balancer, ask)
+        self.world.after(self.links.to_client(), self._deliver, balancer, ask)
         leave_at = min(now + ttl, want.since + want.patience)
         want.leave_timer = self.world.at(leave_at, self._give_up, want, ask)
 
@@ -257,12 +257,12 @@
         elif not ask.answer:
             ask.answer = "cut"
             ask.answered_at = self.world.now
-            ask.want.answer_sent(ask, self.links.client())
+            ask.want.answer_sent(ask, self.links.to_client())
 
     def _give_up(self, want: Want, ask: Ask) -> None:
         """The client gives up a try because of the try's timeout or its own patience."""
         if ask.balancer is not None and ask.balancer.living:
-            self.world.after(self.links.client(), ask.balancer.client_left, ask)
+            self.world.after(self.links.to_client(), ask.balancer.client_left, ask)
         if want.current_ask is not ask:
             return
         want.current_ask = None
