--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -252,9 +252,9 @@
     drop, idle_counts = bank.Balancer.close_idle_connections, []
 
     def counting_drop(self, upstream):
-        before = len(self.idle.get(upstream, ()))
+        before = len(self.idle_connections.get(upstream, ()))
         drop(self, upstream)
-        idle_counts.append((before, len(self.idle.get(upstream, ()))))
+        idle_counts.append((before, len(self.idle_connections.get(upstream, ()))))
 
     monkeypatch.setattr(bank.Balancer, "close_idle_connections", counting_drop)
     faulty = run_scenario(small(faults=[fault], **{f"prefixes.{i}.late_gain": 0.5 for i in range(3)}), 3)
