--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -218,9 +218,8 @@
                 self._pace.apply_settings(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
-            self.note(
-                self.balancer.list_call_failed
-            )  # the decisions schedule list calls themselves from now on
+            # the decisions schedule list calls themselves from now on
+            self.note(self.balancer.list_call_failed)
         if lists.keep and self._list_cache is None:
             from ospreyline.fleet.kept import Keeping
 
