--- a/ospreyline/lab/mesh.py
+++ b/ospreyline/lab/mesh.py
@@ -1,8 +1,8 @@
-"""Membership at sizes that processes do not reach: the pure module on the laboratory's clock.
+"""Simulation of membership with more members than real processes allow: `fleet.members` in simulated time.
 
-A simulated network of messages between members: each takes a moment, may be lost, and nothing passes a cut.
-Links stand as in service: one a pair, opened when there is something to say, closed when idle and nobody's
-neighbour. Lost messages are lost here, where TCP would send them again: the harder case.
+Messages between members take some time, may be lost, and do not pass a cut. Links behave as in production:
+one per pair, opened on the first message, closed when idle unless one end is the other's neighbour. Lost
+messages stay lost, where TCP would retransmit them: the harder case.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from ospreyline.fleet.members import Members
 from ospreyline.lab.world import Streams, World
 
-IDLE = 5_000.0  # ms after which an unused link of no neighbours is closed
+LINK_IDLE_MS = 5_000.0  # after which an unused link between members that are not neighbours is closed
 
 
 @dataclass(slots=True)
 class Change:
-    """Somebody's view of a member changed."""
+    """A change in the view that member `by` has of member `of`."""
 
     at: float  # ms
     by: str
@@ -30,22 +30,23 @@
 
 
 class Node:
-    """One member's process."""
+    """The process of one member."""
 
     def __init__(self, mesh: Mesh, name: str, start: int, seeds: list[Entry]) -> None:
         self.mesh = mesh
         self.name = name
         self.up = True
         self.stopped = False
-        self.inbox: list[tuple[str, Message]] = []  # what came while it was stopped
+        self.inbox: list[tuple[str, Message]] = []  # messages received while it was stopped
         self.sent = self.bytes = 0
         entry = Entry(name, name, "z", start, 0, ALIVE)
         draw = mesh.streams.uniform(f"{name}-{start}")
         self.members = Members(entry, seeds, draw, mesh.world.now)
-        self.used: dict[str, float] = {}  # links, and when they last carried something
+        self.link_used: dict[str, float] = {}  # by link: when it last carried a message
         mesh.world.after(50.0 * draw(), self.tick)
 
     def tick(self) -> None:
+        """Run the periodic tick of the membership, and schedule the next one."""
         if not self.up:
             return
         if self.stopped:
@@ -56,16 +57,17 @@
         self.mesh.world.at(due, self.tick)
 
     def carry_out(self) -> None:
+        """Send the pending messages and record the changes of the member's view."""
         out, self.members.out = self.members.out, []
-        news, self.members.changes = self.members.changes, []
-        for entry, before in news:
+        changes, self.members.changes = self.members.changes, []
+        for entry, before in changes:
             self.mesh.changes.append(Change(self.mesh.world.now, self.name, entry.name, entry.state, before))
         for to, message in out:
             self.mesh.send(self, to, message)
 
 
 class Mesh:
-    """A bank of members and the network between them."""
+    """All members and the network between them."""
 
     def __init__(
         self, count: int, seed: int = 1, loss: float = 0.0, seeds: int = 3, start: bool = True
@@ -77,98 +79,101 @@
         self.cut: Callable[[str, str], bool] = lambda a, b: False
         self.changes: list[Change] = []
         self.nodes: dict[str, Node] = {}
-        self._starts = 0
+        self._start_count = 0
         self.seeds = [Entry(f"n{i}", f"n{i}", "z", 0, 0, ALIVE) for i in range(seeds)]
         for i in range(count if start else 0):
             self.start(f"n{i}")
-        self.world.after(IDLE, self._close_idle)
+        self.world.after(LINK_IDLE_MS, self._close_idle)
 
     def start(self, name: str) -> Node:
-        self._starts += 1
-        node = self.nodes[name] = Node(self, name, 1_000 + int(self.world.now) + self._starts, self.seeds)
+        self._start_count += 1
+        node = self.nodes[name] = Node(
+            self, name, 1_000 + int(self.world.now) + self._start_count, self.seeds
+        )
         return node
 
     def kill(self, name: str, silent: bool = False) -> None:
-        """The process dies; its links are reset, unless its machine vanished."""
+        """Kill a process; its links are reset unless `silent` (the machine vanished)."""
         node = self.nodes[name]
         node.up = False
-        for other in list(node.used):
+        for other in list(node.link_used):
             peer = self.nodes.get(other)
             if not silent and peer is not None and peer.up:
-                self.world.after(1.0, self._unlink, peer, name)
+                self.world.after(1.0, self._link_reset, peer, name)
 
     def stop(self, name: str, on: bool) -> None:
-        """SIGSTOP, and SIGCONT: what came meanwhile waits in its sockets."""
+        """SIGSTOP (on) or SIGCONT (off): messages received meanwhile wait in its sockets."""
         node = self.nodes[name]
         node.stopped = on
         if not on:
             inbox, node.inbox = node.inbox, []
-            for frm, message in inbox:
-                self._deliver(frm, node, message)
+            for sender, message in inbox:
+                self._deliver(sender, node, message)
 
-    def _unlink(self, node: Node, name: str) -> None:
-        node.used.pop(name, None)
+    def _link_reset(self, node: Node, name: str) -> None:
+        node.link_used.pop(name, None)
         node.members.unlinked(self.world.now, name)
         if not node.stopped:
             node.carry_out()
 
     def send(self, node: Node, to: str, message: Message) -> None:
+        """Send a message, over a new link if there is none; it may be lost."""
         node.sent += 1
         node.bytes += len(encode(message))
         peer = self.nodes.get(to)
-        if peer is None or not peer.up or self._passes_not(node.name, to):
+        if peer is None or not peer.up or self._dropped(node.name, to):
             return
-        if to not in node.used:
-            self._link(node, peer)
-        node.used[to] = peer.used[node.name] = self.world.now
-        self.world.after(self._way(), self._arrive, node.name, peer, message)
+        if to not in node.link_used:
+            self._open_link(node, peer)
+        node.link_used[to] = peer.link_used[node.name] = self.world.now
+        self.world.after(self._latency(), self._arrive, node.name, peer, message)
 
-    def _passes_not(self, a: str, b: str) -> bool:
+    def _dropped(self, a: str, b: str) -> bool:
         return self.cut(a, b) or (self.loss > 0 and self._draw() < self.loss)
 
-    def _way(self) -> float:
+    def _latency(self) -> float:
         return 1.0 + 9.0 * self._draw()
 
-    def _link(self, node: Node, peer: Node) -> None:
-        """Both say hello; who was dialled tells all it knows and asks for the same."""
+    def _open_link(self, node: Node, peer: Node) -> None:
+        """Open a link: both send a hello; the dialled member sends its full state and asks for the same."""
         now = self.world.now
-        node.used[peer.name] = peer.used[node.name] = now
-        for one, other, wanted in ((node, peer, False), (peer, node, True)):
+        node.link_used[peer.name] = peer.link_used[node.name] = now
+        for one, other, needed in ((node, peer, False), (peer, node, True)):
             one.members.linked_to(now, other.name)
             if not one.stopped:
-                one.members.hello_received(now, other.members.me, wanted)
+                one.members.hello_received(now, other.members.me, needed)
         if not peer.stopped:
-            self.world.after(self._way(), peer.carry_out)
+            self.world.after(self._latency(), peer.carry_out)
 
-    def _arrive(self, frm: str, node: Node, message: Message) -> None:
+    def _arrive(self, sender: str, node: Node, message: Message) -> None:
         if not node.up:
             return
         if node.stopped:
-            node.inbox.append((frm, message))
+            node.inbox.append((sender, message))
         else:
-            self._deliver(frm, node, message)
+            self._deliver(sender, node, message)
 
-    def _deliver(self, frm: str, node: Node, message: Message) -> None:
-        node.members.receive(self.world.now, frm, message)
+    def _deliver(self, sender: str, node: Node, message: Message) -> None:
+        node.members.receive(self.world.now, sender, message)
         node.carry_out()
 
     def _close_idle(self) -> None:
-        self.world.after(IDLE, self._close_idle)
+        self.world.after(LINK_IDLE_MS, self._close_idle)
         for node in self.nodes.values():
-            for name, used in list(node.used.items()):
+            for name, last_used in list(node.link_used.items()):
                 peer = self.nodes.get(name)
-                wanted = name in node.members.neighbours or (
+                needed = name in node.members.neighbours or (
                     peer is not None and node.name in peer.members.neighbours
                 )
-                if not wanted and self.world.now - used > IDLE:
-                    node.used.pop(name, None)
+                if not needed and self.world.now - last_used > LINK_IDLE_MS:
+                    node.link_used.pop(name, None)
                     node.members.linked.discard(name)
                     if peer is not None:
-                        peer.used.pop(node.name, None)
+                        peer.link_used.pop(node.name, None)
                         peer.members.linked.discard(node.name)
 
-    def knows(self) -> tuple[int, int]:
-        """Of pairs of members that are up, how many know each other as alive, and how many there are."""
+    def count_alive_views(self) -> tuple[int, int]:
+        """Of ordered pairs of running members: how many see the other as alive, and the number of pairs."""
         up = [n for n in self.nodes.values() if n.up]
         known = sum(
             1
@@ -178,8 +183,8 @@
         )
         return known, len(up) * (len(up) - 1)
 
-    def deaths(self, of: str, since: float) -> list[float]:
-        """When each other member held it for dead, ms after a time."""
+    def death_times(self, of: str, since: float) -> list[float]:
+        """When each other member first saw `of` as dead, sorted, in ms after `since`."""
         first: dict[str, float] = {}
         for change in self.changes:
             if change.of == of and change.state == DEAD and change.at >= since:
@@ -188,10 +193,10 @@
 
 
 def measured(count: int, seed: int, loss: float, seconds: float = 60.0, dead: int = 3) -> dict[str, Any]:
-    """A bank that starts at once, rests, and loses some: messages at rest, time to notice, wrong deaths."""
+    """Start all members at once, idle, then kill some: idle traffic, time to detect, false deaths."""
     mesh = Mesh(count, seed, loss)
     mesh.world.run(10_000.0)
-    known, pairs = mesh.knows()
+    known, pairs = mesh.count_alive_views()
     before = [(n.sent, n.bytes) for n in mesh.nodes.values()]
     mesh.world.run(10_000.0 + 1e3 * seconds)
     after = [(n.sent, n.bytes) for n in mesh.nodes.values()]
@@ -203,7 +208,7 @@
         at = mesh.world.now
         mesh.kill(name, silent=True)
         mesh.world.run(at + 12_000.0)
-        found = mesh.deaths(name, at)
+        found = mesh.death_times(name, at)
         times += found
         noticed += len(found)
     times.sort()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("count", [2, 10, 60])
 def test_a_bank_that_starts_at_once_knows_all_its_members(count):
     net = mesh(count, settle=4_000.0)
-    assert net.knows() == (count * (count - 1),) * 2
+    assert net.count_alive_views() == (count * (count - 1),) * 2
 
 
 def test_a_dead_one_is_noticed_by_all_in_time():
@@ -52,7 +52,7 @@
     at = net.world.now
     net.kill("n9", silent=True)
     net.world.run(at + 8_000.0)
-    times = net.deaths("n9", at)
+    times = net.death_times("n9", at)
     assert len(times) == 19 and times[len(times) // 2] < 3_000 and times[-1] < 6_000
 
 
@@ -99,7 +99,7 @@
     net.stop("n5", False)
     net.world.run(net.world.now + 6_000.0)
     accused = [c for c in net.changes[before:] if c.by == "n5" and c.state in (SUSPECT, DEAD)]
-    assert not accused and net.knows() == (20 * 19, 20 * 19)
+    assert not accused and net.count_alive_views() == (20 * 19, 20 * 19)
 
 
 def test_one_that_is_cut_off_from_all_says_that_it_is_alone_while_it_accuses_nobody_yet():
@@ -128,7 +128,7 @@
         )
     net.cut = lambda a, b: False
     net.world.run(net.world.now + 12_000.0)
-    assert net.knows() == (30 * 29, 30 * 29)
+    assert net.count_alive_views() == (30 * 29, 30 * 29)
 
 
 def test_all_but_one_seed_dead_is_enough_to_join():
@@ -185,7 +185,7 @@
         net.start("n11")
         net.world.run(net.world.now + 500.0)
     net.world.run(net.world.now + 6_000.0)
-    assert net.knows() == (20 * 19, 20 * 19)
+    assert net.count_alive_views() == (20 * 19, 20 * 19)
     assert not any(c.state == DEAD and c.of != "n11" for c in net.changes)
 
 
@@ -214,7 +214,7 @@
     net.world.run(net.world.now + 6_000.0)
     net.start("n6")
     net.world.run(net.world.now + 10_000.0)
-    assert net.knows()[0] < net.knows()[1]
+    assert net.count_alive_views()[0] < net.count_alive_views()[1]
 
 
 # lists
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -171,7 +171,7 @@
     for count in (20, 40, 80):
         mesh = Mesh(count, seed=3)
         mesh.world.run(8_000.0)
-        assert mesh.knows() == (count * (count - 1), count * (count - 1))
+        assert mesh.count_alive_views() == (count * (count - 1), count * (count - 1))
         before = sum(node.sent for node in mesh.nodes.values())
         mesh.world.run(12_000.0)
         rest.append((sum(node.sent for node in mesh.nodes.values()) - before) / count / 4)
