--- a/ospreyline/lab/placing.py
+++ b/ospreyline/lab/placing.py
@@ -1,8 +1,8 @@
-"""Which balancer serves which service: the options of docs/scopes.md in figures, drawn or worked out.
+"""Which balancer serves which service: figures for the options of docs/scopes.md, simulated or computed.
 
     python -m ospreyline.lab.placing
 
-Simulated: services with as many upstreams and requests as a lognormal or Zipf draw gives them, balancers in
+Simulated: services whose upstreams and requests follow a lognormal or Zipf distribution, and balancers in
 zones and racks. No process is started.
 """
 
@@ -18,12 +18,12 @@
 from ospreyline.fleet.hollow import sizes
 
 Numbers = NDArray[Any]
-RECORD = 130  # bytes of an upstream or route on the wire
-ROUTES = 9
+RECORD_BYTES = 130  # size of an upstream or route on the wire
+ROUTES_PER_SERVICE = 9
 
 
-def mixed(a: Numbers, b: Numbers) -> Numbers:
-    """64 bits from each pair (splitmix64): the places of a rendezvous."""
+def hash_pairs(a: Numbers, b: Numbers) -> Numbers:
+    """A 64 bit hash of each pair (splitmix64), for rendezvous hashing."""
     with np.errstate(over="ignore"):
         x = (a + np.uint64(1)) * np.uint64(0x9E3779B97F4A7C15)
         x ^= (b + np.uint64(1)) * np.uint64(0xD1B54A32D192ED03)
@@ -34,23 +34,25 @@
 
 
 def rendezvous(services: int, zones: Numbers, per: int, apart: bool) -> Numbers:
-    """For each service the `per` balancers that come first by hash; `apart`: each in a zone of its own, so
-    not more than there are zones. `zones`: of each balancer."""
+    """The `per` balancers of each service by rendezvous hashing, as an array of shape (services, per).
+
+    `zones`: zone of each balancer. `apart`: at most one balancer of a zone, so no more than there are zones.
+    """
     members = np.arange(len(zones), dtype=np.uint64)
     found = np.empty((services, per), dtype=np.int64)
     for i in range(services):
-        places = mixed(np.full(len(zones), i, dtype=np.uint64), members)
+        hashes = hash_pairs(np.full(len(zones), i, dtype=np.uint64), members)
         if not apart:
-            found[i] = np.argpartition(places, per)[:per]
+            found[i] = np.argpartition(hashes, per)[:per]
             continue
-        order = np.argsort(places)
+        order = np.argsort(hashes)
         _, first = np.unique(zones[order], return_index=True)
         found[i] = order[np.sort(first)[:per]]
     return found
 
 
-def lost(placed: Numbers, gone: Numbers) -> dict[str, float]:
-    """What services lose when these balancers go: how many are touched, the most of one, and so on."""
+def loss_figures(placed: Numbers, gone: Numbers) -> dict[str, float]:
+    """What services lose if the balancers marked in `gone` fail: services affected, largest share etc."""
     share = gone[placed].mean(axis=1)
     return {
         "touched": int((share > 0).sum()),
@@ -63,7 +65,7 @@
 def on_demand(
     services: int, upstreams: int, working_set: int, per_s: float, seed: int, requests: int = 200_000
 ) -> dict[str, float]:
-    """A balancer that is asked for any service (Zipf, exponent 1) and keeps the least recently used out."""
+    """A balancer that gets requests for any service (Zipf, exponent 1) and caches services by LRU."""
     draw = np.random.default_rng(seed)
     weights = 1.0 / np.arange(1, services + 1)
     asked = draw.choice(services, size=requests, p=weights / weights.sum())
@@ -77,14 +79,14 @@
         if len(held) >= working_set:
             held.popitem(last=False)
         held[one] = None
-        if number >= requests // 2:  # the first half fills it
+        if number >= requests // 2:  # the first half warms up the cache
             missed += 1
-            fetched += int(size[one]) + ROUTES
+            fetched += int(size[one]) + ROUTES_PER_SERVICE
     seconds = (requests - requests // 2) / per_s
     return {
         "missed": missed / (requests - requests // 2),
         "fetches_a_second": missed / seconds,
-        "bytes_a_second": RECORD * fetched / seconds,
+        "bytes_a_second": RECORD_BYTES * fetched / seconds,
     }
 
 
@@ -101,7 +103,7 @@
 ) -> None:
     """Print the options' figures."""
     each = per_s / balancers
-    size = np.array(sizes(services, upstreams, seed)) + ROUTES
+    size = np.array(sizes(services, upstreams, seed)) + ROUTES_PER_SERVICE
     click.echo(f"on demand, {each:.0f} requests a second and balancer, Zipf 1:")
     for working_set in (25, 100, 400, 1_600):
         one = on_demand(services, upstreams, working_set, each, seed)
@@ -116,7 +118,8 @@
         f"balancer; the largest service has {wanted.max():.0f} balancers"
     )
     where = np.arange(balancers) % zones
-    racks = np.arange(balancers) // zones // max(1, rack)  # balancers of a zone, one rack after the other
+    # the balancers of a zone fill one rack after the other
+    racks = np.arange(balancers) // zones // max(1, rack)
     racks = where * 1_000 + racks
     for name, per, apart in (
         ("rendezvous, 12", 12, False),
@@ -129,7 +132,7 @@
         click.echo(
             f"{name}: {held.mean():.1f} scopes a balancer ({held.max()} at the most), "
             f"{records.mean():.0f} records ({records.max():.0f}), "
-            f"{RECORD * records.max() / 1e3:.0f} kB at the most"
+            f"{RECORD_BYTES * records.max() / 1e3:.0f} kB at the most"
         )
         rng = np.random.default_rng(seed)
         cases = {
@@ -140,13 +143,13 @@
             "a third, drawn": rng.random(balancers) < 1 / 3,
         }
         for what, gone in cases.items():
-            one = lost(placed, gone)
+            one = loss_figures(placed, gone)
             click.echo(
                 f"  {what:14} ({int(gone.sum())}): {one['touched']} services touched, at most "
                 f"{100 * one['most_lost']:.0f}% of one's balancers, {one['half_lost']} lost half, "
                 f"{one['without']} have none"
             )
-        # who serves a service that sends poison: how many others share at least half of its balancers
+        # for services whose requests crash balancers: how many balancers two services share
         sets = [set(row) for row in placed[:2_000].tolist()]
         worst = max(len(sets[0] & other) for other in sets[1:])
         click.echo(f"  two services share at most {worst} of {per} balancers (2,000 compared with one)")
--- a/ospreyline/lab/start.py
+++ b/ospreyline/lab/start.py
@@ -1,7 +1,8 @@
-"""The opening calls of a bank that starts at once, simulated: when each balancer has the list, at whose cost.
+"""Simulation of the first list calls when all balancers start at once: when each has the list, and the load.
 
-The decisions (`decide.py`) and the pace of calls (`fleet/pace.py`) are those in service; the list service
-works through calls in turn (`turns.py`). Balancers have no kept list, and come up within `boot` s.
+The decisions (`decide.py`) and the pacing of calls (`fleet/pace.py`) are the production code; the list
+service serves calls one after the other (`turns.py`). Balancers have no cached list and start within
+`boot_s`.
 """
 
 from __future__ import annotations
@@ -18,61 +19,63 @@
 from ospreyline.lab.turns import Turns
 from ospreyline.lab.world import World
 
-TRIP = 1.0  # ms that a call and its refusal take
-LIST = [Listed(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
+ROUND_TRIP_MS = 1.0  # of a call that is refused
+UPSTREAM_LIST = [Listed(i, 7919 * i + 13, i % 3, 0, Readiness.READY, 0.0) for i in range(9)]
 
 
-class _Starter:
-    """One balancer as far as its list goes; the host of its decisions."""
+class _StartingBalancer:
+    """One balancer, with only its list calls modelled; the host of its decisions."""
 
-    def __init__(self, bank: _Bank, number: int, terms: Deployment, seed: int) -> None:
+    def __init__(self, bank: _Bank, number: int, settings: Deployment, seed: int) -> None:
         self.bank, self.world = bank, bank.world
         self.listed_at = inf
         self.calls = 0
         self.pace: Pace | None = None
         if bank.paced:
-            self.pace = Pace(number, terms.balancers, bank.calls_per_s, terms.must_ask_in)
-        self.decisions = Balancer(self, terms, seed, self.world.now)
+            self.pace = Pace(number, settings.balancers, bank.calls_per_s, settings.must_ask_in)
+        self.decisions = Balancer(self, settings, seed, self.world.now)
         self.decisions.told_all(self.world.now, [])
         if self.pace is not None:
             self.pace.start(self.world.now)
-            self._plan()
+            self._schedule_call()
 
     def watch(self, on: bool) -> None:
         if self.pace is None:
             self._call()
         else:
             self.pace.wanted(self.world.now)
-            self._plan()
+            self._schedule_call()
 
-    def _plan(self) -> None:
+    def _schedule_call(self) -> None:
         assert self.pace is not None
         if self.pace.due < inf:
-            self.world.at(self.pace.due, self._due)
+            self.world.at(self.pace.due, self._call_if_due)
 
-    def _due(self) -> None:
+    def _call_if_due(self) -> None:
         assert self.pace is not None
         if self.world.now >= self.pace.due:
             self.pace.called(self.world.now)
-            self._plan()
+            self._schedule_call()
             self._call()
 
     def _call(self) -> None:
         self.calls += 1
-        wait = self.bank.called()
-        self.world.after(TRIP if wait is None else wait, self._failed if wait is None else self._told)
+        wait = self.bank.serve_call()
+        self.world.after(
+            ROUND_TRIP_MS if wait is None else wait, self._failed if wait is None else self._list_received
+        )
 
     def _failed(self) -> None:
         if self.pace is not None:
             self.pace.failed(self.world.now)
-            self._plan()
+            self._schedule_call()
         self.decisions.told_nothing(self.world.now)
 
-    def _told(self) -> None:
+    def _list_received(self) -> None:
         if self.pace is not None:
             self.pace.told()
         self.listed_at = min(self.listed_at, self.world.now)
-        self.decisions.told_changes(self.world.now, LIST)
+        self.decisions.told_changes(self.world.now, UPSTREAM_LIST)
 
     def wake(self, at: float, call: Callable[[float], None]) -> None:
         if at <= self.bank.until:
@@ -90,32 +93,34 @@
 
 
 class _Bank:
+    """The list service, with the clock and settings that all balancers share."""
+
     def __init__(self, calls_per_s: float, queue: int, down: float, paced: bool, until: float) -> None:
         self.world = World()
         self.calls_per_s, self.down, self.paced, self.until = calls_per_s, down, paced, until
-        self.turns = Turns(1e3 / calls_per_s, queue)
-        self.times: list[float] = []
+        self.call_queue = Turns(1e3 / calls_per_s, queue)
+        self.call_times: list[float] = []
 
-    def called(self) -> float | None:
-        """A call has come: ms until it is served; None if it is refused."""
+    def serve_call(self) -> float | None:
+        """A call arrives: ms until it is served, or None if it is refused."""
         now = self.world.now
-        self.times.append(now)
-        return None if now < self.down else self.turns.call(now)
+        self.call_times.append(now)
+        return None if now < self.down else self.call_queue.call(now)
 
 
 @dataclass(slots=True, frozen=True)
 class Opening:
-    """What the opening calls of a bank came to; times in s from the start of all."""
+    """Result of one simulated start; times in s from the start of all balancers."""
 
     count: int
     paced: bool
     calls_each: float
-    calls_while_down: float  # each
+    calls_while_down: float  # per balancer
     refused: int  # by a full queue
     longest_queue: int
     busiest_100_ms: int
     half_s: float
-    all_s: float  # infinite if one never had the list
+    all_s: float  # infinite if one never received the list
 
     def line(self) -> str:
         return (
@@ -141,30 +146,30 @@
     must_ask_s: float = 10.0,
     seed: int = 1,
 ) -> Opening:
-    """Start `count` balancers at once against a service that does so many calls a second."""
+    """Start `count` balancers at once against a list service that serves `calls_per_s`."""
     until = 1e3 * (down_s + 30.0 + 4 * count / calls_per_s)
     bank = _Bank(calls_per_s, queue, 1e3 * down_s, paced, until)
     prefix = PathPrefix(Kind.READ_LIKE, Scope.ALL, 0.0, 500.0, 1_000.0, 1.0, 0.0)
     draw = Random(seed).random
-    starters: list[_Starter] = []
+    balancers: list[_StartingBalancer] = []
 
-    def begin(number: int) -> None:
-        terms = Deployment(number % 3, 3, count, number, (prefix,), must_ask_in=1e3 * must_ask_s)
-        starters.append(_Starter(bank, number, terms, seed * 100_003 + number))
+    def start_balancer(number: int) -> None:
+        settings = Deployment(number % 3, 3, count, number, (prefix,), must_ask_in=1e3 * must_ask_s)
+        balancers.append(_StartingBalancer(bank, number, settings, seed * 100_003 + number))
 
     for number in range(count):
-        bank.world.at(1e3 * boot_s * draw(), begin, number)
+        bank.world.at(1e3 * boot_s * draw(), start_balancer, number)
     bank.world.run(until)
-    listed = sorted(s.listed_at for s in starters)
-    times = bank.times
+    listed = sorted(s.listed_at for s in balancers)
+    times = bank.call_times
     busiest = max((bisect_left(times, at + 100.0) - i for i, at in enumerate(times)), default=0)
     return Opening(
         count,
         paced,
         len(times) / count,
         sum(t < 1e3 * down_s for t in times) / count,
-        bank.turns.refused,
-        bank.turns.longest,
+        bank.call_queue.refused,
+        bank.call_queue.longest,
         busiest,
         listed[(count - 1) // 2] / 1e3,
         listed[-1] / 1e3,
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -171,7 +171,7 @@
     zones = np.arange(400) % 16
     placed = placing.rendezvous(200, zones, 6, True)
     assert all(len(set(zones[row])) == 6 for row in placed)
-    assert placing.lost(placed, zones == 3)["most_lost"] == pytest.approx(1 / 6)
+    assert placing.loss_figures(placed, zones == 3)["most_lost"] == pytest.approx(1 / 6)
     # a balancer that leaves moves no other: the others of each service stay
     fewer = placing.rendezvous(200, zones[:-1], 6, True)
     for before, after in zip(placed.tolist(), fewer.tolist(), strict=True):
