--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -142,7 +142,7 @@
     def sends(self) -> Iterator[tuple[float, bool]]:
         """Yields each send to the cold server: time in ms, and whether the sender knew of its start."""
         random, cold = self._random, 0
-        due, asked, tag = [random.random() for _ in self._list], 0.0, 0
+        due, demanded, tag = [random.random() for _ in self._list], 0.0, 0
         senders, cumulative_weights, now = self._senders(), list(accumulate(self.weights)), 0.0
         restart, last_move = START_MS - 2_000 if self._shape in ("fresh", "opening") else -1.0, 0.0
         gone, full_weights = set(range(self._count)), self.weights
@@ -183,9 +183,9 @@
                     balancer = self.bank[who[bisect(much, random.random() * much[-1])]]
                     balancer._delivered += 1
                     balancer._upstreams[server].deliveries += 1
-            asked += (0.5 * burst if self._shape == "burst" else DEMAND) * self._rate * SERVERS * STEP_MS
-            while asked >= 1:
-                asked -= 1
+            demanded += (0.5 * burst if self._shape == "burst" else DEMAND) * self._rate * SERVERS * STEP_MS
+            while demanded >= 1:
+                demanded -= 1
                 i = bisect(cumulative_weights, random.random() * cumulative_weights[-1])
                 balancer = self.bank[i]
                 balancer._accepted += 1
--- a/ospreyline/lab/faults.py
+++ b/ospreyline/lab/faults.py
@@ -279,7 +279,7 @@
     # -- balancers -------------------------------------------------------------------------------------------
 
     def _restart(self, fault: Fault) -> None:
-        """Restart balancers batch by batch; each starts again `extra` s after it was told to stop."""
+        """Restart balancers batch by batch; each starts again `extra` s after it stops taking visits."""
         numbers = self._choose_balancers(fault)
         batch = max(1, round((fault.size or 0.1) * len(self.run.front.zones)))
         steps = ceil(len(numbers) / batch)
--- a/ospreyline/lab/placing.py
+++ b/ospreyline/lab/placing.py
@@ -68,11 +68,11 @@
     """A balancer that gets requests for any service (Zipf, exponent 1) and caches services by LRU."""
     draw = np.random.default_rng(seed)
     weights = 1.0 / np.arange(1, services + 1)
-    asked = draw.choice(services, size=requests, p=weights / weights.sum())
+    requested = draw.choice(services, size=requests, p=weights / weights.sum())
     size = np.array(sizes(services, upstreams, seed))
     held: OrderedDict[int, None] = OrderedDict()
     missed = fetched = 0
-    for number, one in enumerate(asked.tolist()):
+    for number, one in enumerate(requested.tolist()):
         if one in held:
             held.move_to_end(one)
             continue
