--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -236,7 +236,7 @@
 
 
 class Process:
-    """One balancer process: its state of u0, and when it makes list calls, as `decide` and `turn` do."""
+    """One balancer process: its state of u0 and when it makes list calls, as in `decide` and `dispatcher`."""
 
     def __init__(self, world: World) -> None:
         self.world = world
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/dispatcher.py
@@ -1,6 +1,6 @@
 """Runs the balancer's decisions on sockets: events are queued and handled together in one event batch.
 
-Callbacks of connections, timers and the list service only enqueue events (`note`). Once per event loop
+Callbacks of connections, timers and the list service only enqueue events (`enqueue`). Once per event loop
 iteration a batch reads the clock, passes all queued events to the decisions in order of arrival, and then
 executes the actions that the decisions asked for.
 """
@@ -45,7 +45,7 @@
     from ospreyline.fleet.bank import Bank
     from ospreyline.fleet.kept import Keeping
     from ospreyline.fleet.pace import CallPacer
-    from ospreyline.net.covering import Covering
+    from ospreyline.net.takeover_adapter import TakeoverAdapter
     from ospreyline.operator_settings import OperatorSettings
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
@@ -107,7 +107,7 @@
         return not (self.answered or self.left or (self.client is not None and self.client.has_left()))
 
 
-class Turn:
+class EventDispatcher:
     """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
 
     def __init__(
@@ -118,7 +118,8 @@
         self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
         self._list_cache: Keeping | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
-        self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
+        # takeover of visits between balancers, if enabled
+        self.takeover_adapter: TakeoverAdapter | None = None
         self.closing = False
         self.visits: dict[int, Taken] = {}
         self._open_ids: set[bytes] = set()  # request ids of the open visits
@@ -183,8 +184,8 @@
             known.rev if known else 0,
             self.logger,
             tell=self._enqueue_list_update,
-            tell_failed=lambda failure: self.note(self._on_list_call_failed, failure),
-            tell_lease=lambda message: self.note(self._on_lease_message, message),
+            tell_failed=lambda failure: self.enqueue(self._on_list_call_failed, failure),
+            tell_lease=lambda message: self.enqueue(self._on_lease_message, message),
         )
         self._configure_discovery()
         now = clock()
@@ -203,7 +204,7 @@
         elif not config.deployment.ask_for_list:
             # a pushed list: the decisions never ask for it, so a watch is opened here
             self.discovery.watch(True)
-        self.note(lambda now: None)  # the first batch executes the actions requested during construction
+        self.enqueue(lambda now: None)  # the first batch executes the actions requested during construction
 
     def _enable_features(self, operator: OperatorSettings) -> None:
         """Set up the features that the operator file enables; only those modules are imported."""
@@ -218,7 +219,7 @@
                 self._pace.apply_settings(terms.number, terms.balancers, lists.calls_per_s, terms.must_ask_in)
         elif self._pace is not None:
             self._pace = None
-            self.note(
+            self.enqueue(
                 self.balancer.list_call_failed
             )  # the decisions schedule list calls themselves from now on
         if lists.keep and self._list_cache is None:
@@ -236,14 +237,14 @@
                 zone,
                 operator.fleet,
                 self._config.seed,
-                listed=lambda update: self.note(self._on_list_from_balancer, update),
-                hinted=lambda body: self.note(self._on_bank_message, body),
-                hasten=lambda: self.note(self._hasten_list_call),
+                listed=lambda update: self.enqueue(self._on_list_from_balancer, update),
+                hinted=lambda body: self.enqueue(self._on_bank_message, body),
+                hasten=lambda: self.enqueue(self._hasten_list_call),
             )
             if operator.takeover.on:
-                from ospreyline.net.covering import Covering
+                from ospreyline.net.takeover_adapter import TakeoverAdapter
 
-                self.covering = Covering(
+                self.takeover_adapter = TakeoverAdapter(
                     self,
                     operator.takeover,
                     self._config.name,
@@ -252,7 +253,9 @@
                     self._config.seed,
                     terms.max_fetches,
                 )
-                self.bank.guard(self.covering.takeover, lambda: self.note(self.run_takeover_results))
+                self.bank.guard(
+                    self.takeover_adapter.takeover, lambda: self.enqueue(self.process_takeover_events)
+                )
 
     def _use_config(self, config: ProxyConfig) -> None:
         self._config = config
@@ -315,7 +318,7 @@
 
     # -- event batches ------------------------------------------------------------------------------------
 
-    def note(self, call: Callable[..., None], *args: Any) -> None:
+    def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         """Enqueue an event, to be handled in the next batch."""
         self._queued_events.append((call, args))
         if not self._batch_scheduled:
@@ -324,7 +327,7 @@
 
     def _enqueue_list_update(self, update: News) -> None:
         self._update_queued = self._update_queued or update.whole or bool(update.targets)
-        self.note(self._on_list_update, update)
+        self.enqueue(self._on_list_update, update)
 
     def _sends_blocked(self) -> bool:
         """Whether all sends to upstreams are blocked; checked right before each one."""
@@ -415,10 +418,10 @@
 
     # -- visits -------------------------------------------------------------------------------------------
 
-    def run_takeover_results(self, now: float) -> None:
+    def process_takeover_events(self, now: float) -> None:
         """Carry out what takeover has decided."""
-        if self.covering is not None:
-            self.covering.carry_out(now)
+        if self.takeover_adapter is not None:
+            self.takeover_adapter.carry_out(now)
 
     def prefix_name(self, prefix: int) -> str:
         return self._config.prefix_names[prefix]
@@ -430,14 +433,14 @@
     def accept_request(self, request: Request, client: Client) -> bool:
         """Start a visit for a request, or join it to its open visit; False if its id is in use otherwise."""
         if request.trace in self._open_ids:
-            return self.covering is not None and self.covering.joins(request, client)
+            return self.takeover_adapter is not None and self.takeover_adapter.joins(request, client)
         self._open_ids.add(request.trace)
         self._last_tag += 1
         terms = self._config.deployment.prefixes[request.prefix]
         taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
         taken.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
-        self.note(self._begin_visit, taken)
+        self.enqueue(self._begin_visit, taken)
         return True
 
     def client_left(self, client: Client) -> None:
@@ -445,7 +448,7 @@
         taken = self.visits.get(client.tag)
         if taken is not None and taken.client is client:
             taken.client, taken.left = None, True
-            self.note(self._on_client_left, taken)
+            self.enqueue(self._on_client_left, taken)
 
     def ready(self) -> bool:
         """Readiness for health checks: a valid list lease and at least one upstream that is ready."""
@@ -475,9 +478,9 @@
             waited = max(waited, now - self._stalled_from)
         time_left -= waited
         taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, taken
         )
-        if self.covering is None or self.covering.begins(now, taken, time_left, terms.kind):
+        if self.takeover_adapter is None or self.takeover_adapter.begins(now, taken, time_left, terms.kind):
             self.decide(now, taken, time_left, ())
 
     def decide(
@@ -495,8 +498,8 @@
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         taken.errands = [None] * len(before)
         taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
-        if self.covering is not None and len(taken.errands) == len(before):
-            self.covering.decided(now, taken)
+        if self.takeover_adapter is not None and len(taken.errands) == len(before):
+            self.takeover_adapter.decided(now, taken)
         self._discard_if_settled(taken)
 
     def adopt_visit(
@@ -512,7 +515,7 @@
         taken.arrived_at = now
         self._open_ids.add(request.trace)
         taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, taken
         )
         self.decide(now, taken, time_left, prior_fetches)
 
@@ -530,8 +533,8 @@
     def _on_client_left(self, now: float, taken: Taken) -> None:
         if not taken.left:
             return  # another connection of its client has joined it since
-        if self.covering is not None and not taken.answered:
-            if self.covering.goes_on(now, taken, taken.terms.kind):
+        if self.takeover_adapter is not None and not taken.answered:
+            if self.takeover_adapter.goes_on(now, taken, taken.terms.kind):
                 return  # open fetches continue; no new one starts unless the client asks again
             if taken.handle is None:
                 self._discard_visit(taken)
@@ -542,15 +545,17 @@
             for number, errand in enumerate(taken.errands):
                 if errand is not None:
                     errand.withdraw()
-                elif self.covering is not None and self.covering.called_off(taken, number):
+                elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
                     # Its acceptors were told that it is over and will not reply, so its end is reported here;
                     # otherwise the visit would stay open forever.
-                    self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+                    self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
             self._discard_if_settled(taken)
 
     def _on_overdue(self, now: float, taken: Taken) -> None:
         """Backstop: answer a visit that has none yet, whatever went wrong."""
-        if taken.answered and not (self.covering is not None and self.covering.overdue(taken.tag)):
+        if taken.answered and not (
+            self.takeover_adapter is not None and self.takeover_adapter.overdue(taken.tag)
+        ):
             return self._discard_if_settled(taken)
         self.counts["overdue"] += 1
         self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
@@ -580,7 +585,7 @@
                 taken.answered = True
                 self.latencies_ms.append(now - taken.arrived_at)
                 reply = taken, 200, outcome.head, outcome.body
-                if self.covering is None or self.covering.may_tell(now, taken, reply):
+                if self.takeover_adapter is None or self.takeover_adapter.may_tell(now, taken, reply):
                     self._pending_actions.append((self.reply, reply))
         if taken.handle is not None:
             taken.handle.fetch_ended(now, number, reported, elapsed, taken.answered, report)
@@ -589,7 +594,7 @@
     def answer_all(self) -> None:
         """At shutdown: answer all visits that have no answer yet."""
         for taken in self.visits.values():
-            self.note(self._on_overdue, taken)
+            self.enqueue(self._on_overdue, taken)
 
     def has_unanswered_visits(self) -> bool:
         """Whether any visit has no answer yet."""
@@ -603,7 +608,7 @@
         self.upstreams.close()
 
     def _discard_if_settled(self, taken: Taken) -> None:
-        if self.covering is not None and self.covering.holds(taken.tag):
+        if self.takeover_adapter is not None and self.takeover_adapter.holds(taken.tag):
             return
         if taken.handle.settled if taken.handle is not None else taken.answered and taken.client is None:
             self._discard_visit(taken)
@@ -611,8 +616,8 @@
     def _discard_visit(self, taken: Taken) -> None:
         if self.visits.pop(taken.tag, None) is not None:
             self._open_ids.discard(taken.request.trace)
-            if self.covering is not None:
-                self.covering.forget(taken.tag)
+            if self.takeover_adapter is not None:
+                self.takeover_adapter.forget(taken.tag)
         if taken.backstop_timer is not None:
             taken.backstop_timer.cancel()
 
@@ -630,7 +635,9 @@
     def _start_fetch(
         self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
     ) -> None:
-        if self.covering is None or self.covering.may_write(now, taken, number, upstream, generation, until):
+        if self.takeover_adapter is None or self.takeover_adapter.may_write(
+            now, taken, number, upstream, generation, until
+        ):
             self.write(now, taken, number, upstream, generation, until)
 
     def write(
@@ -639,14 +646,14 @@
         """Start a fetch with deadline `until` (ms), unless the upstream has changed since `generation`."""
         request, time_out = taken.request, until - now
         if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
-            return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+            return self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
         errand = taken.errands[number] = Errand(
             request.head(),
             request.body,
             now,
             time_out,
             request.method == b"HEAD",
-            lambda outcome: self.note(self.ended, taken, number, outcome),
+            lambda outcome: self.enqueue(self.ended, taken, number, outcome),
             taken.wanted,
         )
         if taken.handle is not None:
@@ -657,8 +664,8 @@
         errand = taken.errands[number]
         if errand is not None:
             errand.cut(Why.CALLED_OFF)
-        elif self.covering is not None and self.covering.called_off(taken, number):
-            self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+        elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
+            self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
 
     def _send_probe(self, now: float, upstream: int) -> None:
         pool = self.upstreams.pools[upstream]
@@ -670,7 +677,7 @@
             now,
             PROBE_TIMEOUT_FACTOR * self._config.connect_timeout_ms,
             False,
-            lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
+            lambda outcome: self.enqueue(self._on_probe_ended, upstream, now, outcome),
         )
         pool.run(errand)
 
@@ -922,15 +929,17 @@
         self._log_refusal("rejected", taken)
         fields = b"Retry-After: %.3f\r\n" % (retry_after / 1e3) if retry_after else b""
         reply = taken, 503, fields, b"no room, try again\n"
-        if self.covering is None or self.covering.may_bounce(self._last_batch_at, taken, reply):
+        if self.takeover_adapter is None or self.takeover_adapter.may_bounce(
+            self._last_batch_at, taken, reply
+        ):
             self._pending_actions.append((self.reply, reply))
 
     def answer_error(self, tag: int) -> None:
         taken = self.visits[tag]
         taken.answered = True
         self._log_refusal("failed", taken)
-        if self.covering is not None:
-            self.covering.failed(self._last_batch_at, taken)
+        if self.takeover_adapter is not None:
+            self.takeover_adapter.failed(self._last_batch_at, taken)
         self._pending_actions.append(
             (self.reply, (taken, 504 if taken.last_timed_out else 502, b"", b"no answer\n"))
         )
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -16,7 +16,7 @@
 
 from ospreyline.config import ConfigError, ProxyConfig
 from ospreyline.net.clients import Clients
-from ospreyline.net.turn import Turn, clock
+from ospreyline.net.dispatcher import EventDispatcher, clock
 
 if TYPE_CHECKING:
     from ospreyline.operator_settings import OperatorSettings
@@ -47,8 +47,8 @@
         self._config = config
         self._operator = operator  # None: no optional feature is enabled
         self._log = structlog.get_logger()
-        self.turn = Turn(loop, config, operator)
-        self.clients = Clients(loop, self.turn, self.turn.max_clients, self.turn.events)
+        self.dispatcher = EventDispatcher(loop, config, operator)
+        self.clients = Clients(loop, self.dispatcher, self.dispatcher.max_clients, self.dispatcher.events)
         self.at = config.listen
         self._maintenance_rounds = 0
         self._maintenance_timer: asyncio.TimerHandle | None = None
@@ -58,8 +58,8 @@
         """Start listening and serving."""
         self.at = self.clients.listen(self._config.listen)
         self._run_maintenance()
-        if self.turn.bank is not None:
-            self._bank_task = self._loop.create_task(self.turn.bank.start())
+        if self.dispatcher.bank is not None:
+            self._bank_task = self._loop.create_task(self.dispatcher.bank.start())
         self._log.info(
             "serving",
             name=self._config.name,
@@ -69,7 +69,7 @@
 
     def reload(self, load_again: Callable[[], tuple[ProxyConfig, OperatorSettings | None]]) -> None:
         """Reload the files and apply all changes that need no restart."""
-        if self.turn.closing:
+        if self.dispatcher.closing:
             return
         try:
             new, operator = load_again()
@@ -83,7 +83,7 @@
             restart += needs_restart(self._operator, operator)
         if restart:
             self._log.warning("changes that need a restart", keys=restart)
-        moved = new.discovery != self.turn.discovery.at
+        moved = new.discovery != self.dispatcher.discovery.at
         # values that need a restart stay as they are
         new = replace(
             new,
@@ -94,22 +94,22 @@
         )
         settings = any(getattr(self._config, key) != getattr(new, key) for key in RELOADED_FIELDS)
         if settings:
-            self.turn.apply_config(new)
+            self.dispatcher.apply_config(new)
         self._config = new
         if operator is not None and operator != self._operator:
-            self.turn.apply_operator(operator)
+            self.dispatcher.apply_operator(operator)
             self._operator = operator
         self._log.info("reloaded", discovery="{}:{}".format(*new.discovery), moved=moved, settings=settings)
         if moved:
-            self.turn.move_discovery(new.discovery)
+            self.dispatcher.move_discovery(new.discovery)
 
     async def stop(self) -> None:
         """Finish open visits; for a moment, new connections and requests on open ones are still accepted."""
         began = self._loop.time()
-        self._log.info("stopping", visits=len(self.turn.visits))
-        if self.turn.bank is not None:
-            self.turn.bank.leave()
-        self.turn.closing = True
+        self._log.info("stopping", visits=len(self.dispatcher.visits))
+        if self.dispatcher.bank is not None:
+            self.dispatcher.bank.leave()
+        self.dispatcher.closing = True
         # Uses the current settings. A visit that began under longer timeouts is answered early, as the time
         # until the process is killed depends on its latest settings.
         deadline = began + min(_longest_client_timeout_s(self._config), MAX_DRAIN_S) + FINAL_ANSWER_GRACE_S
@@ -121,9 +121,9 @@
                 break
             await asyncio.sleep(0.02)
         while (
-            self.turn.has_unanswered_visits() or self.clients.has_unsent_answers()
+            self.dispatcher.has_unanswered_visits() or self.clients.has_unsent_answers()
         ) and self._loop.time() < deadline + FLUSH_GRACE_S:
-            self.turn.answer_all()  # the rest of a request may have arrived since
+            self.dispatcher.answer_all()  # the rest of a request may have arrived since
             await asyncio.sleep(0.005)
         self.end()
         self._log_counts()
@@ -134,42 +134,42 @@
         if self._maintenance_timer is not None:
             self._maintenance_timer.cancel()
         self.clients.close()
-        if self.turn.bank is not None:
-            self.turn.bank.close()
-        self.turn.close()
+        if self.dispatcher.bank is not None:
+            self.dispatcher.bank.close()
+        self.dispatcher.close()
 
     def _run_maintenance(self) -> None:
         self._maintenance_timer = self._loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
         self.clients.run_maintenance()
-        self.turn.upstreams.run_maintenance(clock())
-        self.turn.run_maintenance(clock())
-        self.turn.discovery.tidy()
+        self.dispatcher.upstreams.run_maintenance(clock())
+        self.dispatcher.run_maintenance(clock())
+        self.dispatcher.discovery.tidy()
         self._maintenance_rounds += 1
         if self._maintenance_rounds % COUNTS_EVERY_ROUNDS == 0:
             self._log_counts()
 
     def _log_counts(self) -> None:
         """Log what was counted since the last "counts" line."""
-        turn = self.turn
-        times = sorted(turn.latencies_ms)
+        dispatcher = self.dispatcher
+        times = sorted(dispatcher.latencies_ms)
         figures: dict[str, float] = {}
         if len(times) > 1:
             cuts = statistics.quantiles(times, n=100, method="inclusive")
             figures = {f"p{n}_ms": round(cuts[n - 1], 1) for n in (50, 90, 99)}
         self._log.info(
             "counts",
-            open_visits=len(turn.visits),
+            open_visits=len(dispatcher.visits),
             clients=len(self.clients.open),
-            connections=len(turn.upstreams.open),
-            lag_ms=round(turn.max_timer_lag_ms, 1),
+            connections=len(dispatcher.upstreams.open),
+            lag_ms=round(dispatcher.max_timer_lag_ms, 1),
             **figures,
-            **dict(sorted(turn.counts.items())),
-            **(turn.bank.counts() if turn.bank is not None else {}),
-            **(turn.covering.counts() if turn.covering is not None else {}),
+            **dict(sorted(dispatcher.counts.items())),
+            **(dispatcher.bank.counts() if dispatcher.bank is not None else {}),
+            **(dispatcher.takeover_adapter.counts() if dispatcher.takeover_adapter is not None else {}),
         )
-        turn.counts.clear()
-        turn.latencies_ms.clear()
-        turn.max_timer_lag_ms = 0.0
+        dispatcher.counts.clear()
+        dispatcher.latencies_ms.clear()
+        dispatcher.max_timer_lag_ms = 0.0
 
 
 class LogFile:
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -18,7 +18,7 @@
 from ospreyline.net.upstreams import Cut, Stage, Why
 
 if TYPE_CHECKING:
-    from ospreyline.net.turn import Taken, Turn
+    from ospreyline.net.dispatcher import EventDispatcher, Taken
     from ospreyline.operator_settings import TakeoverSettings
 
 _LETTERS = {kind: letter for letter, kind in KIND_BY_BYTE.items()}
@@ -38,12 +38,12 @@
     trace: bytes
 
 
-class Covering:
+class TakeoverAdapter:
     """The event dispatcher's side of takeover."""
 
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: EventDispatcher,
         settings: TakeoverSettings,
         name: str,
         zone: str,
@@ -61,7 +61,7 @@
             settings.uncovered == "refuse",
             max_fetches,
         )
-        self._turn = turn
+        self._dispatcher = dispatcher
         # by tag: the action, with arguments, that waits for an event of takeover
         self._waiting: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
         self._retry_deadlines: dict[int, float] = {}  # by tag: ms, deadline of a client that asks again
@@ -69,7 +69,7 @@
     # calls of the dispatcher
 
     def _visit_id(self, request: Request) -> str:
-        return f"{self._turn.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
+        return f"{self._dispatcher.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
 
     def _encode_request(self, request: Request, kind: Kind) -> bytes:
         return _LETTERS[kind] + _ENCODER.encode(
@@ -78,7 +78,7 @@
                 request.path,
                 request.fields,
                 request.body,
-                self._turn.prefix_name(request.prefix),
+                self._dispatcher.prefix_name(request.prefix),
                 request.trace,
             )
         )
@@ -87,13 +87,13 @@
         """Whether a client that asks again is joined to its visit in progress here."""
         if not request.asks:
             return False
-        for taken in self._turn.visits.values():
+        for taken in self._dispatcher.visits.values():
             if taken.request.trace == request.trace and not taken.answered:
                 if taken.client is not None:
                     taken.client.out = None
                     taken.client.drop("its client asks again on another")
                 taken.client, taken.left, client.tag = client, False, taken.tag
-                self._turn.counts["joined"] += 1
+                self._dispatcher.counts["joined"] += 1
                 return True
         return False
 
@@ -110,7 +110,7 @@
         if not self.takeover.admit(
             now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
         ):
-            self._turn.refuse(taken.tag)
+            self._dispatcher.refuse(taken.tag)
             return False
         return True
 
@@ -123,18 +123,18 @@
         self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
     ) -> bool:
         """Whether a fetch may be written now; else it is written when its grant arrives."""
-        zone, cell = self._turn.place(upstream)
-        if self.takeover.request_send(now, taken.tag, number, zone, cell, now <= self._turn.stood_to):
+        zone, cell = self._dispatcher.place(upstream)
+        if self.takeover.request_send(now, taken.tag, number, zone, cell, now <= self._dispatcher.stood_to):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._turn.write, (taken, number, upstream, times, until))
+        self._waiting[taken.tag] = (self._dispatcher.write, (taken, number, upstream, times, until))
         self._send_messages()
         return False
 
     def called_off(self, taken: Taken, number: int) -> bool:
         """Whether a cancelled fetch still waited here for its grant, and so is never sent."""
         action, args = self._waiting.get(taken.tag, (None, ()))
-        if action != self._turn.write or args[1] != number:
+        if action != self._dispatcher.write or args[1] != number:
             return False
         del self._waiting[taken.tag]
         self.takeover.cancel_send(taken.tag, number)
@@ -144,7 +144,7 @@
         if self.takeover.refuse(now, taken.tag):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._turn.reply, reply)
+        self._waiting[taken.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return False
 
@@ -153,10 +153,10 @@
         answered now."""
         _, status, head, body = reply
         at_once = self.takeover.record_answer(
-            now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._turn.stood_to
+            now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._dispatcher.stood_to
         )
         if not at_once:
-            self._waiting[taken.tag] = (self._turn.reply, reply)
+            self._waiting[taken.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return at_once
 
@@ -188,14 +188,14 @@
 
     def _send_messages(self) -> None:
         """Send takeover's messages; its events are processed in a later batch."""
-        if self._turn.bank is not None:
-            self._turn.bank.carry_out()
+        if self._dispatcher.bank is not None:
+            self._dispatcher.bank.carry_out()
 
     def overdue(self, tag: int) -> bool:
         """The client's deadline has passed; returns whether its answer still waited here for an event that
         did not come."""
         action, _ = self._waiting.get(tag, (None, ()))
-        if action != self._turn.reply:
+        if action != self._dispatcher.reply:
             return False
         del self._waiting[tag]
         return True
@@ -211,7 +211,7 @@
             for what, tag, details in news:
                 if what == "adopt":
                     self._adopt(now, tag, *details)
-                elif (taken := self._turn.visits.get(tag)) is not None:
+                elif (taken := self._dispatcher.visits.get(tag)) is not None:
                     self._handle_event(now, taken, what, details)
         if self.takeover.out:
             self._send_messages()
@@ -224,21 +224,21 @@
         return {**counts, "cover_guards": len(acceptor.works), "cover_bytes": acceptor.stored_bytes}
 
     def _handle_event(self, now: float, taken: Taken, what: str, details: Any) -> None:
-        turn = self._turn
+        dispatcher = self._dispatcher
         deadline = self._retry_deadlines.pop(taken.tag, 0.0)
         action, args = self._waiting.pop(taken.tag, (None, ()))
         if what in ("go", "refused", "told"):
             if action is not None:
-                turn.note(action, *args)
+                dispatcher.enqueue(action, *args)
             return
-        if action == turn.write:
+        if action == dispatcher.write:
             # it was never written: the decision module may send it elsewhere if the visit is still ours
-            turn.note(turn.ended, taken, args[1], Cut(Stage.CONNECTING, Why.WITHDRAWN))
+            dispatcher.enqueue(dispatcher.ended, taken, args[1], Cut(Stage.CONNECTING, Why.WITHDRAWN))
         if what == "answer":
             self._reply_with_stored_answer(now, taken, details)
         elif what == "unknown":
-            turn.note(turn.reply, taken, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
-            turn.close_visit(now, taken)
+            dispatcher.enqueue(dispatcher.reply, taken, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
+            dispatcher.close_visit(now, taken)
         elif what == "lost":
             # another balancer has it: nothing more is sent; a fetch in progress may still be recorded
             if taken.client is not None:
@@ -246,23 +246,24 @@
                 client.out = None
                 client.drop("another balancer has taken its request over")
             if not any(e is not None and e.done is not None for e in taken.errands):
-                turn.close_visit(now, taken)
+                dispatcher.close_visit(now, taken)
         elif what == "take":
-            turn.decide(now, taken, max(0.0, deadline - now), details)
+            dispatcher.decide(now, taken, max(0.0, deadline - now), details)
         elif what == "bounce":
-            turn.refuse(taken.tag)
+            dispatcher.refuse(taken.tag)
 
     def _reply_with_stored_answer(self, now: float, taken: Taken, encoded_answer: bytes) -> None:
-        turn = self._turn
+        dispatcher = self._dispatcher
         reply: tuple[int, bytes, bytes] = (502, b"", b"it was answered, and its answer is not kept\n")
         if encoded_answer:
             try:
                 reply = msgspec.msgpack.decode(encoded_answer, type=tuple[int, bytes, bytes])
             except msgspec.MsgspecError:
-                turn.counts["unreadable_answers"] += 1  # invalid data from a peer affects only its visit
+                # invalid data from a peer affects only its visit
+                dispatcher.counts["unreadable_answers"] += 1
         status, head, body = reply
-        turn.note(turn.reply, taken, status, head + ANSWERED_HEADER, body)
-        turn.close_visit(now, taken)
+        dispatcher.enqueue(dispatcher.reply, taken, status, head + ANSWERED_HEADER, body)
+        dispatcher.close_visit(now, taken)
 
     def _adopt(
         self, now: float, tag: int, encoded: bytes, kind: Kind, prior_fetches: list[PriorFetch], left: float
@@ -272,10 +273,10 @@
             stored = msgspec.msgpack.decode(encoded[1:], type=StoredRequest)
         except msgspec.MsgspecError:
             return self.takeover.remove(tag)  # invalid data from a peer is ignored
-        prefix = self._turn.prefixes.get(stored.prefix.encode())
+        prefix = self._dispatcher.prefixes.get(stored.prefix.encode())
         if prefix is None:
             return self.takeover.abandon(now, tag)
         request = Request(
             stored.method, stored.path, stored.fields, stored.body, prefix, stored.trace, None, True
         )
-        self._turn.adopt_visit(now, tag, request, left, prior_fetches)
+        self._dispatcher.adopt_visit(now, tag, request, left, prior_fetches)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -15,8 +15,8 @@
 from ospreyline import config
 from ospreyline.decide import Balancer, Visit
 from ospreyline.host import DedupScope, Deployment, End, Kind, ListedUpstream, PathPrefix, Readiness
+from ospreyline.net.dispatcher import clock
 from ospreyline.net.service import Service
-from ospreyline.net.turn import clock
 from ospreyline.operator_settings import OperatorSettings
 
 
@@ -323,7 +323,7 @@
 async def until_ready(service: Service) -> None:
     """Wait until a balancer may send requests: the list service has answered, or nothing listens there."""
     async with asyncio.timeout(5):
-        while service.turn.balancer.lease.blocks_sends(clock()):
+        while service.dispatcher.balancer.lease.blocks_sends(clock()):
             await asyncio.sleep(0)
 
 
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -28,9 +28,9 @@
 from ospreyline.lease import UpdateArriving, UpdateLost
 from ospreyline.net import discovery as discovery_module
 from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.dispatcher import clock
 from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, ListCall
 from ospreyline.net.service import Service
-from ospreyline.net.turn import clock
 
 
 class Setup:
@@ -38,7 +38,7 @@
 
     def __init__(self, service: Service, registry: Registry, elsewhere: Registry, peers: list[Peer]) -> None:
         self.service, self.registry, self.elsewhere, self.peers = service, registry, elsewhere, peers
-        self.lists = service.turn.discovery
+        self.lists = service.dispatcher.discovery
 
     def calls(self) -> list[ListCall]:
         return list(self.lists._calls)
@@ -169,7 +169,7 @@
             await settled(registry, service, 1)
             await place(setup)
             async with asyncio.timeout(2):
-                while service.turn._readiness["u0"] is Readiness.READY:
+                while service.dispatcher._readiness["u0"] is Readiness.READY:
                     await asyncio.sleep(0.005)
 
     play(scenario)
@@ -203,8 +203,8 @@
             watch.connection_lost(ConnectionResetError())
             plain.number = setup.lists.calls_started + 1  # as if it had started after the loss
             plain.data_received(setup.whole() + END)  # of version 40
-            service.turn._dispatch()
-            assert service.turn.balancer.lease.has_lost_update
+            service.dispatcher._dispatch()
+            assert service.dispatcher.balancer.lease.has_lost_update
 
     play(scenario)
 
@@ -221,12 +221,12 @@
             moved(service, elsewhere)
             await elsewhere.until(lambda: bool(elsewhere.writers))
             await registry.tell(41, target("u0", peers[0].port, state="leaving"))
-            while service.turn._readiness["u0"] is Readiness.READY:
+            while service.dispatcher._readiness["u0"] is Readiness.READY:
                 await asyncio.sleep(0)
             await elsewhere.tell(7, *(target(f"u{i}", p.port) for i, p in enumerate(peers)), whole=True)
             await elsewhere.until(lambda: len(elsewhere.requests) == 2)
             assert b"?watch=1" not in elsewhere.requests[1][0]  # the full list decides
-            assert service.turn._readiness["u0"] is Readiness.DRAINING
+            assert service.dispatcher._readiness["u0"] is Readiness.DRAINING
 
     play(scenario)
 
@@ -248,16 +248,16 @@
             await registry.until(lambda: len(registry.writers) == 1)
             (first,) = registry.writers
             await registry.say(listing(40))
-            while service.turn.discovery.rev != 40:
+            while service.dispatcher.discovery.rev != 40:
                 await asyncio.sleep(0.005)
             first.write(chunk(listing(7)))
-            while not service.turn.discovery._half_closed:
+            while not service.dispatcher.discovery._half_closed:
                 await asyncio.sleep(0.002)
             ended = clock()
             while clock() - ended < 1_000.0:  # no other call is answered, and this one does not end
                 await asyncio.sleep(0.01)
-                service.turn._dispatch()
-                assert service.turn.balancer.lease.blocks_sends(ended + 300.0)
+                service.dispatcher._dispatch()
+                assert service.dispatcher.balancer.lease.blocks_sends(ended + 300.0)
 
     play(scenario)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -215,7 +215,7 @@
         async with running(Peer(), sockets=64) as service:
             usual = await caller(service)
             assert (await usual.ask(request()))[0] == 200
-            flood = [await caller(service) for _ in range(6 * service.turn.max_clients)]
+            flood = [await caller(service) for _ in range(6 * service.dispatcher.max_clients)]
             assert (await (await caller(service)).ask(request()))[0] == 200
             # the connection that has sent a request stays open, silent ones are evicted
             assert (await usual.ask(request()))[0] == 200
@@ -249,7 +249,7 @@
             else:
                 client.writer.close()
             await peer.until(lambda: peer.open == 0)
-            assert len(peer.requests) == 1 and not service.turn.visits
+            assert len(peer.requests) == 1 and not service.dispatcher.visits
 
     play(scenario)
 
@@ -271,10 +271,10 @@
     async def scenario():
         async with running(Peer(), sockets=64) as service:
             held = []
-            for _ in range(3 * service.turn.max_clients):
+            for _ in range(3 * service.dispatcher.max_clients):
                 held.append(await caller(service))
                 assert (await held[-1].ask(request()))[0] == 200
-            assert len(service.clients.open) <= service.turn.max_clients
+            assert len(service.clients.open) <= service.dispatcher.max_clients
             assert await held[0].reader.read() == b""
 
     play(scenario)
@@ -290,10 +290,10 @@
             busy = await caller(service)
             busy.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
-            for _ in range(2 * service.turn.max_clients):
+            for _ in range(2 * service.dispatcher.max_clients):
                 assert (await (await caller(service)).ask(request()))[0] == 200
             service.clients.run_maintenance()
-            assert len(service.clients.open) <= service.turn.max_clients // 2
+            assert len(service.clients.open) <= service.dispatcher.max_clients // 2
             peer.writers[0].write(ok(b"still there"))
             assert (await busy.answer())[2] == b"still there"
 
@@ -331,7 +331,7 @@
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
             held = []
-            for _ in range(2 * service.turn.max_clients):
+            for _ in range(2 * service.dispatcher.max_clients):
                 held.append(await caller(service))
                 held[-1].writer.write(request(X_Expires_In="0.3"))
             answers = await asyncio.gather(*(client.answer() for client in held))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -28,7 +28,7 @@
 
 from ospreyline.net import clients, upstreams
 from ospreyline.net import service as service_module
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 
 ROOT = Path(__file__).parent.parent
 WHOLE = b"whole answer"
@@ -78,8 +78,8 @@
             client = await caller(service)
             client.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
-            (accepted,), (upstream,) = service.clients.open, service.turn.upstreams.open
-            (call,) = service.turn.discovery._calls
+            (accepted,), (upstream,) = service.clients.open, service.dispatcher.upstreams.open
+            (call,) = service.dispatcher.discovery._calls
             for transport in (accepted.transport, upstream.transport, call.transport):
                 assert nodelay(transport) == 1
         a = await Stand("a").start()
@@ -121,7 +121,7 @@
                 await asyncio.sleep(0)
             assert await read_all(sock) == b"" and len(peer.requests) == 1
             assert (await (await caller(service)).ask(request(trace="crosses")))[0] == 200
-            assert len(peer.requests) == 2 and not service.turn.visits
+            assert len(peer.requests) == 2 and not service.dispatcher.visits
 
     play(scenario)
 
@@ -143,7 +143,7 @@
                 sock.sendall(request(trace="behind"))
             got += await read_all(sock)
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(WHOLE) and len(peer.requests) == 1
-            assert not service.turn.visits
+            assert not service.dispatcher.visits
 
     play(scenario)
 
@@ -347,10 +347,10 @@
             await asyncio.sleep(0.1)  # the last answers are being sent
             late.sendall(whole[-1:])
             assert (await read_all(late)).startswith((b"HTTP/1.1 502", b"HTTP/1.1 504"))
-            assert service.turn.counts["overdue"] == 1  # because of the stop, not of its fetch timeout
+            assert service.dispatcher.counts["overdue"] == 1  # because of the stop, not of its fetch timeout
             assert (await read_all(slow)).endswith(body)
             await asyncio.wait_for(stop, 4)
-            assert not service.turn.visits
+            assert not service.dispatcher.visits
 
     play(scenario)
 
@@ -386,7 +386,7 @@
             assert b"next" in got
             conn.sendall(ok(WHOLE))
             assert (await client.answer())[2] == WHOLE
-            assert service.turn.counts["unreached"] == 1 and not service.turn.counts["reset"]
+            assert service.dispatcher.counts["unreached"] == 1 and not service.dispatcher.counts["reset"]
             conn.close()
 
     play(scenario)
@@ -427,7 +427,7 @@
             assert b"next" in got
             again.sendall(ok(WHOLE))
             assert (await client.answer())[::2] == (200, WHOLE)
-            assert service.turn.counts["reset"] == (first == "choice")
+            assert service.dispatcher.counts["reset"] == (first == "choice")
             again.close()
 
     play(scenario)
@@ -459,7 +459,7 @@
             client = await caller(service)
             client.writer.write(asked(path))
             conn, _ = await raw.take()
-            (there,) = service.turn.upstreams.open
+            (there,) = service.dispatcher.upstreams.open
             conn.sendall(HEADS[head] + WHOLE)
             while read == "in turn" and not there._body:
                 await asyncio.sleep(0)
@@ -576,14 +576,16 @@
                 sock.sendall(data)
                 reset(sock) if goes == "reset" else sock.close()
             while (
-                service.turn.counts["accepted"] < 31
+                service.dispatcher.counts["accepted"] < 31
                 or len(service.clients.open) > 1
                 or service.clients._accepting
             ):
                 await asyncio.sleep(0)
             assert (await usual.ask(request()))[0] == 200
-            assert len(peer.requests) == 2 and not service.turn.visits and not service.turn._open_ids
-            assert not service.turn.counts["faults"]
+            assert (
+                len(peer.requests) == 2 and not service.dispatcher.visits and not service.dispatcher._open_ids
+            )
+            assert not service.dispatcher.counts["faults"]
 
     play(scenario)
 
@@ -636,7 +638,7 @@
             while len(got) < len(body):
                 service.clients.run_maintenance()
                 got += await loop.sock_recv(slow, 65_536)
-            assert b"200 OK" in got and service.turn.counts["cut_slow"] == 0
+            assert b"200 OK" in got and service.dispatcher.counts["cut_slow"] == 0
             slow.close()
 
     play(scenario)
@@ -677,8 +679,11 @@
             longest = max(b - a for a, b in itertools.pairwise(passes))
             late = sum(b - a for a, b in itertools.pairwise(passes) if b - a > 20.0)
             assert all(status in (200, 502, 503, 504) for status, _, _ in answers)
-            assert passes[-1] - passes[0] < 250.0 + 15.0 + 50.0 + late and not service.turn.counts["faults"]
-            assert service.turn.counts["overdue"] == 0 or longest > 15.0
+            assert (
+                passes[-1] - passes[0] < 250.0 + 15.0 + 50.0 + late
+                and not service.dispatcher.counts["faults"]
+            )
+            assert service.dispatcher.counts["overdue"] == 0 or longest > 15.0
             for client in callers:  # exactly one answer
                 client.writer.write_eof()
                 assert await client.reader.read() == b""
@@ -704,11 +709,11 @@
             if how == "watch":
                 await registry.tell(5, whole, whole=True)
             else:
-                service.turn.discovery.refresh()
+                service.dispatcher.discovery.refresh()
                 await registry.until(lambda: len(registry.writers) == 2)
                 await registry.tell(5, whole, whole=True)
                 registry.writers[-1].write(b"0\r\n\r\n")
-            while service.turn.discovery.rev != 5:
+            while service.dispatcher.discovery.rev != 5:
                 await asyncio.sleep(0)
             await out.until(lambda: out.open == 0)  # its idle connections are closed
             stays.answers = [ok(b"stays")]
@@ -724,7 +729,7 @@
         registry = Registry()
         async with running(Peer(), registry=registry) as service:
             await registry.tell(4)
-            (call,) = service.turn.discovery._calls
+            (call,) = service.dispatcher.discovery._calls
             call.started_at -= 13.0  # as if the call had been sending for 13 s
             for _ in range(3):
                 await registry.say(b"\n")
@@ -733,8 +738,8 @@
             heard = call.heard_at
             assert not call.timed_out(heard + 2.4) and call.timed_out(heard + 2.6)
             call.heard_at -= 2.6
-            service.turn.discovery.tidy()
-            assert call.half_closed_at is not None and not service.turn.discovery._calls
+            service.dispatcher.discovery.tidy()
+            assert call.half_closed_at is not None and not service.dispatcher.discovery._calls
             await registry.until(lambda: len(registry.requests) > 1)
 
     play(scenario)
@@ -761,23 +766,27 @@
         async with running(registry=registry, known=[]) as service:
             await registry.until(lambda: len(registry.writers) == 1)
             raw = Raw()
-            service.turn.discovery.at = ("127.0.0.1", raw.port)
-            service.turn.discovery._full_list_due = (
+            service.dispatcher.discovery.at = ("127.0.0.1", raw.port)
+            service.dispatcher.discovery._full_list_due = (
                 True  # otherwise the open watch makes up for the failed call
             )
-            service.turn.discovery.refresh()
+            service.dispatcher.discovery.refresh()
             conn, _ = await raw.take()
-            failed, noted = [], service.turn.discovery._tell_failed
-            service.turn.discovery._tell_failed = lambda wait: (failed.append(wait), noted(wait))
+            failed, noted = [], service.dispatcher.discovery._tell_failed
+            service.dispatcher.discovery._tell_failed = lambda wait: (failed.append(wait), noted(wait))
             line = json.dumps({"rev": 5, "all": True, "targets": [target("u0", peer.port)]}).encode()
             conn.sendall(head + {True: line, None: line, False: line[:-10], "": b""}[whole])
             conn.close()
-            while service.turn.discovery.rev != 5 and not failed and len(service.turn.discovery._calls) > 1:
+            while (
+                service.dispatcher.discovery.rev != 5
+                and not failed
+                and len(service.dispatcher.discovery._calls) > 1
+            ):
                 await asyncio.sleep(0)
-            assert (service.turn.discovery.rev == 5) is bool(whole) and bool(failed) is not bool(whole)
+            assert (service.dispatcher.discovery.rev == 5) is bool(whole) and bool(failed) is not bool(whole)
             if whole:
                 assert (await (await caller(service)).ask(request()))[2] == b"listed" and not failed
-            assert not service.turn.counts["faults"]
+            assert not service.dispatcher.counts["faults"]
 
     play(scenario)
 
@@ -834,7 +843,7 @@
         peers = [await Peer(ok(body)).start() for body in (b"0", b"1")]
         zero, one = (target(f"u{i}", peer.port) for i, peer in enumerate(peers))
         async with running(known=[zero, one]) as service:
-            lists = service.turn.discovery
+            lists = service.dispatcher.discovery
             lists.move(("127.0.0.1", raw.port))
             conn, got = await raw.take()
             assert b"watch=1&after=0 " in got
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -20,7 +20,7 @@
 from ospreyline.fleet import kept
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.lab.turns import Turns
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 
 
 def bank(count: int, calls_per_s: float) -> list[CallPacer]:
@@ -170,7 +170,7 @@
 def logged(service, monkeypatch) -> list[str]:
     lines: list[str] = []
     for level in ("info", "warning"):
-        monkeypatch.setattr(service.turn.logger, level, lambda event, **more: lines.append(event))
+        monkeypatch.setattr(service.dispatcher.logger, level, lambda event, **more: lines.append(event))
     return lines
 
 
@@ -189,14 +189,14 @@
         assert b"after=3" in registry.requests[0][0]
         again = Registry()
         async with running(registry=again, known=[], operator=settings) as service:
-            assert list(service.turn._target_by_uid) == ["s-9"]
+            assert list(service.dispatcher._target_by_uid) == ["s-9"]
             await again.until(lambda: bool(again.requests))
             assert b"watch=1&after=41" in again.requests[0][0]
             # not ready: until the service confirms the list its age is unknown
-            assert not service.turn.ready()
+            assert not service.dispatcher.ready()
             await again.tell(41)
             await until_ready(service)
-            assert service.turn.ready()
+            assert service.dispatcher.ready()
 
     asyncio.run(scenario())
 
@@ -206,7 +206,7 @@
         registry, peer = Registry(), await Peer().start()
         async with running(peer, registry=registry, operator=settings) as service:
             await registry.tell(8)
-            while service.turn.discovery.rev != 8:
+            while service.dispatcher.discovery.rev != 8:
                 await asyncio.sleep(0.01)
             await registry.say(b'{"rev":9,"all":false,"targets":[{"uid":7}]}\n')
             await registry.until(lambda: len(registry.requests) == 2)
@@ -225,11 +225,11 @@
         (tmp_path / "kept").write_bytes(text)
         registry = Registry()
         async with running(registry=registry, operator=settings, known=[target("s-1", 9_001)]) as service:
-            assert list(service.turn._target_by_uid) == ["s-1"]
+            assert list(service.dispatcher._target_by_uid) == ["s-1"]
             await registry.until(lambda: bool(registry.requests))
             assert b"after=3" in registry.requests[0][0]
             await heard(service, registry)
-            assert service.turn.ready()
+            assert service.dispatcher.ready()
 
     asyncio.run(scenario())
 
@@ -238,7 +238,7 @@
     async def scenario():
         (tmp_path / "kept").write_bytes(kept.encode(time() * 1e3, 2, TARGETS))
         async with running(operator=settings, known=[target("s-1", 9_001)]) as service:  # version 3
-            assert list(service.turn._target_by_uid) == ["s-1"]
+            assert list(service.dispatcher._target_by_uid) == ["s-1"]
 
     asyncio.run(scenario())
 
@@ -251,9 +251,12 @@
         async with running(registry=registry, known=[], operator=on) as service:
             await registry.tell(41, target("s-9", 9_009), whole=True)
             await until(
-                lambda: service.turn._list_cache._writing is None and service.turn._list_cache._saved_at
+                lambda: (
+                    service.dispatcher._list_cache._writing is None
+                    and service.dispatcher._list_cache._saved_at
+                )
             )
-            assert service.turn.ready()
+            assert service.dispatcher.ready()
 
     asyncio.run(scenario())
 
@@ -273,9 +276,9 @@
         registry._serve = refuse
         async with running(registry=registry, operator=settings) as service:
             await registry.until(lambda: bool(registry.requests))
-            await until(lambda: service.turn._pace.failures)
-            assert service.turn._pace.failures == 1
-            assert 2_000.0 < service.turn._pace.next_call_at - clock() <= 2_700.0
+            await until(lambda: service.dispatcher._pace.failures)
+            assert service.dispatcher._pace.failures == 1
+            assert 2_000.0 < service.dispatcher._pace.next_call_at - clock() <= 2_700.0
 
     asyncio.run(scenario())
 
@@ -325,15 +328,15 @@
             config = service._config
             service._operator = operator_settings.OFF
             service.reload(lambda: (config, settings))
-            assert service.turn._pace is not None and service.turn.discovery.watching
+            assert service.dispatcher._pace is not None and service.dispatcher.discovery.watching
             # another size of the bank changes the window, though the operator file is the same
-            window = service.turn._pace.window
+            window = service.dispatcher._pace.window
             larger = replace(
                 config, deployment=replace(config.deployment, balancers=10 * config.deployment.balancers)
             )
             service.reload(lambda: (larger, settings))
-            assert service.turn._pace.window == pytest.approx(10 * window)
+            assert service.dispatcher._pace.window == pytest.approx(10 * window)
             service.reload(lambda: (config, operator_settings.OFF))
-            assert service.turn._pace is None and service.turn._list_cache is not None
+            assert service.dispatcher._pace is None and service.dispatcher._list_cache is not None
 
     asyncio.run(scenario())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -57,7 +57,7 @@
     # connections were evicted again and again in one pass, but closed only after it: half the limit too many
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             idle = [await caller(service) for _ in range(most // 2)]
             for client in idle:
                 if asked:
@@ -80,7 +80,7 @@
     async def story():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 1e9)  # no connection is reused after its answer
         async with running(Peer(), sockets=64) as service:
-            pool = service.turn.upstreams
+            pool = service.dispatcher.upstreams
             pool.max_open = 4
             callers = [await caller(service) for _ in range(8)]
             for client in callers[:4]:
@@ -106,7 +106,7 @@
 def test_a_send_that_ends_before_its_connection_begins_leaves_nothing_open(turn):
     async def story():
         async with running(Peer(), sockets=64) as service:
-            pool = service.turn.upstreams
+            pool = service.dispatcher.upstreams
             here, ended = descriptors(), []
             errand = upstreams.Errand(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
             pool.pools[0].run(errand)
@@ -125,7 +125,7 @@
     # after a late pass the listener may be read before a request that waits in a connection's socket
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             held = [await caller(service) for _ in range(most // 2)]
             if asked:
                 for client in held:
@@ -141,7 +141,7 @@
             for client in held[:-1]:
                 assert (await client.answer())[0] == 200
             assert await held[-1].reader.read() == b""
-            assert service.turn.counts["made_room"] == 1
+            assert service.dispatcher.counts["made_room"] == 1
             new[0].close()
 
     play(story)
@@ -153,7 +153,7 @@
         monkeypatch.setattr(clients, "SILENT_EVICTION_AGE_S", 60.0)
         monkeypatch.setattr(clients.Clients, "_evict_idle", lambda *_: False)  # all are busy
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             held = [await caller(service) for _ in range(most)]
             await until(lambda: len(service.clients.open) == most)
             (sock,) = waiting(service, 1)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -43,9 +43,9 @@
 
 from ospreyline.fleet.takeover import Takeover
 from ospreyline.net import upstreams
-from ospreyline.net.covering import Covering
+from ospreyline.net.dispatcher import clock
 from ospreyline.net.service import Service
-from ospreyline.net.turn import clock
+from ospreyline.net.takeover_adapter import TakeoverAdapter
 from ospreyline.operator_settings import TakeoverSettings as On
 
 WAYS = pytest.mark.parametrize("how", ["end", "reset", "half"])
@@ -96,7 +96,9 @@
 
 async def until_settled(service: Service) -> None:
     """Wait until no visit or exchange is left, and what was opened or written has arrived."""
-    while service.turn.visits or any(peer.errands for peer in service.turn.upstreams.pools.values()):
+    while service.dispatcher.visits or any(
+        peer.errands for peer in service.dispatcher.upstreams.pools.values()
+    ):
         await asyncio.sleep(0)
     await passes()
 
@@ -111,7 +113,7 @@
 
 def block_capacity(service: Service, monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
     """Queue all visits that arrive; call the result to give them capacity."""
-    balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+    balancer, place = service.dispatcher.balancer, service.dispatcher.balancer._choose_and_send
     monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
     balancer._delivery_rate = 1e6  # without this, visits would be bounced for the expected wait
     return lambda: monkeypatch.setattr(balancer, "_choose_and_send", place)
@@ -153,7 +155,10 @@
             # A connection established before the leaving is allowed; one opened after it counts as a
             # beginning.
             assert (len(peer.requests), len(peer.writers) - (place == "connected")) == begun
-            assert peer.open == (place in ("turn", "write")) and len(service.turn.upstreams.open) == peer.open
+            assert (
+                peer.open == (place in ("turn", "write"))
+                and len(service.dispatcher.upstreams.open) == peer.open
+            )
             await only_next_served(service, peer)
 
     play(scenario)
@@ -172,12 +177,12 @@
             free_capacity = block_capacity(service, monkeypatch)
             sock = open_client(service)
             sock.sendall(request())
-            while not service.turn.balancer._queued:
+            while not service.dispatcher.balancer._queued:
                 await asyncio.sleep(0)
             Delay(late, lambda: leave(sock, how))()
             free_capacity()
-            service.turn.balancer._check_queue(clock())
-            service.turn._dispatch()  # at once; nothing is read before
+            service.dispatcher.balancer._check_queue(clock())
+            service.dispatcher._dispatch()  # at once; nothing is read before
             await until_settled(service)
             assert (len(peer.requests), len(peer.writers)) == begun
             await only_next_served(service, peer)
@@ -193,7 +198,7 @@
         async with running(*peers) as service:
             sock = open_client(service)
             delay = Delay(late, lambda: leave(sock, how))
-            monkeypatch.setattr(service.turn, "ended", delay.before(service.turn.ended))
+            monkeypatch.setattr(service.dispatcher, "ended", delay.before(service.dispatcher.ended))
             sock.sendall(asked("/tag"))
             while not delay.done:
                 await asyncio.sleep(0)
@@ -215,7 +220,7 @@
             if kept:
                 await open_idle_connection(service, monkeypatch)
             begun = len(peer.requests), len(peer.writers)
-            monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
+            monkeypatch.setattr(service.dispatcher.balancer, "_has_capacity", lambda *_: True)
             socks = [open_client(service) for _ in range(many)]
             while len(service.clients.open) < many:
                 await asyncio.sleep(0)
@@ -224,7 +229,7 @@
 
             def nth(self, errand, *args):
                 ran.append(errand)
-                turns.add(service.turn._last_batch_at)
+                turns.add(service.dispatcher._last_batch_at)
                 if len(ran) == before:
                     delay()
                 run(self, errand, *args)
@@ -254,14 +259,14 @@
             if where == "held":
                 free_capacity = block_capacity(service, monkeypatch)
             else:
-                monkeypatch.setattr(service.turn.balancer, "_has_capacity", lambda *_: True)
+                monkeypatch.setattr(service.dispatcher.balancer, "_has_capacity", lambda *_: True)
             socks = [open_client(service) for _ in range(many)]
             for sock in socks:
                 sock.sendall(request())
 
             def waiting() -> int:
-                peer = service.turn.upstreams.pools[0]
-                return service.turn.balancer._queued if where == "held" else len(peer.errands)
+                peer = service.dispatcher.upstreams.pools[0]
+                return service.dispatcher.balancer._queued if where == "held" else len(peer.errands)
 
             while waiting() < many:
                 await asyncio.sleep(0)
@@ -271,13 +276,13 @@
             Delay(late, lambda: [leave(sock, ways[i % 3]) for i, sock in enumerate(socks)])()
             if where == "held":
                 free_capacity()
-                service.turn.balancer._check_queue(clock())
-                service.turn._dispatch()
+                service.dispatcher.balancer._check_queue(clock())
+                service.dispatcher._dispatch()
             await until_settled(service)
             while service.clients.open:
                 await asyncio.sleep(0)
-            assert not gate.got and not service.turn.upstreams.open and not service.turn._open_ids
-            assert not service.turn.balancer._queued and not service.turn.counts["faults"]
+            assert not gate.got and not service.dispatcher.upstreams.open and not service.dispatcher._open_ids
+            assert not service.dispatcher.balancer._queued and not service.dispatcher.counts["faults"]
             client = await caller(service)
             client.writer.write(request(trace="next"))
             while b"next" not in gate.got:
@@ -309,9 +314,9 @@
             sock, loop, got = open_client(service), asyncio.get_running_loop(), bytearray()
             sock.sendall(request("/change", "POST", body))
             conn, _ = await loop.sock_accept(server)
-            while not service.turn.upstreams.pools[0].errands:
+            while not service.dispatcher.upstreams.pools[0].errands:
                 await asyncio.sleep(0)
-            (errand,) = service.turn.upstreams.pools[0].errands
+            (errand,) = service.dispatcher.upstreams.pools[0].errands
             while errand.stage is not upstreams.Stage.WRITING:
                 await asyncio.sleep(0)
             # all but a last piece, which is sent as soon as the upstream reads more
@@ -327,14 +332,14 @@
             if how == "left":
                 leave(sock)
                 next(iter(service.clients.open)).eof_received()
-                service.turn._dispatch()
+                service.dispatcher._dispatch()
             else:
                 errand.cut(upstreams.Why.TIMED_OUT)
             with suppress(ConnectionResetError):
                 while data := await loop.sock_recv(conn, 65_536):
                     got.extend(data)
             assert len(got) < len(body)
-            assert service.turn.counts["unsent" if how == "left" else "unreached"] == 1
+            assert service.dispatcher.counts["unsent" if how == "left" else "unreached"] == 1
             conn.close()
             server.close()
 
@@ -349,7 +354,12 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            sock, turn, take, met = open_client(service), service.turn, service.turn.accept_request, []
+            sock, dispatcher, take, met = (
+                open_client(service),
+                service.dispatcher,
+                service.dispatcher.accept_request,
+                [],
+            )
 
             def taken(asked, client):
                 met.append(take(asked, client))
@@ -357,11 +367,11 @@
                 reload(service, ["change", "tag", "read"])  # processes the batch of queued events at once
                 return met[0]
 
-            turn.accept_request = taken
+            dispatcher.accept_request = taken
             sock.sendall(request())
             while not met:
                 await asyncio.sleep(0)
-            turn.accept_request = take
+            dispatcher.accept_request = take
             await until_settled(service)
             assert not peer.requests and not peer.writers
             await only_next_served(service, peer)
@@ -374,24 +384,25 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            free_capacity, turn, balancer = (
+            free_capacity, dispatcher, balancer = (
                 block_capacity(service, monkeypatch),
-                service.turn,
-                service.turn.balancer,
+                service.dispatcher,
+                service.dispatcher.balancer,
             )
             sock = open_client(service)
             sock.sendall(request())
             while not balancer._queued:
                 await asyncio.sleep(0)
-            turn._loop_timer.cancel()
-            turn._timers = [(clock(), -1, balancer._check_queue)]  # due now, and the loop stalls from now on
+            dispatcher._loop_timer.cancel()
+            # due now, and the loop stalls from now on
+            dispatcher._timers = [(clock(), -1, balancer._check_queue)]
             Delay(late, lambda: leave(sock))()  # longer than `LATE_TIMER_MS`
             free_capacity()
             placed, place = [], balancer._choose_and_send
             monkeypatch.setattr(
                 balancer, "_choose_and_send", lambda *args: placed.append(args) or place(*args)
             )
-            turn._on_loop_timer()
+            dispatcher._on_loop_timer()
             await until_settled(service)
             assert not placed and not peer.requests and not peer.writers
 
@@ -402,9 +413,11 @@
     """Takeover on one balancer, and acceptors whose messages the scenario delivers."""
 
     def __init__(self, service: Service) -> None:
-        turn = service.turn
-        turn.covering = Covering(turn, On(on=True, wait_ms=4_000.0), "m0", "a", 1, 1, 3)
-        self.turn, self.own = turn, turn.covering.takeover
+        dispatcher = service.dispatcher
+        dispatcher.takeover_adapter = TakeoverAdapter(
+            dispatcher, On(on=True, wait_ms=4_000.0), "m0", "a", 1, 1, 3
+        )
+        self.dispatcher, self.own = dispatcher, dispatcher.takeover_adapter.takeover
         self.at = {
             name: Takeover(name, "a", 1, lambda: 0.5, 4_000.0, 30_000.0, False, 3)
             for name in ("m1", "m2", "m3")
@@ -425,7 +438,7 @@
                 out, one.out = one.out, []
                 for to, message in out:
                     everybody[to].heard(clock(), name, message)
-        self.turn.note(self.turn.run_takeover_results)
+        self.dispatcher.enqueue(self.dispatcher.process_takeover_events)
 
 
 @CANCEL
@@ -434,10 +447,10 @@
     async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            bank, turn = TakeoverBank(service), service.turn
+            bank, dispatcher = TakeoverBank(service), service.dispatcher
             sock = open_client(service)
             sock.sendall(asked("/change"))
-            while not turn.covering._waiting:
+            while not dispatcher.takeover_adapter._waiting:
                 await asyncio.sleep(0)
             if read:
                 leave(sock)
@@ -446,11 +459,13 @@
             else:
                 Delay(late, lambda: leave(sock))()
             bank.deliver()
-            turn._dispatch()  # the grant is there, and nothing was read before
+            dispatcher._dispatch()  # the grant is there, and nothing was read before
             await until_settled(service)
             assert not peer.requests and not peer.writers
             # and it is removed: no message about it will come
-            assert not turn._open_ids and not turn.covering._waiting and not bank.own.visits
+            assert (
+                not dispatcher._open_ids and not dispatcher.takeover_adapter._waiting and not bank.own.visits
+            )
 
     play(scenario)
 
@@ -459,12 +474,12 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            bank, turn = TakeoverBank(service), service.turn
+            bank, dispatcher = TakeoverBank(service), service.dispatcher
             bank.at["m1"].admit(
                 clock(),
                 1,
                 "tag 7",
-                asked_kind := next(p.kind for p in turn._config.deployment.prefixes if p.name == "tag"),
+                asked_kind := next(p.kind for p in dispatcher._config.deployment.prefixes if p.name == "tag"),
                 b"tbody",
                 2_000.0,
             )
@@ -472,18 +487,18 @@
             bank.deliver()
             sock = open_client(service)
             sock.sendall(asked("/tag", trace="7", X_Second_Try="same"))
-            while not turn.covering._retry_deadlines:
+            while not dispatcher.takeover_adapter._retry_deadlines:
                 await asyncio.sleep(0)
             assert asked_kind is not None
             leave(sock)
             bank.deliver()
-            turn._dispatch()
+            dispatcher._dispatch()
             await until_settled(service)
             assert (
                 not peer.requests
                 and not peer.writers
-                and not turn._open_ids
-                and not turn.covering._retry_deadlines
+                and not dispatcher._open_ids
+                and not dispatcher.takeover_adapter._retry_deadlines
             )
 
     play(scenario)
@@ -497,10 +512,10 @@
         peers = Peer(SILENT), Peer(SILENT)
         async with running(*peers) as service:
             TakeoverBank(service)
-            sock, turn = open_client(service), service.turn
+            sock, dispatcher = open_client(service), service.dispatcher
             bank = TakeoverBank(service)
             sock.sendall(asked("/tag", trace="7"))
-            while not turn.covering._waiting:
+            while not dispatcher.takeover_adapter._waiting:
                 await asyncio.sleep(0)
             bank.deliver()
             while not sum(len(peer.requests) for peer in peers):
@@ -509,17 +524,17 @@
             while service.clients.open:
                 await asyncio.sleep(0)
             await passes()
-            assert turn.visits
+            assert dispatcher.visits
             if again:
                 client = await caller(service)
                 client.writer.write(asked("/tag", trace="7", X_Second_Try="same"))
-                while not turn.counts["joined"]:
+                while not dispatcher.counts["joined"]:
                     await asyncio.sleep(0)
             for peer in peers:
                 peer.answers = [ok(b"once more")]
                 for writer in peer.writers:
                     writer.transport.abort()  # the first attempt fails
-            while not turn.counts["reset"]:
+            while not dispatcher.counts["reset"]:
                 await asyncio.sleep(0)
             for _ in range(20):
                 bank.deliver()
@@ -527,7 +542,7 @@
             if again:
                 assert (await client.answer())[2] == b"once more"
             else:
-                while turn.visits:
+                while dispatcher.visits:
                     bank.deliver()
                     await asyncio.sleep(0)
             assert sum(len(peer.requests) for peer in peers) == 1 + again
@@ -742,11 +757,11 @@
             if place in ("accept", "read"):
                 delay()  # it waits in the listener's backlog, or unread in its socket
             if free_capacity is not None:
-                while not service.turn.balancer._queued:
+                while not service.dispatcher.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 free_capacity()
-                service.turn.note(service.turn.balancer._check_queue)
+                service.dispatcher.enqueue(service.dispatcher.balancer._check_queue)
             assert await answered(sock) == 200
             recorder.check(1, late)
 
@@ -778,8 +793,8 @@
                     await open_idle_connection(service, monkeypatch)
                 for peer in peers:
                     peer.answers = [bad]
-            turn, recorder, delay = service.turn, TimeLeftRecorder(monkeypatch), Delay(late)
-            ended, free_capacity = turn.ended, None
+            dispatcher, recorder, delay = service.dispatcher, TimeLeftRecorder(monkeypatch), Delay(late)
+            ended, free_capacity = dispatcher.ended, None
 
             def then(*args: Any) -> None:
                 # the first attempt has ended; the stall follows
@@ -803,10 +818,10 @@
                     monkeypatch.setattr(upstreams.ConnectionPool, "_connect", slow)
                 elif place == "held":
                     free_capacity = block_capacity(service, monkeypatch)
-                turn.ended = ended
+                dispatcher.ended = ended
                 ended(*args)
 
-            turn.ended = then
+            dispatcher.ended = then
             sock = open_client(service)
             while not service.clients.open:
                 await asyncio.sleep(0)
@@ -814,11 +829,11 @@
             if place == "read":
                 delay()  # before the first attempt: it counts for both
             if place == "held":
-                while not turn.balancer._queued:
+                while not dispatcher.balancer._queued:
                     await asyncio.sleep(0)
                 delay()
                 free_capacity()
-                turn.note(turn.balancer._check_queue)
+                dispatcher.enqueue(dispatcher.balancer._check_queue)
             assert await answered(sock) == 200
             recorder.check(2, late)
 
@@ -832,7 +847,7 @@
         async with running(peer) as service:
             bank, recorder, sock = TakeoverBank(service), TimeLeftRecorder(monkeypatch), open_client(service)
             recorder.send(sock, "/change")
-            while not service.turn.covering._waiting:
+            while not service.dispatcher.takeover_adapter._waiting:
                 await asyncio.sleep(0)
             Delay(late)()
             bank.deliver()
@@ -858,7 +873,8 @@
             # it never ran, and its upstream is not to blame
             assert status == 503 and (len(peer.requests), len(peer.writers)) == begun
             assert (
-                not service.turn.balancer._upstreams[0].failure_run and service.turn.counts["unreached"] == 0
+                not service.dispatcher.balancer._upstreams[0].failure_run
+                and service.dispatcher.counts["unreached"] == 0
             )
 
     play(scenario)
@@ -875,9 +891,9 @@
         window, peers = 1_400.0 if what == "in time" else 400.0, (Peer(RESET), Peer(RESET))
         async with running(*peers) as service:
             reload(service, ["read", "tag", "change"], tag={"WindowUs": window * 1e3})
-            service.turn.upstreams.connect_time_out = 4_000.0  # the window ends first
-            turn, bank = service.turn, TakeoverBank(service) if what == "permit" else None
-            ended, begun, again = turn.ended, [], asyncio.Event()
+            service.dispatcher.upstreams.connect_time_out = 4_000.0  # the window ends first
+            dispatcher, bank = service.dispatcher, TakeoverBank(service) if what == "permit" else None
+            ended, begun, again = dispatcher.ended, [], asyncio.Event()
 
             async def late(*args: Any) -> None:
                 again.set()
@@ -887,7 +903,7 @@
 
             def then(now, taken, number, outcome):
                 # the first has ended: the next one is chosen in time, and then delayed
-                turn.ended = ended
+                dispatcher.ended = ended
                 begun.append(taken.errands[number].sent)
                 for peer in peers:
                     peer.answers = [ok()]
@@ -903,14 +919,14 @@
                 ended(now, taken, number, outcome)
                 assert len(taken.handle.fetches) == 2
 
-            connect, turn.ended = upstreams.ConnectionPool._connect, then
+            connect, dispatcher.ended = upstreams.ConnectionPool._connect, then
             sock = open_client(service)
             sock.sendall(asked("/tag"))
             if bank is not None:
-                while not turn.covering._waiting:
+                while not dispatcher.takeover_adapter._waiting:
                     await asyncio.sleep(0)
                 bank.deliver()  # the grant for the first
-                while not begun or not turn.covering._waiting:
+                while not begun or not dispatcher.takeover_adapter._waiting:
                     await asyncio.sleep(0)
                 while clock() <= begun[0] + window:
                     await asyncio.sleep(0.01)
@@ -919,7 +935,7 @@
             assert await answered(sock) == (200 if what == "in time" else 503)
             assert sum(len(peer.requests) for peer in peers) == (2 if what == "in time" else 1)
             assert again.is_set() is (what in ("connection", "loop"))
-            assert turn.counts["unreached"] == 0
+            assert dispatcher.counts["unreached"] == 0
 
     play(scenario)
 
@@ -939,31 +955,31 @@
             registry=registry, known=[target("u0", gate.port)], ConnectTimeoutUs=4_000_000
         ) as service:
             await registry.tell(4)
-            while service.turn.discovery.rev != 4:
+            while service.dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
             free_capacity = block_capacity(service, monkeypatch) if place == "held" else None
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x", X_Expires_In="0.6"))
-            while not (service.turn.balancer._queued if free_capacity else gate.connecting.is_set()):
+            while not (service.dispatcher.balancer._queued if free_capacity else gate.connecting.is_set()):
                 await asyncio.sleep(0)
             if first == "drain":
                 await registry.tell(5, target("u0", gate.port, state="leaving"))
-                while service.turn.discovery.rev != 5:
+                while service.dispatcher.discovery.rev != 5:
                     await asyncio.sleep(0)
             moved(service, other if moves else registry)
-            assert service.turn.upstreams.connect_time_out != 4_000  # the new settings hold
+            assert service.dispatcher.upstreams.connect_time_out != 4_000  # the new settings hold
             if moves:
                 await other.tell(6, whole=True)
             elif first == "reload":
                 await registry.tell(6, target("u0", gate.port, state="leaving"))
-            while service.turn.discovery.rev != (6 if moves or first == "reload" else 5):
+            while service.dispatcher.discovery.rev != (6 if moves or first == "reload" else 5):
                 await asyncio.sleep(0)
             gate.open.set()
             if free_capacity:
                 free_capacity()
-                service.turn.note(service.turn.balancer._check_queue)
+                service.dispatcher.enqueue(service.dispatcher.balancer._check_queue)
             assert (await client.answer())[0] == 503  # it never ran
             await until_settled(service)
-            assert not gate.got and not service.turn.upstreams.open
+            assert not gate.got and not service.dispatcher.upstreams.open
 
     play(scenario)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,8 +29,8 @@
 from ospreyline import config
 from ospreyline.host import Kind
 from ospreyline.net import upstreams
-from ospreyline.net.covering import Covering
-from ospreyline.net.turn import LATE_TIMER_MS, clock
+from ospreyline.net.dispatcher import LATE_TIMER_MS, clock
+from ospreyline.net.takeover_adapter import TakeoverAdapter
 
 
 def reload(service, names, **settings):
@@ -78,20 +78,20 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            service.turn.covering = takeover = WaitingTakeover()
+            service.dispatcher.takeover_adapter = takeover = WaitingTakeover()
             client = await caller(service)
             client.writer.write(request())
             while not takeover.waiting:
                 await asyncio.sleep(0)
             reload(service, names, **changes)
-            (taken, left), turn = takeover.waiting[0], service.turn
-            turn.note(turn.decide, taken, left, [("a", 0, 5.0)] if ran else [])
+            (taken, left), dispatcher = takeover.waiting[0], service.dispatcher
+            dispatcher.enqueue(dispatcher.decide, taken, left, [("a", 0, 5.0)] if ran else [])
             got = (await client.answer())[0]
             # a visit that may have executed is never answered as harmless to repeat
             assert got == (502 if ran and status == 503 else status) and len(peer.requests) == (got == 200)
             if got == 200:
                 assert taken.handle.request_class.kind is Kind.READ_LIKE
-            assert not turn.counts["faults"] and not turn.visits
+            assert not dispatcher.counts["faults"] and not dispatcher.visits
 
     play(scenario)
 
@@ -101,16 +101,16 @@
     # its index named another prefix by then, or none: an exception was raised and the visit was never removed
     async def scenario():
         async with running(Peer()) as service:
-            service.turn.covering = takeover = WaitingTakeover()
+            service.dispatcher.takeover_adapter = takeover = WaitingTakeover()
             client = await caller(service)
             client.writer.write(request("/change", "POST", b"x"))
             while not takeover.waiting:
                 await asyncio.sleep(0)
             reload(service, names)
             client.writer.close()
-            while service.turn.visits:
+            while service.dispatcher.visits:
                 await asyncio.sleep(0)
-            assert takeover.kinds == [Kind.MUTATING] and not service.turn.counts["faults"]
+            assert takeover.kinds == [Kind.MUTATING] and not service.dispatcher.counts["faults"]
 
     play(scenario)
 
@@ -120,7 +120,7 @@
     async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
-            turn, first = service.turn, await caller(service)
+            dispatcher, first = service.dispatcher, await caller(service)
             first.writer.write(request("/change", "POST", b"x"))
             await peer.until(lambda: bool(peer.requests))
             (old,) = service.clients.open
@@ -131,7 +131,7 @@
             again = replace(old.out, asks=True)
             old._notify_left()  # its end is read, and no event batch has run since
             new.out = again
-            assert Covering.joins(SimpleNamespace(_turn=turn), again, new)
+            assert TakeoverAdapter.joins(SimpleNamespace(_dispatcher=dispatcher), again, new)
             peer.writers[0].write(ok(b"once"))
             assert (await second.answer())[2] == b"once" and len(peer.requests) == 1
 
@@ -181,7 +181,7 @@
             while not await ready(service):
                 pass
             # an agent that resets calls may have sent a drain on them
-            assert service.turn.balancer.lease.blocks_sends(clock()) is (first == "failure")
+            assert service.dispatcher.balancer.lease.blocks_sends(clock()) is (first == "failure")
 
     play(scenario)
 
@@ -191,16 +191,16 @@
         registry, peers = Registry(), (Peer(ok(b"0")), Peer(ok(b"1")))
         async with running(*peers, registry=registry, Discovery="push") as service:
             await registry.tell(4)
-            loop, waits, wake = asyncio.get_running_loop(), [], service.turn.call_at
-            while service.turn.discovery.rev != 4:
+            loop, waits, wake = asyncio.get_running_loop(), [], service.dispatcher.call_at
+            while service.dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
 
             def recording_wake(at, call):
-                if call == service.turn._reopen_watch:
-                    waits.append(at - service.turn._last_batch_at)
+                if call == service.dispatcher._reopen_watch:
+                    waits.append(at - service.dispatcher._last_batch_at)
                 wake(at, call)
 
-            service.turn.call_at = recording_wake
+            service.dispatcher.call_at = recording_wake
             registry.answers = [RESET]
             registry.writers[0].close()
             began = loop.time()
@@ -221,12 +221,12 @@
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
             await registry.tell(4)
-            turn, balancer, place = (
-                service.turn,
-                service.turn.balancer,
-                service.turn.balancer._choose_and_send,
+            dispatcher, balancer, place = (
+                service.dispatcher,
+                service.dispatcher.balancer,
+                service.dispatcher.balancer._choose_and_send,
             )
-            while turn.discovery.rev != 4:
+            while dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200  # an idle connection is ready now
@@ -241,12 +241,14 @@
             line = json.dumps({"rev": 5, "targets": [leaving]}).encode() + b"\n"
             sock = registry.writers[0].transport.get_extra_info("socket")
             os.write(sock.fileno(), b"%x\r\n%b\r\n" % (len(line), line))  # it is unread in our socket now
-            turn._loop_timer.cancel()
+            dispatcher._loop_timer.cancel()
             if late:
-                turn._timers = [(at - 10 * LATE_TIMER_MS, *more) for at, *more in turn._timers]
-            turn._timers.append((clock() - (10 * LATE_TIMER_MS if late else 0.0), -1, balancer._check_queue))
-            turn._timers.sort(key=lambda wake: wake[:2])
-            turn._on_loop_timer()
+                dispatcher._timers = [(at - 10 * LATE_TIMER_MS, *more) for at, *more in dispatcher._timers]
+            dispatcher._timers.append(
+                (clock() - (10 * LATE_TIMER_MS if late else 0.0), -1, balancer._check_queue)
+            )
+            dispatcher._timers.sort(key=lambda wake: wake[:2])
+            dispatcher._on_loop_timer()
             assert (await client.answer())[0] == 503
             assert len(peer.requests) == 1
 
@@ -257,14 +259,15 @@
     async def scenario():
         async with running(Peer(), Cancel=True, MostBackendFetches=5, KeepaliveUs=7_000_000) as service:
             assert (
-                service.turn._config.deployment.may_cancel and service.turn.upstreams.keep_idle == 0.8 * 7_000
+                service.dispatcher._config.deployment.may_cancel
+                and service.dispatcher.upstreams.keep_idle == 0.8 * 7_000
             )
             raw_config = configuration([])
             del raw_config["settings"]["Caps"], raw_config["settings"]["Dcs"]
             service.reload(lambda: (config.parse(json.dumps(raw_config).encode(), {}), None))
-            terms = service.turn._config.deployment
+            terms = service.dispatcher._config.deployment
             assert not terms.may_cancel and terms.max_fetches == 1 and terms.zones == 1
-            assert service.turn.upstreams.keep_idle == 0.8 * 15_000
+            assert service.dispatcher.upstreams.keep_idle == 0.8 * 15_000
 
     play(scenario)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from ospreyline.lab.run import Run, play
 from ospreyline.lab.words import FAULTS, ScenarioError
 from ospreyline.lab.world import Streams, World
-from ospreyline.net.turn import Turn
+from ospreyline.net.dispatcher import EventDispatcher
 
 SMALL = """
 name = "small"
@@ -262,7 +262,7 @@
     assert not any(faulty["breaches"].values()) and faulty["open"] == 0
 
 
-@pytest.mark.parametrize("front", [bank.Balancer, Instance, Turn])
+@pytest.mark.parametrize("front", [bank.Balancer, Instance, EventDispatcher])
 def test_every_front_has_all_that_the_decisions_may_call(front):
     calls = {name for name in vars(Host) if not name.startswith("_")}
     assert {"start_fetch", "close_idle_connections", "broadcast"} <= calls and not [
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -17,7 +17,7 @@
 from test_clients import KEY, play
 
 from ospreyline.net import upstreams
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 
 CANCEL = pytest.mark.parametrize("cancel", [True, False])
 KINDS = pytest.mark.parametrize("path", ["/read", "/tag", "/change"])
@@ -95,7 +95,7 @@
                 await asyncio.sleep(0)
             gate.open.set()
             await passes()
-            assert not service.turn.visits and not service.turn.upstreams.pools[0].errands
+            assert not service.dispatcher.visits and not service.dispatcher.upstreams.pools[0].errands
             # the next request reaches the upstream, and none did before it
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -103,7 +103,7 @@
                 await asyncio.sleep(0)
             assert (
                 gate.got.count(b"X-Trace-Id") == 1
-                and service.turn.counts["unsent"] + (service.turn.counts["cancelled"]) == 1
+                and service.dispatcher.counts["unsent"] + (service.dispatcher.counts["cancelled"]) == 1
             )
 
     play(scenario)
@@ -125,8 +125,8 @@
                 await asyncio.sleep(0)
             # it was sent whole, so it may have executed: it does not count as unsent
             await passes()
-            assert service.turn.counts["unsent"] == 0
-            assert bool(service.turn.upstreams.pools[0].errands) is not cancel
+            assert service.dispatcher.counts["unsent"] == 0
+            assert bool(service.dispatcher.upstreams.pools[0].errands) is not cancel
 
     play(scenario)
 
@@ -137,17 +137,17 @@
         peers = Peer(RESET), Peer(RESET)
         async with running(*peers, Cancel=cancel) as service:
             client = await caller(service)
-            turn, real = service.turn, service.turn.ended
+            dispatcher, real = service.dispatcher, service.dispatcher.ended
 
             def ended(now, taken, number, outcome):
                 # both events are pending when the event batch begins: the reset first, then the disconnect
-                turn.client_left(next(iter(service.clients.open)))
+                dispatcher.client_left(next(iter(service.clients.open)))
                 real(now, taken, number, outcome)
 
-            turn.ended = ended
+            dispatcher.ended = ended
             client.writer.write(request())
             await peers[0].until(lambda: True)
-            while turn.visits or not turn.counts["reset"]:
+            while dispatcher.visits or not dispatcher.counts["reset"]:
                 await asyncio.sleep(0)
             await passes()
             assert len(peers[0].requests) + len(peers[1].requests) == 1
@@ -161,7 +161,7 @@
     async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+            balancer, place = service.dispatcher.balancer, service.dispatcher.balancer._choose_and_send
             monkeypatch.setattr(balancer, "_choose_and_send", lambda *_: False)
             balancer._delivery_rate = 100.0
             client = await caller(service)
@@ -174,7 +174,7 @@
             monkeypatch.setattr(balancer, "_choose_and_send", place)
             balancer._check_queue(clock())
             await passes()
-            assert not balancer._queued and not service.turn.visits and not peer.requests
+            assert not balancer._queued and not service.dispatcher.visits and not peer.requests
 
     play(scenario)
 
@@ -188,7 +188,7 @@
     async def scenario():
         peer = Peer()
         async with running(peer, Cancel=cancel) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+            balancer, place = service.dispatcher.balancer, service.dispatcher.balancer._choose_and_send
             if idle:  # with an idle connection nothing else comes between the event batch and the write
                 monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
                 assert (await (await caller(service)).ask(request()))[0] == 200
@@ -202,8 +202,8 @@
             monkeypatch.setattr(balancer, "_choose_and_send", place)
             sock.close()  # from here to the event batch nothing is read
             balancer._check_queue(clock())
-            service.turn._dispatch()
-            while service.turn.visits:
+            service.dispatcher._dispatch()
+            while service.dispatcher.visits:
                 await asyncio.sleep(0)
             await passes()
             assert len(peer.requests) == before
@@ -220,14 +220,14 @@
             monkeypatch.setattr(upstreams.UpstreamConnection, "write_buffer_empty", lambda conn: False)
             client = await caller(service)
             client.writer.write(asked("/change"))
-            while not any(e.conn for e in service.turn.upstreams.pools[0].errands):
+            while not any(e.conn for e in service.dispatcher.upstreams.pools[0].errands):
                 await asyncio.sleep(0)
             leave(client, "end")
-            while service.turn.visits:
+            while service.dispatcher.visits:
                 await asyncio.sleep(0)
             # withdrawn at once: with its connection closed the request can never arrive whole
-            assert not service.turn.upstreams.open
-            assert service.turn.counts["unsent"] + service.turn.counts["cancelled"] == 1
+            assert not service.dispatcher.upstreams.open
+            assert service.dispatcher.counts["unsent"] + service.dispatcher.counts["cancelled"] == 1
 
     play(scenario)
 
@@ -236,20 +236,20 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            turn, real, met = service.turn, service.turn.accept_request, []
+            dispatcher, real, met = service.dispatcher, service.dispatcher.accept_request, []
 
             def take(asked, client):
                 taken = real(asked, client)
-                turn.client_left(client)  # both events are pending when the event batch begins
+                dispatcher.client_left(client)  # both events are pending when the event batch begins
                 met.append(client)
                 return taken
 
-            turn.accept_request = take
+            dispatcher.accept_request = take
             client = await caller(service)
             client.writer.write(request())
             while not met:
                 await asyncio.sleep(0)
             await passes()
-            assert not peer.requests and not turn.visits and not turn.counts["faults"]
+            assert not peer.requests and not dispatcher.visits and not dispatcher.counts["faults"]
 
     play(scenario)
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -130,15 +130,15 @@
 STALLING_SERVE = """
 import sys, time
 from ospreyline.__main__ import main
-from ospreyline.net import list_call, turn, upstreams
+from ospreyline.net import list_call, dispatcher, upstreams
 
 STALL_S = 0.15
-turns = []
-begin, received = turn.Turn.__init__, list_call.ListCall.data_received
+dispatchers = []
+begin, received = dispatcher.EventDispatcher.__init__, list_call.ListCall.data_received
 look = upstreams.ConnectionPool._may_start
 
 def noted(self, *args, **more):
-    turns.append(self)
+    dispatchers.append(self)
     begin(self, *args, **more)
 
 def read_late(call, data):
@@ -148,11 +148,11 @@
 
 def written_late(peer, errand):
     found = look(peer, errand)
-    if found and turn.clock() > turns[0].balancer.lease.expires_at - 30.0:
+    if found and dispatcher.clock() > dispatchers[0].balancer.lease.expires_at - 30.0:
         time.sleep(STALL_S)
     return found
 
-turn.Turn.__init__, list_call.ListCall.data_received = noted, read_late
+dispatcher.EventDispatcher.__init__, list_call.ListCall.data_received = noted, read_late
 upstreams.ConnectionPool._may_start = written_late
 main(["serve", sys.argv[1]])
 """
--- a/tests/test_list_read_late.py
+++ b/tests/test_list_read_late.py
@@ -74,7 +74,7 @@
 import os, sys, time
 from ospreyline import decide
 from ospreyline.__main__ import main
-from ospreyline.net import turn, upstreams
+from ospreyline.net import dispatcher, upstreams
 
 place, flag, held_up = {place!r}, {flag!r}, {held_up!r}
 
@@ -98,7 +98,7 @@
 if place == "the decision":
     before(decide.Balancer, "accept_visit")
 elif place == "the write":
-    before(turn.Turn, "write")
+    before(dispatcher.EventDispatcher, "write")
 else:
     upstreams.ConnectionPool._connect = connected
 main(["serve", sys.argv[1]])
@@ -149,15 +149,17 @@
     async def run() -> None:
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry) as service:
-            turn = service.turn
+            dispatcher = service.dispatcher
             await registry.tell(4, target("u0", peer.port))
-            while turn.discovery.rev != 4:
+            while dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
             known_at_the_act: list[int] = []
-            turn._pending_actions.append((lambda now: known_at_the_act.append(turn.discovery.rev), ()))
+            dispatcher._pending_actions.append(
+                (lambda now: known_at_the_act.append(dispatcher.discovery.rev), ())
+            )
             news = registry.writers[0].get_extra_info("socket").fileno()
             os.write(news, chunk(b'{"rev":5,"all":false,"targets":[]}\n'))
-            turn.apply_config(turn._config)
+            dispatcher.apply_config(dispatcher._config)
             while not known_at_the_act:
                 await asyncio.sleep(0)
             assert known_at_the_act == [5]
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -118,9 +118,9 @@
 def test_a_pushed_list_counts_at_once_and_not_by_calls_that_are_turned_away(how, counts_later):
     async def run() -> None:
         async with running(Peer(), registry=Registry(), Discovery=how) as service:
-            lease = service.turn.balancer.lease
-            service.turn._on_lease_message(0.0, UpdateRead(1, 3, False))
-            service.turn._on_lease_message(1.0, MessageComplete(2, False))
+            lease = service.dispatcher.balancer.lease
+            service.dispatcher._on_lease_message(0.0, UpdateRead(1, 3, False))
+            service.dispatcher._on_lease_message(1.0, MessageComplete(2, False))
             assert lease.blocks_sends(600.0) is not counts_later
             assert lease.blocks_sends(NOTIFIED_AFTER * 1e3 + 600.0)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,7 +13,7 @@
 
 from ospreyline.net import list_call
 from ospreyline.net import service as service_module
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 
 END = b"0\r\n\r\n"
 
@@ -35,7 +35,7 @@
 
 async def settled(registry, service, calls):
     await registry.until(lambda: len(registry.writers) >= calls)
-    while len(service.turn.discovery._calls) < calls:
+    while len(service.dispatcher.discovery._calls) < calls:
         await asyncio.sleep(0)
 
 
@@ -46,21 +46,21 @@
         async with running(*peers, registry=registry) as service:
             known = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
             await registry.tell(40)
-            service.turn.discovery.refresh()
+            service.dispatcher.discovery.refresh()
             await settled(registry, service, 2)
             watch, plain = registry.writers[:2]
             leaving = target("u0", peers[0].port, state="leaving")
             for name in ("whole", "watch") if first == "whole" else ("watch", "whole"):
                 if name == "whole":  # produced before the change, whenever it is read
                     plain.write(chunk(listing(40, *known, whole=True)) + END)
-                    while len(service.turn.discovery._calls) > 1:
+                    while len(service.dispatcher.discovery._calls) > 1:
                         await asyncio.sleep(0)
                 else:
                     watch.write(chunk(listing(41, leaving)))
-                    while service.turn.discovery.rev != 41:
+                    while service.dispatcher.discovery.rev != 41:
                         await asyncio.sleep(0)
             await served_by(service, {b"1"})
-            assert service.turn.discovery.rev == 41 and service.turn.discovery.watching
+            assert service.dispatcher.discovery.rev == 41 and service.dispatcher.discovery.watching
             await registry.until(lambda: len(registry.writers) == 1)  # and the watch goes on
             watch.write(chunk(listing(42, target("u0", peers[0].port))))
             await served_by(service, {b"0", b"1"})
@@ -80,7 +80,7 @@
             assert b"after=0 " in registry.requests[1][0]
             await registry.tell(4, target("u0", peers[0].port), whole=True)
             await served_by(service, {b"0"})
-            assert service.turn.discovery.rev == 4
+            assert service.dispatcher.discovery.rev == 4
 
     play(scenario)
 
@@ -117,7 +117,7 @@
                 bit = what[:1]
                 await asyncio.sleep(0.05)
             await registry.until(lambda: len(registry.requests) > 1)  # and calls again
-            assert service.turn.counts["faults"] == 0
+            assert service.dispatcher.counts["faults"] == 0
 
     play(scenario)
 
@@ -135,7 +135,7 @@
             await served_by(service, {b"0"})
             await registry.say(listing(6, zero | {"state": "leaving"}, one, indent=indent), piece)
             await served_by(service, {b"1"})
-            assert len(registry.requests) == 1 and service.turn.discovery.rev == 6
+            assert len(registry.requests) == 1 and service.dispatcher.discovery.rev == 6
 
     play(scenario)
 
@@ -147,7 +147,7 @@
             await registry.say(b'{"rev": 7,\n "targets": [\n')
             await registry.say(b"\n")
             await registry.until(lambda: len(registry.requests) > 1)
-            assert service.turn.counts["faults"] == 0
+            assert service.dispatcher.counts["faults"] == 0
 
     play(scenario)
 
@@ -169,7 +169,7 @@
                 plain.transport.abort()
             else:
                 watch.write(chunk(listing(3)))
-                while service.turn.discovery.rev != 3:
+                while service.dispatcher.discovery.rev != 3:
                     await asyncio.sleep(0)
                 plain.write(
                     chunk(listing(2, *(target(f"u{i}", p.port) for i, p in enumerate(peers)), whole=True))
@@ -194,7 +194,7 @@
             registry.answers = [RESET]
             await registry.start()
         async with running(Peer(), registry=old) as service:
-            balancer = service.turn.balancer
+            balancer = service.dispatcher.balancer
             await old.until(lambda: bool(old.requests))
             while not balancer._call_schedule.failures:  # it has been notified of one
                 await asyncio.sleep(0)
@@ -206,10 +206,10 @@
                 await asyncio.wait_for(new.until(lambda: len(new.requests) > 1), 3)
             else:
                 await new.until(lambda: bool(new.writers))
-                call = service.turn.discovery._watch
+                call = service.dispatcher.discovery._watch
                 balancer._tick(clock())
-                service.turn._dispatch()
-                assert service.turn.discovery._watch is call is not None
+                service.dispatcher._dispatch()
+                assert service.dispatcher.discovery._watch is call is not None
 
     play(scenario)
 
@@ -237,9 +237,9 @@
         async with running(*peers, registry=registry) as service:
             await registry.tell(40)
             old = registry.writers[0]
-            while service.turn.discovery.rev != 40:
+            while service.dispatcher.discovery.rev != 40:
                 await asyncio.sleep(0)
-            service.turn.discovery.watch(True)
+            service.dispatcher.discovery.watch(True)
             await settled(registry, service, 2)
             old.write(chunk(listing(42, target("u0", peers[0].port, state="leaving"))))
             await served_by(service, {b"1"})
@@ -247,7 +247,7 @@
             registry.writers[1].write(chunk(listing(41, target("u0", peers[0].port))))
             await registry.until(lambda: len(registry.writers) == 1)
             registry.writers[0].write(chunk(listing(43, target("u2", 1, state="left"))))
-            while service.turn.discovery.rev != 43:
+            while service.dispatcher.discovery.rev != 43:
                 await asyncio.sleep(0)
             await served_by(service, {b"1"})
 
@@ -259,7 +259,7 @@
         registry = await Registry().start()
         async with running(Peer(), registry=registry) as service:
             await registry.until(lambda: len(registry.requests) == 1)
-            lists = service.turn.discovery
+            lists = service.dispatcher.discovery
             call = list_call.ListCall(lists, 2, lists.at, lists.rev, watching=True)
             call.over = True
             reader, writer = await asyncio.open_connection("127.0.0.1", registry.port)
@@ -274,7 +274,7 @@
         registry, other = await Registry().start(), await Registry().start()
         async with running(Peer(), registry=registry) as service:
             await registry.tell(4)
-            lists = service.turn.discovery
+            lists = service.dispatcher.discovery
             call = list_call.ListCall(lists, 2, lists.at, lists.rev, watching=True)
             lists.at, lists.rev = ("127.0.0.1", other.port), 0  # a move before its connection is up
             _, writer = await asyncio.open_connection(*call.address)
@@ -299,7 +299,7 @@
             await registry.tell(40)
             entry = b'{"uid":"u0","endpoint":"127.0.0.1:%d","state":["leaving"]}' % peers[0].port
             await registry.say(unreadable(entry))
-            while service.turn.discovery.rev != 41:
+            while service.dispatcher.discovery.rev != 41:
                 await asyncio.sleep(0)
             client = await caller(service)
             assert {(await client.ask(request()))[2] for _ in range(8)} == {b"1"}
@@ -317,13 +317,13 @@
         async with running(*peers, registry=registry) as service:
             await registry.tell(40)
             await registry.say(unreadable(entry))
-            while not service.turn.balancer.lease.has_lost_update:
+            while not service.dispatcher.balancer.lease.has_lost_update:
                 await asyncio.sleep(0)
             client = await caller(service)
             await registry.until(lambda: len(registry.requests) > 1)
             assert b"watch" not in registry.requests[1][0]
             registry.writers[0].write(chunk(b"\n"))  # nothing has changed since: that settles nothing
-            while not service.turn.balancer.lease.blocks_sends(clock()):
+            while not service.dispatcher.balancer.lease.blocks_sends(clock()):
                 await asyncio.sleep(0.01)
             assert (await client.ask(request()))[0] == 503
             plain = registry.writers[1]
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -63,9 +63,9 @@
         async with await pushed_by(agent, monkeypatch) as service:
             await agent.until(lambda: bool(agent.requests))
             assert not await ready(service)
-            (call,) = service.turn.discovery._calls
+            (call,) = service.dispatcher.discovery._calls
             monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", -1.0)
-            service.turn.discovery.tidy()
+            service.dispatcher.discovery.tidy()
             assert call.half_closed_at is not None and await ready(service)
 
     play(story)
@@ -103,9 +103,9 @@
             await agent.until(lambda: bool(agent.requests))
             agent.answers = [listing(json.dumps(told).encode() + b"\n")]
             monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", -1.0)
-            service.turn.discovery.tidy()
+            service.dispatcher.discovery.tidy()
             monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", inf)
-            while service.turn.discovery.rev != 4:
+            while service.dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
             client = await caller(service)
             assert await ready(service) and (await client.ask(request()))[2] == b"other"
@@ -118,10 +118,10 @@
     async def story():
         agent = Registry()
         async with await pushed_by(agent, monkeypatch) as service:
-            (peer,) = service.turn.upstreams.pools.values()
+            (peer,) = service.dispatcher.upstreams.pools.values()
             named = [target("u0", peer.address[1], state=state)] if state else []
             await agent.tell(4, *named, whole=True)
-            while service.turn.discovery.rev != 4:
+            while service.dispatcher.discovery.rev != 4:
                 await asyncio.sleep(0)
             assert not await ready(service)
             await agent.tell(5, target("u0", peer.address[1]))
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -13,7 +13,7 @@
 from test_lists import served_by
 
 from ospreyline.net import upstreams
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 
 
 class Raw:
@@ -40,7 +40,7 @@
         monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
         raw, loop = Raw(), asyncio.get_running_loop()
         async with running(known=[target("u0", raw.port)]) as service:
-            balancer, place = service.turn.balancer, service.turn.balancer._choose_and_send
+            balancer, place = service.dispatcher.balancer, service.dispatcher.balancer._choose_and_send
             client = await caller(service)
             client.writer.write(request())
             conn, _ = await raw.take()
@@ -60,7 +60,7 @@
             elif what == "second answer":
                 conn.sendall(ok(b"first"))
             balancer._check_queue(clock())
-            service.turn._dispatch()
+            service.dispatcher._dispatch()
             if what == "nothing":
                 got = await loop.sock_recv(conn, 65_536)
             else:
@@ -69,7 +69,7 @@
             conn.sendall(ok(b"next"))
             status, _, body = await client.answer()
             assert (status, body) == (200, b"next")
-            assert service.turn.counts["reset"] == service.turn.counts["errored"] == 0
+            assert service.dispatcher.counts["reset"] == service.dispatcher.counts["errored"] == 0
             conn.close()
 
     play(scenario)
@@ -97,7 +97,7 @@
                     rev += 1
                 boot = 1e12 if how == "process" else 0
                 await registry.tell(rev, target("u0", port, boot_ms=boot))
-                while service.turn.discovery.rev != rev:
+                while service.dispatcher.discovery.rev != rev:
                     await asyncio.sleep(0)
 
             async def answer():
@@ -129,7 +129,7 @@
             await asyncio.wait_for(gate.connecting.wait(), 5)
             moved = target("u0", new.port) if how == "address" else target("u0", gate.port, boot_ms=1e12)
             await registry.tell(5, moved)
-            while not service.turn.counts["unsent"]:
+            while not service.dispatcher.counts["unsent"]:
                 await asyncio.sleep(0)
             gate.open.set()
             # it never ran: sent elsewhere, or bounced if this is the only upstream
@@ -146,11 +146,11 @@
     async def scenario():
         peer = Peer(SILENT)
         async with running(peer) as service:
-            turn, real, written = service.turn, service.turn._begin_visit, []
+            dispatcher, real, written = service.dispatcher, service.dispatcher._begin_visit, []
 
             def begin_then_update(now, taken):
                 real(now, taken)
-                turn._on_list_update(now, restart_update())
+                dispatcher._on_list_update(now, restart_update())
 
             def restart_update():
                 from ospreyline.net.listing import News, Target
@@ -166,11 +166,11 @@
             start = upstreams.UpstreamConnection.start
 
             def recording_start(conn, errand, now):
-                written.append(len(turn.balancer._upstreams[0].cold_sends))
+                written.append(len(dispatcher.balancer._upstreams[0].cold_sends))
                 start(conn, errand, now)
 
             monkeypatch.setattr(upstreams.UpstreamConnection, "start", recording_start)
-            monkeypatch.setattr(turn, "_begin_visit", begin_then_update)
+            monkeypatch.setattr(dispatcher, "_begin_visit", begin_then_update)
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
             await client.answer()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -34,11 +34,11 @@
 
 from ospreyline import config
 from ospreyline.__main__ import main
+from ospreyline.net import dispatcher as dispatcher_module
 from ospreyline.net import list_call
 from ospreyline.net import service as service_module
-from ospreyline.net import turn as turn_module
+from ospreyline.net.dispatcher import REMOVE_GONE_AFTER_MS, clock
 from ospreyline.net.listing import Target
-from ospreyline.net.turn import REMOVE_GONE_AFTER_MS, clock
 
 
 def whole_list(rev: int, *targets: dict[str, Any]) -> bytes:
@@ -110,7 +110,7 @@
         async with running(peer, registry=registry) as service:
             client = await caller(service)
             await registry.tell(8)
-            while service.turn.discovery.rev != 8:
+            while service.dispatcher.discovery.rev != 8:
                 await asyncio.sleep(0.01)
             await registry.say(b'{"rev":9,"all":false,"targets":[{"uid":7}]}\n')
             await registry.until(lambda: len(registry.writers) == 2)
@@ -123,7 +123,7 @@
             # a later partial update does not contain what that one had, whatever its version
             registry.writers[:] = [watch]
             await registry.tell(10, target("u9", peer.port))
-            while service.turn.discovery.rev != 10:
+            while service.dispatcher.discovery.rev != 10:
                 await asyncio.sleep(0.01)
             assert (await client.ask(request()))[0] == 503
             registry.writers[:] = [plain]
@@ -156,16 +156,16 @@
 def test_start_times_are_taken_to_our_clock_once():
     async def scenario():
         async with running(Peer()) as service:
-            turn = service.turn
+            dispatcher = service.dispatcher
             young = Target("u0", "127.0.0.1:1", "a", 0, "active", time.time() * 1e3 - 5_000)
             old = Target("u1", "127.0.0.1:1", "a", 0, "active", 0)
-            assert turn._list_entry(young, 0).started_at == pytest.approx(clock() - 5_000, abs=500)
-            assert turn._list_entry(young, 0).started_at == turn._list_entry(young, 0).started_at
-            assert turn._list_entry(old, 1).started_at == 0.0
+            assert dispatcher._list_entry(young, 0).started_at == pytest.approx(clock() - 5_000, abs=500)
+            assert dispatcher._list_entry(young, 0).started_at == dispatcher._list_entry(young, 0).started_at
+            assert dispatcher._list_entry(old, 1).started_at == 0.0
             assert (
-                turn._list_entry(old, 1).hash_key
-                == turn._list_entry(old, 5).hash_key
-                != turn._list_entry(young, 0).hash_key
+                dispatcher._list_entry(old, 1).hash_key
+                == dispatcher._list_entry(old, 5).hash_key
+                != dispatcher._list_entry(young, 0).hash_key
             )
 
     play(scenario)
@@ -174,12 +174,12 @@
 def test_an_entry_without_its_place_does_not_move_an_upstream():
     async def scenario():
         async with running(Peer(), Peer()) as service:
-            turn = service.turn
-            turn._list_entry(Target("u0", az="b", pod_group=4), 0)
+            dispatcher = service.dispatcher
+            dispatcher._list_entry(Target("u0", az="b", pod_group=4), 0)
             for odd in (Target("u0", state="left"), Target("u0", az="nowhere")):
-                line = turn._list_entry(odd, 0)
+                line = dispatcher._list_entry(odd, 0)
                 assert (line.zone, line.cell) == (1, 4)
-            assert turn._list_entry(Target("u0", az="a", pod_group=2), 0).zone == 0
+            assert dispatcher._list_entry(Target("u0", az="a", pod_group=2), 0).zone == 0
 
     play(scenario)
 
@@ -239,11 +239,11 @@
                 monkeypatch.undo()
                 raise RuntimeError("a fault")
 
-            monkeypatch.setattr(service.turn.balancer, call, fault)
+            monkeypatch.setattr(service.dispatcher.balancer, call, fault)
             status, _, _ = await client.ask(request("/change", "POST", b"x"))
             assert status == 502
             assert (await client.ask(request()))[0] == 200
-            assert not service.turn.visits
+            assert not service.dispatcher.visits
 
     play(scenario)
 
@@ -252,14 +252,14 @@
     async def scenario():
         # seen on busy days: hundreds of open visits in the counts, with a few dozen clients
         async with running(Peer()) as service:
-            monkeypatch.setattr(service.turn.balancer, "_choose_and_send", lambda *_: False)
-            service.turn.balancer._delivery_rate = 100.0
+            monkeypatch.setattr(service.dispatcher.balancer, "_choose_and_send", lambda *_: False)
+            service.dispatcher.balancer._delivery_rate = 100.0
             client = await caller(service)
             client.writer.write(request(X_Expires_In="0.3"))
-            while not service.turn.balancer._queued:
+            while not service.dispatcher.balancer._queued:
                 await asyncio.sleep(0)
-            assert service.turn.visits and (await client.answer())[0] == 503
-            assert not service.turn.visits
+            assert service.dispatcher.visits and (await client.answer())[0] == 503
+            assert not service.dispatcher.visits
 
     play(scenario)
 
@@ -267,7 +267,7 @@
 def test_a_visit_that_the_decisions_forget_is_answered_by_the_backstop(monkeypatch):
     async def scenario():
         async with running(Peer(SILENT)) as service:
-            monkeypatch.setattr(service.turn, "ended", lambda *_: None)
+            monkeypatch.setattr(service.dispatcher, "ended", lambda *_: None)
             status, _, _ = await (await caller(service)).ask(request(X_Expires_In="0.05"))
             assert status in (502, 504)
 
@@ -279,23 +279,28 @@
         # a fleet that is replaced all day under new ids; each new instance has the address of a former one
         registry, peer = Registry(), Peer()
         async with running(peer, registry=registry, known=[]) as service:
-            client, turn = await caller(service), service.turn
+            client, dispatcher = await caller(service), service.dispatcher
             for n in range(20):
                 old = [target(f"s{n - 1}", peer.port, state="left")] if n else []
                 await registry.tell(n + 4, target(f"s{n}", peer.port), *old)
-                while f"s{n}" not in turn._index_by_uid:
+                while f"s{n}" not in dispatcher._index_by_uid:
                     await asyncio.sleep(0)
                 while (await client.ask(request()))[0] != 200:
                     pass
                 await peer.until(lambda: peer.open == 1)  # no connection is kept for the next one
-                turn.run_maintenance(clock() + REMOVE_GONE_AFTER_MS + 1)
+                dispatcher.run_maintenance(clock() + REMOVE_GONE_AFTER_MS + 1)
             assert (
-                len(turn._index_by_uid)
-                == len(turn._readiness)
-                == len(turn._target_by_uid)
-                == len(turn.upstreams.pools)
+                len(dispatcher._index_by_uid)
+                == len(dispatcher._readiness)
+                == len(dispatcher._target_by_uid)
+                == len(dispatcher.upstreams.pools)
+            )
+            assert (
+                len(dispatcher._index_by_uid)
+                == len(dispatcher.balancer._upstreams)
+                == len(dispatcher.balancer._ring)
+                <= 2
             )
-            assert len(turn._index_by_uid) == len(turn.balancer._upstreams) == len(turn.balancer._ring) <= 2
 
     play(scenario)
 
@@ -315,7 +320,7 @@
             client = await caller(service)
             await old.tell(7, target("u9", 1, state="left"))
             while (
-                service.turn.balancer._call_schedule.next_call_at < inf
+                service.dispatcher.balancer._call_schedule.next_call_at < inf
             ):  # otherwise another call may be due
                 await asyncio.sleep(0)
             moved(service, new)
@@ -341,7 +346,7 @@
             if first == "changes":
                 await new.until(lambda: len(new.requests) > 1)
                 assert new.requests[1][0].startswith(b"GET /registry/instances HTTP")
-            assert service.turn.counts["faults"] == 0 and len(new.requests) == 1 + (first == "changes")
+            assert service.dispatcher.counts["faults"] == 0 and len(new.requests) == 1 + (first == "changes")
 
     play(scenario)
 
@@ -377,7 +382,7 @@
         async with running(Peer(), registry=registry) as service:
             await heard(service, registry)
             service.reload(lambda: (config.load(file, {}, reload=True), None))
-            assert service.turn.discovery.at[1] == registry.port and registry.writers
+            assert service.dispatcher.discovery.at[1] == registry.port and registry.writers
             assert (await (await caller(service)).ask(request()))[0] == 200
 
     play(scenario)
@@ -517,11 +522,11 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            turn, at = service.turn, [turn_module.clock()]
-            monkeypatch.setattr(turn_module, "clock", lambda: at[0])
+            dispatcher, at = service.dispatcher, [dispatcher_module.clock()]
+            monkeypatch.setattr(dispatcher_module, "clock", lambda: at[0])
             for passed in (0.0, stalled_ms):
                 at[0] += passed
-                turn._dispatch()
+                dispatcher._dispatch()
             at[0] += after
             client = await caller(service)
             status, _, _ = await client.ask(request("/change/x", "POST", b"{}", X_Expires_In="0.7"))
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -39,7 +39,7 @@
     async def scenario():
         peer = Peer(SILENT)
         async with running(peer, sockets=64) as service:
-            limit = service.turn.max_clients
+            limit = service.dispatcher.max_clients
             callers: list[Caller] = []
             for _ in range(limit):
                 callers.append(await caller(service))
@@ -115,7 +115,7 @@
             assert (await loop.sock_recv(kept, 4096)).startswith(b"HTTP/1.1 200")
             if unread:
                 kept.sendall(request())
-            service.turn.closing = True
+            service.dispatcher.closing = True
             service.clients.close_idle()  # the socket has not been read since
             assert client._finished is not unread
             if unread:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -124,10 +124,10 @@
             # left is rejected, see below), mutating ones were errored
             assert {status for path, status in statuses if "read" in path} == {200}
             assert {status for path, status in statuses if "change" in path} == {200, 502}
-            assert not service.turn.visits
+            assert not service.dispatcher.visits
             traces = Counter(trace(head) for p in peers for head, _ in p.requests if b" /change/" in head)
             assert len(traces) > 50 and set(traces.values()) == {1}
-            assert service.turn.counts["faults"] == 0
+            assert service.dispatcher.counts["faults"] == 0
 
     asyncio.run(scenario())
 
@@ -141,7 +141,7 @@
             assert status == 503 and b"Retry-After" in head
             # each at a different upstream, and no more than allowed
             assert sorted(len(p.requests) for p in peers) == [0, 1, 1, 1]
-            assert not service.turn.visits
+            assert not service.dispatcher.visits
 
     asyncio.run(scenario())
 
@@ -176,15 +176,15 @@
             await heard(service, registry)
             client = await caller(service)
             assert (await client.ask(request()))[0] == 200
-            accept, seen = service.turn.accept_request, []
+            accept, seen = service.dispatcher.accept_request, []
 
             def accept_then_switch(found, by):
                 done = accept(found, by)
                 switch(service, settings_text(registry))  # in the same loop iteration, before the event batch
-                seen.append(next(iter(service.turn.visits.values())).handle.request_class.kind)
+                seen.append(next(iter(service.dispatcher.visits.values())).handle.request_class.kind)
                 return done
 
-            service.turn.accept_request = accept_then_switch  # type: ignore[method-assign]
+            service.dispatcher.accept_request = accept_then_switch  # type: ignore[method-assign]
             assert (await client.ask(request("/read/x")))[0] == 200
             assert seen == [Kind.READ_LIKE]
 
@@ -197,7 +197,9 @@
         async with running(*peers, registry=registry) as service:
             await registry.tell(4, target("u0", peers[0].port, state="leaving"))
             client = await caller(service)
-            while (await client.ask(request()))[0] != 200 or service.turn._readiness["u0"].name != "DRAINING":
+            while (await client.ask(request()))[0] != 200 or service.dispatcher._readiness[
+                "u0"
+            ].name != "DRAINING":
                 pass
             before = len(peers[0].requests)
             for old in (False, True):
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -108,7 +108,7 @@
         self.call_at(now + 1e3 * service_module.MAINTENANCE_INTERVAL_S, self._tidy)
         self.discovery.tidy()
 
-    # as net/turn.py does it
+    # as net/dispatcher.py does it
 
     def watch_list(self, on: bool) -> None:
         if self.pace is None:
@@ -417,11 +417,11 @@
             await registry.until(lambda: len(registry.scripted) == 2)
             other = registry.scripted[1 - first]
             registry.scripted[first].transport.abort()
-            while len(service.turn.discovery._calls) == 2:
+            while len(service.dispatcher.discovery._calls) == 2:
                 await asyncio.sleep(0)
             other.write(HEAD + chunk(listing(40, target("u0", peers[0].port, state="leaving"))))
             await served_by(service, {b"1"})
-            assert service.turn.discovery.told_by_watch and other in registry.scripted
+            assert service.dispatcher.discovery.told_by_watch and other in registry.scripted
 
     play(scenario)
 
@@ -481,7 +481,7 @@
             await settled(new, service, 2)
             watch, plain = new.writers[:2]
             watch.transport.abort()
-            while service.turn.discovery.watching:
+            while service.dispatcher.discovery.watching:
                 await asyncio.sleep(0)
             both = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
             plain.write(chunk(listing(2, *both, whole=True)) + END)
@@ -508,7 +508,7 @@
         async with running(*peers, registry=old, operator=on) as service:
             await old.tell(7)
             while (
-                service.turn._pace or service.turn.balancer._call_schedule
+                service.dispatcher._pace or service.dispatcher.balancer._call_schedule
             ).next_call_at < inf:  # until it is answered
                 await asyncio.sleep(0)
             service.reload(lambda: (moved_config(new), on))
@@ -582,7 +582,7 @@
             others = [target(f"s-{i}", 1_000 + i, state="leaving") for i in range(2_000)]
             last = target("u0", peers[0].port, state="leaving")
             await registry.tell(40, *others, target("u1", peers[1].port), last, whole=True)
-            while service.turn.discovery.rev != 40:
+            while service.dispatcher.discovery.rev != 40:
                 await asyncio.sleep(0)
             # a request that is read in the same event batch is decided by the new list
             assert {(await client.ask(request()))[2] for _ in range(8)} == {b"1"}
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -15,7 +15,7 @@
 
 from ospreyline.decide import TICK_MS, Visit
 from ospreyline.host import End
-from ospreyline.net.turn import STALL_MS
+from ospreyline.net.dispatcher import STALL_MS
 from ospreyline.net.upstreams import Errand
 
 CONNECT_MS, SERVE_MS = 250.0, 50.0  # of a fetch whose upstream is not reached, or reached
@@ -165,24 +165,24 @@
     async def story():
         peer = Peer(SILENT)
         async with running(peer) as service:
-            turn = service.turn
+            dispatcher = service.dispatcher
             client = await caller(service)
             client.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
-            (taken,) = turn.visits.values()
+            (taken,) = dispatcher.visits.values()
             errand = taken.errands[0]
             assert isinstance(errand, Errand)
-            (u,) = turn.balancer._upstreams.values()
+            (u,) = dispatcher.balancer._upstreams.values()
             was = u.locality.latency
             # the clock cannot be set forward, so all else is set back
             before = 10_000.0 if stood else STALL_MS / 2
             errand.sent -= before
             errand.expires -= before
-            turn._last_batch_at = errand.sent if stood else turn._last_batch_at
+            dispatcher._last_batch_at = errand.sent if stood else dispatcher._last_batch_at
             span = errand.expires - errand.sent
             errand.pool._on_timeout(errand)
             assert (await client.answer())[0] >= 500
-            assert turn.counts["timed_out"] == 1 and not u.in_flight
+            assert dispatcher.counts["timed_out"] == 1 and not u.in_flight
             assert (
                 (u.locality.latency == was and not u.failure_run)
                 if stood
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -10,7 +10,7 @@
 
 from ospreyline.host import End
 from ospreyline.net import upstreams
-from ospreyline.net.turn import clock
+from ospreyline.net.dispatcher import clock
 from ospreyline.net.upstreams import Answer, Cut, Errand, Stage, Why, classify_end, parse_load_report
 
 NEVER = b"X-Never-Ran: 1\r\n"
@@ -177,7 +177,7 @@
                 assert (await client.ask(request()))[0] == 200
             assert len(peer.writers) == 1
             # we close it well before the upstream would
-            service.turn.upstreams.run_maintenance(clock() + 0.9 * 15_000)
+            service.dispatcher.upstreams.run_maintenance(clock() + 0.9 * 15_000)
             await peer.until(lambda: peer.open == 0)
 
     play(scenario)
@@ -211,7 +211,7 @@
         # an upstream that is cut off leaves its connections open and sends nothing
         peer = Peer(SILENT, SILENT, ok())
         async with running(peer) as service:
-            upstream = service.turn.upstreams.pools[0]
+            upstream = service.dispatcher.upstreams.pools[0]
             results: list[Answer | Cut] = []
             now = clock()
             for _ in range(2):
@@ -232,11 +232,11 @@
     async def scenario():
         peer = Peer()
         async with running(peer) as service:
-            upstream = service.turn.upstreams.pools[0]
+            upstream = service.dispatcher.upstreams.pools[0]
             results: list[Answer | Cut] = []
             now = clock()
             upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
-            service.turn.upstreams.update_from_list(0, upstream.address, 0.0, ready=False)
+            service.dispatcher.upstreams.update_from_list(0, upstream.address, 0.0, ready=False)
             upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
             assert [classify_end(result) for result in results] == [End.UNSENT, End.UNSENT]
 
@@ -247,11 +247,11 @@
     async def scenario():
         peers = [Peer(), Peer()]
         async with running(*peers) as service:
-            service.turn.upstreams.max_open = 1
+            service.dispatcher.upstreams.max_open = 1
             client = await caller(service)
             for _ in range(8):
                 assert (await client.ask(request()))[0] == 200
-            assert len(service.turn.upstreams.open) <= 1 and all(peer.requests for peer in peers)
+            assert len(service.dispatcher.upstreams.open) <= 1 and all(peer.requests for peer in peers)
 
     play(scenario)
 
@@ -281,12 +281,12 @@
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n"
         peer = Peer(head + b"x" * 800_000)
         async with running(peer) as service:
-            pool = service.turn.upstreams
+            pool = service.dispatcher.upstreams
             pool.max_buffered_bytes = 2_000_000
             callers = [await caller(service) for _ in range(4)]
             for client in callers:
                 client.writer.write(request("/change", "POST", b"x"))
-            while service.turn.counts["errored"] < 2:  # two exceed the memory limit
+            while service.dispatcher.counts["errored"] < 2:  # two exceed the memory limit
                 await asyncio.sleep(0)
             assert pool.buffered_bytes <= pool.max_buffered_bytes
             for writer in list(peer.writers):
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -13,7 +13,7 @@
 from ospreyline import operator_settings
 from ospreyline.fleet.frames import Say
 from ospreyline.host import End
-from ospreyline.net.covering import Covering
+from ospreyline.net.takeover_adapter import TakeoverAdapter
 from ospreyline.net.upstreams import Stage
 
 
@@ -74,16 +74,18 @@
     # A visit that waited for an event counted as answered, so the check for overdue visits passed it over.
     async def scenario() -> None:
         async with running(*[Peer() for _ in range(peers)]) as service:
-            turn = service.turn
-            turn.covering = covering = Covering(
-                turn, operator_settings.TakeoverSettings(on=True), "n0", "a", 1, 7, 3
+            dispatcher = service.dispatcher
+            dispatcher.takeover_adapter = takeover_adapter = TakeoverAdapter(
+                dispatcher, operator_settings.TakeoverSettings(on=True), "n0", "a", 1, 7, 3
             )
-            setattr(covering.takeover, what, lambda *more, **named: False)
+            setattr(takeover_adapter.takeover, what, lambda *more, **named: False)
             client = await caller(service)
             begun = asyncio.get_running_loop().time()
             status, _, _ = await client.ask(request(path, "POST", X_Expires_In="0.3"))
             assert status == 502 and asyncio.get_running_loop().time() - begun >= 0.3
-            assert turn.counts["overdue"] == 1 and not turn.visits and not covering._waiting
+            assert (
+                dispatcher.counts["overdue"] == 1 and not dispatcher.visits and not takeover_adapter._waiting
+            )
 
     play(scenario)
 
@@ -94,13 +96,15 @@
 
 def continues_without_client(net: Net, *fetches: FetchState | None) -> bool:
     """The client of m0's visit leaves while it has these fetches; returns whether the visit continues."""
-    covering = Covering(
+    takeover_adapter = TakeoverAdapter(
         SimpleNamespace(bank=None), operator_settings.TakeoverSettings(on=True), "m0", "a", 1, 7, 3
     )
-    covering.takeover = net.at["m0"]
+    takeover_adapter.takeover = net.at["m0"]
     errands = [f and SimpleNamespace(stage=f[0], done=None if f[1] else print) for f in fetches]
     handle = SimpleNamespace(fetches=[SimpleNamespace(end=f and f[2]) for f in fetches])
-    went_on = covering.goes_on(net.now, SimpleNamespace(tag=1, errands=errands, handle=handle), CHANGE)
+    went_on = takeover_adapter.goes_on(
+        net.now, SimpleNamespace(tag=1, errands=errands, handle=handle), CHANGE
+    )
     net.run()
     return went_on
 
