--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -32,10 +32,10 @@
 from ospreyline.net.upstreams import (
     Answer,
     ConnectionPools,
-    Cut,
-    Errand,
-    Stage,
-    Why,
+    Exchange,
+    ExchangeFailure,
+    ExchangeStage,
+    FailureReason,
     classify_end,
     parse_load_report,
 )
@@ -76,7 +76,7 @@
         "arrived_at",
         "backstop_timer",
         "client",
-        "errands",
+        "exchanges",
         "fetch_ends",
         "handle",
         "last_timed_out",
@@ -93,7 +93,7 @@
         self.terms = terms
         self.client = client
         self.handle: Visit | None = None
-        self.errands: list[Errand | None] = []
+        self.exchanges: list[Exchange | None] = []
         self.fetch_ends: list[str] = []  # how its fetches ended, in that order, for the log
         # when its last byte reached this machine (`clock()` ms), as far as the OS reports it
         self.arrived_at = 0.0
@@ -389,9 +389,9 @@
             if taken is not None and not taken.answered:
                 self.answer_error(taken.tag)
                 self._discard_visit(taken)
-                for errand in taken.errands:
-                    if errand is not None:
-                        errand.cut(Why.CALLED_OFF)
+                for exchange in taken.exchanges:
+                    if exchange is not None:
+                        exchange.fail(FailureReason.CANCELLED)
 
     def _schedule_loop_timer(self, now: float) -> None:
         if not self._timers:
@@ -496,9 +496,9 @@
             return self.answer_error(taken.tag) if prior_fetches else self.refuse(taken.tag)
         request = taken.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
-        taken.errands = [None] * len(before)
+        taken.exchanges = [None] * len(before)
         taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
-        if self.takeover_adapter is not None and len(taken.errands) == len(before):
+        if self.takeover_adapter is not None and len(taken.exchanges) == len(before):
             self.takeover_adapter.decided(now, taken)
         self._discard_if_settled(taken)
 
@@ -542,13 +542,18 @@
             self.counts["clients_left"] += not taken.answered
             taken.answered = True
             taken.handle.client_left(now)
-            for number, errand in enumerate(taken.errands):
-                if errand is not None:
-                    errand.withdraw()
+            for number, exchange in enumerate(taken.exchanges):
+                if exchange is not None:
+                    exchange.withdraw()
                 elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
                     # Its acceptors were told that it is over and will not reply, so its end is reported here;
                     # otherwise the visit would stay open forever.
-                    self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+                    self.enqueue(
+                        self.ended,
+                        taken,
+                        number,
+                        ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+                    )
             self._discard_if_settled(taken)
 
     def _on_overdue(self, now: float, taken: Taken) -> None:
@@ -558,24 +563,24 @@
         ):
             return self._discard_if_settled(taken)
         self.counts["overdue"] += 1
-        self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
+        self.logger.error("visit answered by the backstop", fetches=len(taken.exchanges))
         self.answer_error(taken.tag)
         if taken.handle is not None:
             taken.handle.client_left(now)
         self._discard_if_settled(taken)
 
-    def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
+    def ended(self, now: float, taken: Taken, number: int, outcome: Answer | ExchangeFailure) -> None:
         """Report the end of a fetch to the decisions; if it delivered, answer the client."""
         end = reported = classify_end(outcome)
         self.counts[end.name.lower()] += 1
         taken.fetch_ends.append(end.name.lower())
-        errand = taken.errands[number]
+        exchange = taken.exchanges[number]
         elapsed = 0.0
-        if errand is not None:
+        if exchange is not None:
             # Time beyond the fetch's deadline is our own delay. Reported as the upstreams', a 30 s stall made
             # all of them look slow, and all requests were rejected for 4 s.
-            elapsed = min(now, errand.expires) - errand.sent
-            if end is End.TIMED_OUT and now <= self.stood_to and errand.sent <= self._stalled_from:
+            elapsed = min(now, exchange.deadline) - exchange.sent
+            if end is End.TIMED_OUT and now <= self.stood_to and exchange.sent <= self._stalled_from:
                 reported = End.CANCELLED  # stalled: its answer may be unread in the socket
         taken.last_timed_out = end is End.TIMED_OUT
         report: tuple[float, ...] = ()
@@ -646,8 +651,10 @@
         """Start a fetch with deadline `until` (ms), unless the upstream has changed since `generation`."""
         request, time_out = taken.request, until - now
         if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
-            return self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
-        errand = taken.errands[number] = Errand(
+            return self.enqueue(
+                self.ended, taken, number, ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN)
+            )
+        exchange = taken.exchanges[number] = Exchange(
             request.head(),
             request.body,
             now,
@@ -657,21 +664,23 @@
             taken.wanted,
         )
         if taken.handle is not None:
-            errand.begin_by = taken.handle.repeat_deadline
-        self.upstreams.pools[upstream].run(errand)
+            exchange.start_before = taken.handle.repeat_deadline
+        self.upstreams.pools[upstream].run(exchange)
 
     def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
-        errand = taken.errands[number]
-        if errand is not None:
-            errand.cut(Why.CALLED_OFF)
+        exchange = taken.exchanges[number]
+        if exchange is not None:
+            exchange.fail(FailureReason.CANCELLED)
         elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
-            self.enqueue(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+            self.enqueue(
+                self.ended, taken, number, ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN)
+            )
 
     def _send_probe(self, now: float, upstream: int) -> None:
         pool = self.upstreams.pools[upstream]
         path = b"/stats" if self._report_fields else b"/health/live"
         head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, pool.address[0].encode(), pool.address[1])
-        errand = Errand(
+        exchange = Exchange(
             head,
             b"",
             now,
@@ -679,9 +688,11 @@
             False,
             lambda outcome: self.enqueue(self._on_probe_ended, upstream, now, outcome),
         )
-        pool.run(errand)
+        pool.run(exchange)
 
-    def _on_probe_ended(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
+    def _on_probe_ended(
+        self, now: float, upstream: int, sent: float, outcome: Answer | ExchangeFailure
+    ) -> None:
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
             report = parse_load_report(outcome.report or outcome.body, self._report_fields)
@@ -889,7 +900,7 @@
             # keep one: a balancer that knows no upstream treats the next list as its first
             if (
                 now - since < REMOVE_GONE_AFTER_MS
-                or self.upstreams.pools[upstream].errands
+                or self.upstreams.pools[upstream].exchanges
                 or len(self._index_by_uid) == 1
             ):
                 return
@@ -908,15 +919,15 @@
                 taken.fetch_ends[-1],
                 id=taken.request.trace.decode("latin-1"),
                 after=taken.fetch_ends,
-                attempt=len(taken.errands) + 1,
+                attempt=len(taken.exchanges) + 1,
                 upstream=self._uid_by_index[upstream],
             )
-        taken.errands.append(None)
+        taken.exchanges.append(None)
         generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
         until = self._last_batch_at + timeout_ms
         self._pending_actions.append(
-            (self._start_fetch, (taken, len(taken.errands) - 1, upstream, generation, until))
+            (self._start_fetch, (taken, len(taken.exchanges) - 1, upstream, generation, until))
         )
 
     def cancel_fetch(self, tag: int, fetch: int) -> None:
--- a/ospreyline/net/takeover_adapter.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -15,7 +15,7 @@
 from ospreyline.fleet.takeover import KIND_BY_BYTE, PriorFetch, Takeover
 from ospreyline.host import Kind
 from ospreyline.net.clients import Client, Request
-from ospreyline.net.upstreams import Cut, Stage, Why
+from ospreyline.net.upstreams import ExchangeFailure, ExchangeStage, FailureReason
 
 if TYPE_CHECKING:
     from ospreyline.net.dispatcher import EventDispatcher, Taken
@@ -116,7 +116,7 @@
 
     def decided(self, now: float, taken: Taken) -> None:
         """The decision module has decided on a visit: one that is queued is registered at its acceptors."""
-        if not taken.answered and not taken.errands:
+        if not taken.answered and not taken.exchanges:
             self.takeover.register_queued(now, taken.tag)
 
     def may_write(
@@ -168,13 +168,13 @@
         """The client has left; returns whether the visit continues, so that its answer can be asked for."""
         fetches = taken.handle.fetches if taken.handle is not None else []
         # An end that is still queued behind the client's leaving is not decided yet, and may be the answer.
-        out = [e for e, f in zip(taken.errands, fetches, strict=False) if e is not None and f.end is None]
-        if kind is not Kind.READ_LIKE and any(e.stage > Stage.CONNECTING for e in out):
+        out = [e for e, f in zip(taken.exchanges, fetches, strict=False) if e is not None and f.end is None]
+        if kind is not Kind.READ_LIKE and any(e.stage > ExchangeStage.CONNECTING for e in out):
             return taken.tag in self.takeover.visits
         # Without closing a mutating visit's ballot here, a client that asked again waited for an answer until
         # its deadline. A visit that may have run has ended or continues: of the rest no fetch ran or will
         # run.
-        sent = kind is not Kind.MUTATING and any(e is not None for e in taken.errands)
+        sent = kind is not Kind.MUTATING and any(e is not None for e in taken.exchanges)
         self.takeover.abandon(now, taken.tag, sent)
         self._send_messages()
         return False
@@ -233,7 +233,12 @@
             return
         if action == dispatcher.write:
             # it was never written: the decision module may send it elsewhere if the visit is still ours
-            dispatcher.enqueue(dispatcher.ended, taken, args[1], Cut(Stage.CONNECTING, Why.WITHDRAWN))
+            dispatcher.enqueue(
+                dispatcher.ended,
+                taken,
+                args[1],
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+            )
         if what == "answer":
             self._reply_with_stored_answer(now, taken, details)
         elif what == "unknown":
@@ -245,7 +250,7 @@
                 client, taken.client = taken.client, None
                 client.out = None
                 client.drop("another balancer has taken its request over")
-            if not any(e is not None and e.done is not None for e in taken.errands):
+            if not any(e is not None and e.on_end is not None for e in taken.exchanges):
                 dispatcher.close_visit(now, taken)
         elif what == "take":
             dispatcher.decide(now, taken, max(0.0, deadline - now), details)
--- a/ospreyline/net/upstreams.py
+++ b/ospreyline/net/upstreams.py
@@ -1,7 +1,7 @@
 """Upstream connections: pools them, carries out backend fetches and probes, and reports how these end.
 
-An `Errand` is one exchange: a request to an upstream and its answer. It ends exactly once, with a whole
-`Answer` or with a `Cut`, which says how far it had come; only `classify_end` turns either into an `End`.
+An `Exchange` is one request to an upstream and its answer. It ends once, with a whole `Answer` or with an
+`ExchangeFailure`, which says how far it had come; only `classify_end` turns either into an `End`.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 )
 
 
-class Stage(IntEnum):
+class ExchangeStage(IntEnum):
     """How far an exchange had come."""
 
     CONNECTING = 0
@@ -57,23 +57,23 @@
     ANSWERING = 3
 
 
-class Why(Enum):
+class FailureReason(Enum):
     """Why an exchange failed."""
 
     BROKEN = "broken"  # refused, reset or closed by the upstream
     NO_CONNECTION = "no connection in time"
     TIMED_OUT = "timed out"
-    CALLED_OFF = "called off"
+    CANCELLED = "called off"
     WITHDRAWN = "withdrawn"  # the upstream was removed from the list, or no descriptor is free
     MALFORMED = "malformed"
 
 
 @dataclass(slots=True, frozen=True)
-class Cut:
+class ExchangeFailure:
     """An exchange that ended without a whole answer."""
 
-    stage: Stage
-    why: Why
+    stage: ExchangeStage
+    reason: FailureReason
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,19 +87,19 @@
     never_ran: bool
 
 
-def classify_end(outcome: Answer | Cut) -> End:
+def classify_end(outcome: Answer | ExchangeFailure) -> End:
     """What the outcome of an exchange means to the decisions."""
     if isinstance(outcome, Answer):
         if outcome.status == 200:
             return End.DELIVERED
         return End.FULL if outcome.status in (503, 504) and outcome.never_ran else End.ERRORED
-    if outcome.why is Why.CALLED_OFF:
+    if outcome.reason is FailureReason.CANCELLED:
         return End.CANCELLED
-    if outcome.why is Why.MALFORMED:
+    if outcome.reason is FailureReason.MALFORMED:
         return End.ERRORED  # the upstream process runs, so the request may have executed
-    if outcome.stage <= Stage.WRITING:  # the upstream cannot have received the whole request
-        return End.UNSENT if outcome.why is Why.WITHDRAWN else End.UNREACHED
-    return End.TIMED_OUT if outcome.why is Why.TIMED_OUT else End.RESET
+    if outcome.stage <= ExchangeStage.WRITING:  # the upstream cannot have received the whole request
+        return End.UNSENT if outcome.reason is FailureReason.WITHDRAWN else End.UNREACHED
+    return End.TIMED_OUT if outcome.reason is FailureReason.TIMED_OUT else End.RESET
 
 
 def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
@@ -140,23 +140,23 @@
     return False
 
 
-class Errand:
+class Exchange:
     """One exchange with an upstream: a request and its answer."""
 
     __slots__ = (
-        "begin_by",
         "body",
+        "client_waits",
         "conn",
         "connect_task",
-        "done",
-        "expires",
+        "deadline",
         "head",
         "head_only",
+        "on_end",
         "pool",
         "sent",
         "stage",
+        "start_before",
         "timeout_timer",
-        "wanted",
     )
 
     def __init__(
@@ -166,56 +166,58 @@
         sent: float,
         time_out: float,
         head_only: bool,
-        done: Callable[[Answer | Cut], None],
-        wanted: Callable[[], bool] = _always,
+        on_end: Callable[[Answer | ExchangeFailure], None],
+        client_waits: Callable[[], bool] = _always,
     ) -> None:
         self.head = head  # without the final blank line
         self.body = body
         self.sent = sent
-        self.expires = sent + time_out
-        self.begin_by = inf  # must not start at its upstream at or after this time
+        self.deadline = sent + time_out
+        self.start_before = inf  # must not start at its upstream at or after this time
         self.head_only = head_only
-        self.done: Callable[[Answer | Cut], None] | None = done
-        self.wanted = wanted  # whether a client still waits for it
-        self.stage = Stage.CONNECTING
+        self.on_end: Callable[[Answer | ExchangeFailure], None] | None = on_end
+        self.client_waits = client_waits  # whether a client still waits for it
+        self.stage = ExchangeStage.CONNECTING
         self.pool: ConnectionPool | None = None
         self.conn: UpstreamConnection | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.timeout_timer: asyncio.TimerHandle | None = None
 
-    def end(self, outcome: Answer | Cut) -> None:
+    def end(self, outcome: Answer | ExchangeFailure) -> None:
         """End the exchange; later events have no effect."""
-        done, self.done = self.done, None
-        if done is None:
+        on_end, self.on_end = self.on_end, None
+        if on_end is None:
             return
         # breaks a reference cycle between visit and exchange, so that no garbage collection is needed
-        self.wanted = _always
+        self.client_waits = _always
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
         if self.pool is not None:
-            self.pool.errands.pop(self, None)
+            self.pool.exchanges.pop(self, None)
         if self.connect_task is not None:
             self.connect_task.cancel()
-        if self.conn is not None and isinstance(outcome, Cut):
-            self.conn.close(outcome.why.value)  # bytes that arrive late must never reach another visit
-        done(outcome)
+        if self.conn is not None and isinstance(outcome, ExchangeFailure):
+            self.conn.close(outcome.reason.value)  # bytes that arrive late must never reach another visit
+        on_end(outcome)
 
-    def cut(self, why: Why) -> None:
+    def fail(self, reason: FailureReason) -> None:
         if (
-            self.done is not None
-            and self.stage is Stage.WRITING
+            self.on_end is not None
+            and self.stage is ExchangeStage.WRITING
             and self.conn
             and self.conn.write_buffer_empty()
         ):
-            self.stage = Stage.WRITTEN
-        self.end(Cut(self.stage, why))
+            self.stage = ExchangeStage.WRITTEN
+        self.end(ExchangeFailure(self.stage, reason))
 
     def withdraw(self) -> None:
         """No client waits for it: end it unless it is completely sent. The upstream does not see a cancel."""
-        if self.stage is Stage.CONNECTING or (
-            self.stage is Stage.WRITING and self.conn is not None and not self.conn.write_buffer_empty()
+        if self.stage is ExchangeStage.CONNECTING or (
+            self.stage is ExchangeStage.WRITING
+            and self.conn is not None
+            and not self.conn.write_buffer_empty()
         ):
-            self.end(Cut(self.stage, Why.WITHDRAWN))
+            self.end(ExchangeFailure(self.stage, FailureReason.WITHDRAWN))
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -224,7 +226,7 @@
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.generation = pool.generation
-        self.errand: Errand | None = None
+        self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.last_used = 0.0  # time of its last whole answer
         self._parser: Any = httptools.HttpResponseParser(self)
@@ -248,22 +250,22 @@
     def write_buffer_empty(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() == 0
 
-    def start(self, errand: Errand, now: float) -> None:
+    def start(self, exchange: Exchange, now: float) -> None:
         """Write the request; X-Expires-In is the time that it has left now, rounded down to whole ms."""
         assert self.transport is not None
-        self.errand, errand.conn = errand, self
-        errand.stage = Stage.WRITING
-        left = int(errand.expires - now)
-        self.transport.write(b"%bX-Expires-In: %.3f\r\n\r\n%b" % (errand.head, left / 1e3, errand.body))
+        self.exchange, exchange.conn = exchange, self
+        exchange.stage = ExchangeStage.WRITING
+        left = int(exchange.deadline - now)
+        self.transport.write(b"%bX-Expires-In: %.3f\r\n\r\n%b" % (exchange.head, left / 1e3, exchange.body))
         if self.write_buffer_empty():
-            errand.stage = Stage.WRITTEN
+            exchange.stage = ExchangeStage.WRITTEN
 
     def resume_writing(self) -> None:
-        if self.errand is not None and self.errand.stage is Stage.WRITING:
-            self.errand.stage = Stage.WRITTEN
+        if self.exchange is not None and self.exchange.stage is ExchangeStage.WRITING:
+            self.exchange.stage = ExchangeStage.WRITTEN
 
     def close(self, why: str) -> None:
-        self.errand = None
+        self.exchange = None
         self.pool.remove(self)
         if self.transport is None:
             return
@@ -278,33 +280,33 @@
     # receiving
 
     def data_received(self, data: bytes) -> None:
-        errand = self.errand
-        if errand is None:  # unexpected bytes would be taken for the start of the next answer
+        exchange = self.exchange
+        if exchange is None:  # unexpected bytes would be taken for the start of the next answer
             self.close("bytes that nobody asked for")
             return
-        errand.stage = Stage.ANSWERING
+        exchange.stage = ExchangeStage.ANSWERING
         self._raw_bytes += len(data)
         if self._raw_bytes > (8 * MAX_ANSWER_BYTES if self._head_done else MAX_RAW_BYTES):
-            errand.cut(Why.MALFORMED)
+            exchange.fail(FailureReason.MALFORMED)
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             if self._answer is None:
-                errand.cut(Why.MALFORMED)
+                exchange.fail(FailureReason.MALFORMED)
                 return
-            self._complete(errand, keep=False)
+            self._complete(exchange, keep=False)
             return
         if self._answer is not None:
             # after an incompletely written request, or a second answer, requests and answers would not match
             self._complete(
-                errand, keep=self._keep_alive and self.write_buffer_empty() and not errand.head_only
+                exchange, keep=self._keep_alive and self.write_buffer_empty() and not exchange.head_only
             )
 
-    def _complete(self, errand: Errand, keep: bool) -> None:
+    def _complete(self, exchange: Exchange, keep: bool) -> None:
         answer = self._answer
         assert answer is not None
-        self.errand = errand.conn = None
+        self.exchange = exchange.conn = None
         # the upstream's address or process has changed since the connection was opened
         if keep and self.generation == self.pool.generation:
             self._raw_bytes = 0
@@ -312,18 +314,18 @@
             self.pool.release(self)
         else:
             self.close("not kept by its last answer")
-        errand.end(answer)
+        exchange.end(answer)
 
     def eof_received(self) -> bool:
         # the event loop may report a reset right behind data as a regular end; it does not complete an answer
         if (
-            self.errand is not None
+            self.exchange is not None
             and self._body_until_eof
             and self.transport is not None
             and not failed(self.transport)
         ):
             self.on_message_complete()  # an answer without a length ends with the connection
-            self._complete(self.errand, keep=False)
+            self._complete(self.exchange, keep=False)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -331,9 +333,9 @@
         self._body_bytes = 0
         self._parser = None  # breaks a reference cycle, so that no garbage collection is needed
         self.pool.remove(self)
-        if self.errand is not None:
-            self.errand.cut(Why.BROKEN)
-            self.errand = None
+        if self.exchange is not None:
+            self.exchange.fail(FailureReason.BROKEN)
+            self.exchange = None
 
     # callbacks of the HTTP parser
 
@@ -350,7 +352,7 @@
             if (
                 known == b"content-length"
                 and not (value.isdigit() and int(value) <= MAX_ANSWER_BYTES)
-                and not (self.errand and self.errand.head_only)
+                and not (self.exchange and self.exchange.head_only)
             ):
                 # without this, an answer of 3 GB would be read up to the limit
                 raise ValueError("no length that could be kept")
@@ -369,7 +371,7 @@
         # Only with "Connection: close" may an answer end with its connection. If the length were merely
         # missing, half an answer would count as whole when the connection breaks.
         self._body_until_eof = status >= 200 and not self._has_length and b"close" in self._connection
-        if self.errand is not None and self.errand.head_only and status >= 200:
+        if self.exchange is not None and self.exchange.head_only and status >= 200:
             self.on_message_complete()
 
     def on_body(self, body: bytes) -> None:
@@ -405,17 +407,17 @@
         self.withdrawn = False  # the list allows no new requests
         self.generation = 0  # incremented when its address or process changes, or it takes no new requests
         self.idle: list[UpstreamConnection] = []  # most recently used last
-        self.errands: dict[Errand, None] = {}
+        self.exchanges: dict[Exchange, None] = {}
 
-    def run(self, errand: Errand) -> None:
-        errand.pool = self
-        self.errands[errand] = None
+    def run(self, exchange: Exchange) -> None:
+        exchange.pool = self
+        self.exchanges[exchange] = None
         now = self.pools.clock()  # read again, as an event batch may have taken long
-        errand.timeout_timer = self.pools.loop.call_later(
-            max(0.0, errand.expires - now) / 1e3, self._on_timeout, errand
+        exchange.timeout_timer = self.pools.loop.call_later(
+            max(0.0, exchange.deadline - now) / 1e3, self._on_timeout, exchange
         )
-        if self.withdrawn or errand.expires - now < MIN_TIME_LEFT_MS:
-            errand.cut(Why.WITHDRAWN)
+        if self.withdrawn or exchange.deadline - now < MIN_TIME_LEFT_MS:
+            exchange.fail(FailureReason.WITHDRAWN)
             return
         for conn in reversed(self.idle):
             if now - conn.last_used < SETTLE_MS:
@@ -429,77 +431,77 @@
             ):
                 conn.close("idle too long, or something unread")
                 continue
-            if self._may_start(errand):
+            if self._may_start(exchange):
                 self.idle.remove(conn)
-                conn.start(errand, self.pools.clock())
+                conn.start(exchange, self.pools.clock())
             return
         if not self.pools.evict_if_full():
-            errand.cut(Why.WITHDRAWN)
+            exchange.fail(FailureReason.WITHDRAWN)
             return
         # Registered before it is open, or all sends of one event batch would see the same free descriptor.
         conn = UpstreamConnection(self)
         self.pools.open[conn] = None
-        errand.connect_task = self.pools.loop.create_task(self._open_connection(errand, conn))
-        errand.connect_task.add_done_callback(
+        exchange.connect_task = self.pools.loop.create_task(self._open_connection(exchange, conn))
+        exchange.connect_task.add_done_callback(
             lambda task: conn.close("its request has ended") if task.cancelled() else None
         )
 
-    def _may_start(self, errand: Errand) -> bool:
+    def _may_start(self, exchange: Exchange) -> bool:
         """Last check before an upstream receives anything of an exchange (a connection or its first byte)."""
         # Since the upstream was chosen, an event batch, a takeover grant, loop iterations or a stall may have
         # passed: the client may have left, its time or the window in which a repeat is recognized may be
         # over. The exchange is then withdrawn, which does not count against the upstream.
         now = self.pools.clock()
         if (
-            now < errand.begin_by
-            and errand.expires - now >= MIN_TIME_LEFT_MS
-            and errand.wanted()
+            now < exchange.start_before
+            and exchange.deadline - now >= MIN_TIME_LEFT_MS
+            and exchange.client_waits()
             and not self.pools.sends_blocked()
         ):
             return True
-        errand.cut(Why.WITHDRAWN)
+        exchange.fail(FailureReason.WITHDRAWN)
         return False
 
-    async def _open_connection(self, errand: Errand, conn: UpstreamConnection) -> None:
+    async def _open_connection(self, exchange: Exchange, conn: UpstreamConnection) -> None:
         """Open a connection for an exchange; close it if it is ready too late."""
         pools = self.pools
-        connect_task, errand.connect_task = errand.connect_task, None
-        if not self._may_start(errand):
+        connect_task, exchange.connect_task = exchange.connect_task, None
+        if not self._may_start(exchange):
             return conn.close("not needed any more")
-        errand.connect_task = connect_task
+        exchange.connect_task = connect_task
         try:
             async with asyncio.timeout(pools.connect_time_out / 1e3):
                 await self._connect(conn)
         except TimeoutError:
-            errand.connect_task = None
-            errand.cut(Why.NO_CONNECTION)
+            exchange.connect_task = None
+            exchange.fail(FailureReason.NO_CONNECTION)
         except OSError:
-            errand.connect_task = None
-            errand.cut(Why.BROKEN)
+            exchange.connect_task = None
+            exchange.fail(FailureReason.BROKEN)
         else:
-            errand.connect_task = None
+            exchange.connect_task = None
             # the upstream may have died right after accepting; once written, the request might have executed
             if conn.transport is None or unread(conn.transport, select.POLLIN):
-                errand.cut(Why.BROKEN)
-            elif errand.expires - pools.clock() < MIN_TIME_LEFT_MS:
+                exchange.fail(FailureReason.BROKEN)
+            elif exchange.deadline - pools.clock() < MIN_TIME_LEFT_MS:
                 # after a stall, the connection may be reported before its timeout
-                errand.cut(Why.NO_CONNECTION)
-            elif errand.done is not None and self._may_start(errand):
-                conn.start(errand, pools.clock())
+                exchange.fail(FailureReason.NO_CONNECTION)
+            elif exchange.on_end is not None and self._may_start(exchange):
+                conn.start(exchange, pools.clock())
         finally:
-            if conn.errand is None:
+            if conn.exchange is None:
                 conn.close("its request does not go out")
 
     async def _connect(self, conn: UpstreamConnection) -> None:
         await self.pools.loop.create_connection(lambda: conn, *self.address)
 
-    def _on_timeout(self, errand: Errand) -> None:
-        if errand.stage is Stage.WRITTEN:
+    def _on_timeout(self, exchange: Exchange) -> None:
+        if exchange.stage is ExchangeStage.WRITTEN:
             # An upstream that is cut off sends nothing. Connections without an answer since this exchange was
             # sent may be dead, too.
-            for conn in [c for c in self.idle if c.last_used < errand.sent]:
+            for conn in [c for c in self.idle if c.last_used < exchange.sent]:
                 conn.close("no answer on another since")
-        errand.cut(Why.TIMED_OUT)
+        exchange.fail(FailureReason.TIMED_OUT)
 
     def release(self, conn: UpstreamConnection) -> None:
         conn.last_used = self.pools.clock()
@@ -528,8 +530,8 @@
         """
         self.generation += 1
         self.close_idle("the list names its upstream anew")
-        for errand in [e for e in self.errands if e.stage is Stage.CONNECTING]:
-            errand.cut(Why.WITHDRAWN)
+        for exchange in [e for e in self.exchanges if e.stage is ExchangeStage.CONNECTING]:
+            exchange.fail(FailureReason.WITHDRAWN)
 
     def withdraw(self) -> None:
         """The list allows no new requests to this upstream."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -410,8 +410,8 @@
                 conn.send(b"HTTP/1.1 2")
                 conn.close()
 
-            def crossed(self, errand, now):
-                start(self, errand, now)
+            def crossed(self, exchange, now):
+                start(self, exchange, now)
                 if conn.fileno() >= 0:  # the same loop iteration: the request is sent, the end arrives
                     ends()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -108,12 +108,12 @@
         async with running(Peer(), sockets=64) as service:
             pool = service.dispatcher.upstreams
             here, ended = descriptors(), []
-            errand = upstreams.Errand(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
-            pool.pools[0].run(errand)
+            exchange = upstreams.Exchange(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
+            pool.pools[0].run(exchange)
             assert len(pool.open) == 1
             if turn == "next":
                 await asyncio.sleep(0)
-            errand.cut(upstreams.Why.CALLED_OFF)
+            exchange.fail(upstreams.FailureReason.CANCELLED)
             await until(lambda: not pool.open and descriptors() == here)
             assert len(ended) == 1
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -97,7 +97,7 @@
 async def until_settled(service: Service) -> None:
     """Wait until no visit or exchange is left, and what was opened or written has arrived."""
     while service.dispatcher.visits or any(
-        peer.errands for peer in service.dispatcher.upstreams.pools.values()
+        peer.exchanges for peer in service.dispatcher.upstreams.pools.values()
     ):
         await asyncio.sleep(0)
     await passes()
@@ -227,12 +227,12 @@
             delay, run = Delay(late, lambda: [leave(sock) for sock in socks]), upstreams.ConnectionPool.run
             ran, turns = [], set()
 
-            def nth(self, errand, *args):
-                ran.append(errand)
+            def nth(self, exchange, *args):
+                ran.append(exchange)
                 turns.add(service.dispatcher._last_batch_at)
                 if len(ran) == before:
                     delay()
-                run(self, errand, *args)
+                run(self, exchange, *args)
 
             monkeypatch.setattr(upstreams.ConnectionPool, "run", nth)
             for sock in socks:
@@ -266,7 +266,7 @@
 
             def waiting() -> int:
                 peer = service.dispatcher.upstreams.pools[0]
-                return service.dispatcher.balancer._queued if where == "held" else len(peer.errands)
+                return service.dispatcher.balancer._queued if where == "held" else len(peer.exchanges)
 
             while waiting() < many:
                 await asyncio.sleep(0)
@@ -314,16 +314,16 @@
             sock, loop, got = open_client(service), asyncio.get_running_loop(), bytearray()
             sock.sendall(request("/change", "POST", body))
             conn, _ = await loop.sock_accept(server)
-            while not service.dispatcher.upstreams.pools[0].errands:
+            while not service.dispatcher.upstreams.pools[0].exchanges:
                 await asyncio.sleep(0)
-            (errand,) = service.dispatcher.upstreams.pools[0].errands
-            while errand.stage is not upstreams.Stage.WRITING:
+            (exchange,) = service.dispatcher.upstreams.pools[0].exchanges
+            while exchange.stage is not upstreams.ExchangeStage.WRITING:
                 await asyncio.sleep(0)
             # all but a last piece, which is sent as soon as the upstream reads more
-            while errand.conn.transport.get_write_buffer_size() > 8_000:
+            while exchange.conn.transport.get_write_buffer_size() > 8_000:
                 got.extend(await loop.sock_recv(conn, 1_000))
                 await asyncio.sleep(0)
-            assert not errand.conn.write_buffer_empty()
+            assert not exchange.conn.write_buffer_empty()
             # in one iteration the upstream reads more and the exchange ends
             conn.setblocking(False)
             with suppress(BlockingIOError):
@@ -334,7 +334,7 @@
                 next(iter(service.clients.open)).eof_received()
                 service.dispatcher._dispatch()
             else:
-                errand.cut(upstreams.Why.TIMED_OUT)
+                exchange.fail(upstreams.FailureReason.TIMED_OUT)
             with suppress(ConnectionResetError):
                 while data := await loop.sock_recv(conn, 65_536):
                     got.extend(data)
@@ -678,8 +678,8 @@
         self.writes: list[tuple[float, float]] = []
         start = upstreams.UpstreamConnection.start
 
-        def noted(conn: upstreams.UpstreamConnection, errand: upstreams.Errand, *args: Any) -> None:
-            head, left = errand.head, 1e3 * TIME - (clock() - self.dial)
+        def noted(conn: upstreams.UpstreamConnection, exchange: upstreams.Exchange, *args: Any) -> None:
+            head, left = exchange.head, 1e3 * TIME - (clock() - self.dial)
 
             class Seen:
                 """A transport that records the header, for `Conn.start`."""
@@ -693,9 +693,9 @@
 
             reported: list[float] = []
             transport, conn.transport = conn.transport, Seen()
-            start(conn, errand, *args)
+            start(conn, exchange, *args)
             conn.transport = transport
-            assert head == errand.head
+            assert head == exchange.head
             self.writes.append((reported[0], left))
 
         monkeypatch.setattr(upstreams.UpstreamConnection, "start", noted)
@@ -904,7 +904,7 @@
             def then(now, taken, number, outcome):
                 # the first has ended: the next one is chosen in time, and then delayed
                 dispatcher.ended = ended
-                begun.append(taken.errands[number].sent)
+                begun.append(taken.exchanges[number].sent)
                 for peer in peers:
                     peer.answers = [ok()]
                 if what == "connection":
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -95,7 +95,7 @@
                 await asyncio.sleep(0)
             gate.open.set()
             await passes()
-            assert not service.dispatcher.visits and not service.dispatcher.upstreams.pools[0].errands
+            assert not service.dispatcher.visits and not service.dispatcher.upstreams.pools[0].exchanges
             # the next request reaches the upstream, and none did before it
             client = await caller(service)
             client.writer.write(request(trace="next"))
@@ -126,7 +126,7 @@
             # it was sent whole, so it may have executed: it does not count as unsent
             await passes()
             assert service.dispatcher.counts["unsent"] == 0
-            assert bool(service.dispatcher.upstreams.pools[0].errands) is not cancel
+            assert bool(service.dispatcher.upstreams.pools[0].exchanges) is not cancel
 
     play(scenario)
 
@@ -220,7 +220,7 @@
             monkeypatch.setattr(upstreams.UpstreamConnection, "write_buffer_empty", lambda conn: False)
             client = await caller(service)
             client.writer.write(asked("/change"))
-            while not any(e.conn for e in service.dispatcher.upstreams.pools[0].errands):
+            while not any(e.conn for e in service.dispatcher.upstreams.pools[0].exchanges):
                 await asyncio.sleep(0)
             leave(client, "end")
             while service.dispatcher.visits:
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -146,8 +146,8 @@
         time.sleep(STALL_S)
     received(call, data)
 
-def written_late(peer, errand):
-    found = look(peer, errand)
+def written_late(peer, exchange):
+    found = look(peer, exchange)
     if found and dispatcher.clock() > dispatchers[0].balancer.lease.expires_at - 30.0:
         time.sleep(STALL_S)
     return found
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -165,9 +165,9 @@
 
             start = upstreams.UpstreamConnection.start
 
-            def recording_start(conn, errand, now):
+            def recording_start(conn, exchange, now):
                 written.append(len(dispatcher.balancer._upstreams[0].cold_sends))
-                start(conn, errand, now)
+                start(conn, exchange, now)
 
             monkeypatch.setattr(upstreams.UpstreamConnection, "start", recording_start)
             monkeypatch.setattr(dispatcher, "_begin_visit", begin_then_update)
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -16,7 +16,7 @@
 from ospreyline.decide import TICK_MS, Visit
 from ospreyline.host import End
 from ospreyline.net.dispatcher import STALL_MS
-from ospreyline.net.upstreams import Errand
+from ospreyline.net.upstreams import Exchange
 
 CONNECT_MS, SERVE_MS = 250.0, 50.0  # of a fetch whose upstream is not reached, or reached
 MAX_REJECTING_MS, MIN_REJECTED = 4_000.0, 15
@@ -170,17 +170,17 @@
             client.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
             (taken,) = dispatcher.visits.values()
-            errand = taken.errands[0]
-            assert isinstance(errand, Errand)
+            exchange = taken.exchanges[0]
+            assert isinstance(exchange, Exchange)
             (u,) = dispatcher.balancer._upstreams.values()
             was = u.locality.latency
             # the clock cannot be set forward, so all else is set back
             before = 10_000.0 if stood else STALL_MS / 2
-            errand.sent -= before
-            errand.expires -= before
-            dispatcher._last_batch_at = errand.sent if stood else dispatcher._last_batch_at
-            span = errand.expires - errand.sent
-            errand.pool._on_timeout(errand)
+            exchange.sent -= before
+            exchange.deadline -= before
+            dispatcher._last_batch_at = exchange.sent if stood else dispatcher._last_batch_at
+            span = exchange.deadline - exchange.sent
+            exchange.pool._on_timeout(exchange)
             assert (await client.answer())[0] >= 500
             assert dispatcher.counts["timed_out"] == 1 and not u.in_flight
             assert (
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,7 +11,15 @@
 from ospreyline.host import End
 from ospreyline.net import upstreams
 from ospreyline.net.dispatcher import clock
-from ospreyline.net.upstreams import Answer, Cut, Errand, Stage, Why, classify_end, parse_load_report
+from ospreyline.net.upstreams import (
+    Answer,
+    Exchange,
+    ExchangeFailure,
+    ExchangeStage,
+    FailureReason,
+    classify_end,
+    parse_load_report,
+)
 
 NEVER = b"X-Never-Ran: 1\r\n"
 TURNED_AWAY = ok(b"", NEVER, b"503 Service Unavailable")
@@ -27,17 +35,17 @@
         (Answer(504, b"", b"", b"", True), End.FULL),
         (Answer(503, b"", b"", b"", False), End.ERRORED),
         (Answer(204, b"", b"", b"", False), End.ERRORED),
-        (Cut(Stage.CONNECTING, Why.BROKEN), End.UNREACHED),
-        (Cut(Stage.CONNECTING, Why.NO_CONNECTION), End.UNREACHED),
-        (Cut(Stage.CONNECTING, Why.TIMED_OUT), End.UNREACHED),
-        (Cut(Stage.CONNECTING, Why.WITHDRAWN), End.UNSENT),
-        (Cut(Stage.WRITING, Why.BROKEN), End.UNREACHED),
-        (Cut(Stage.WRITTEN, Why.BROKEN), End.RESET),
-        (Cut(Stage.ANSWERING, Why.BROKEN), End.RESET),
-        (Cut(Stage.ANSWERING, Why.MALFORMED), End.ERRORED),
-        (Cut(Stage.WRITTEN, Why.TIMED_OUT), End.TIMED_OUT),
-        (Cut(Stage.ANSWERING, Why.TIMED_OUT), End.TIMED_OUT),
-        (Cut(Stage.CONNECTING, Why.CALLED_OFF), End.CANCELLED),
+        (ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.BROKEN), End.UNREACHED),
+        (ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.NO_CONNECTION), End.UNREACHED),
+        (ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.TIMED_OUT), End.UNREACHED),
+        (ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN), End.UNSENT),
+        (ExchangeFailure(ExchangeStage.WRITING, FailureReason.BROKEN), End.UNREACHED),
+        (ExchangeFailure(ExchangeStage.WRITTEN, FailureReason.BROKEN), End.RESET),
+        (ExchangeFailure(ExchangeStage.ANSWERING, FailureReason.BROKEN), End.RESET),
+        (ExchangeFailure(ExchangeStage.ANSWERING, FailureReason.MALFORMED), End.ERRORED),
+        (ExchangeFailure(ExchangeStage.WRITTEN, FailureReason.TIMED_OUT), End.TIMED_OUT),
+        (ExchangeFailure(ExchangeStage.ANSWERING, FailureReason.TIMED_OUT), End.TIMED_OUT),
+        (ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.CANCELLED), End.CANCELLED),
     ],
 )
 def test_how_far_it_had_come_says_whether_it_can_have_run(outcome, end):
@@ -212,18 +220,20 @@
         peer = Peer(SILENT, SILENT, ok())
         async with running(peer) as service:
             upstream = service.dispatcher.upstreams.pools[0]
-            results: list[Answer | Cut] = []
+            results: list[Answer | ExchangeFailure] = []
             now = clock()
             for _ in range(2):
-                upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 5_000, False, results.append))
+                upstream.run(Exchange(b"GET / HTTP/1.1\r\n", b"", now, 5_000, False, results.append))
             await peer.until(lambda: len(peer.requests) == 2)
             peer.writers[0].write(ok())
             while not upstream.idle:
                 await asyncio.sleep(0)
-            late = Errand(b"GET / HTTP/1.1\r\n", b"", clock() + 1, 1, False, results.append)
-            late.pool, late.stage = upstream, Stage.WRITTEN
+            late = Exchange(b"GET / HTTP/1.1\r\n", b"", clock() + 1, 1, False, results.append)
+            late.pool, late.stage = upstream, ExchangeStage.WRITTEN
             upstream._on_timeout(late)
-            assert not upstream.idle and results[-1] == Cut(Stage.WRITTEN, Why.TIMED_OUT)
+            assert not upstream.idle and results[-1] == ExchangeFailure(
+                ExchangeStage.WRITTEN, FailureReason.TIMED_OUT
+            )
 
     play(scenario)
 
@@ -233,11 +243,11 @@
         peer = Peer()
         async with running(peer) as service:
             upstream = service.dispatcher.upstreams.pools[0]
-            results: list[Answer | Cut] = []
+            results: list[Answer | ExchangeFailure] = []
             now = clock()
-            upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
+            upstream.run(Exchange(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
             service.dispatcher.upstreams.update_from_list(0, upstream.address, 0.0, ready=False)
-            upstream.run(Errand(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
+            upstream.run(Exchange(b"GET / HTTP/1.1\r\n", b"", now, 1_000, False, results.append))
             assert [classify_end(result) for result in results] == [End.UNSENT, End.UNSENT]
 
     play(scenario)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -14,7 +14,7 @@
 from ospreyline.fleet.frames import Say
 from ospreyline.host import End
 from ospreyline.net.takeover_adapter import TakeoverAdapter
-from ospreyline.net.upstreams import Stage
+from ospreyline.net.upstreams import ExchangeStage
 
 
 @pytest.mark.parametrize("left", [330.0, 349.0, 351.0, 1_505.0, 1_530.0, 1_549.0])
@@ -91,7 +91,7 @@
 
 
 # stage reached, whether it has ended, and the end that was decided
-FetchState = tuple[Stage, bool, End | None]
+FetchState = tuple[ExchangeStage, bool, End | None]
 
 
 def continues_without_client(net: Net, *fetches: FetchState | None) -> bool:
@@ -100,21 +100,21 @@
         SimpleNamespace(bank=None), operator_settings.TakeoverSettings(on=True), "m0", "a", 1, 7, 3
     )
     takeover_adapter.takeover = net.at["m0"]
-    errands = [f and SimpleNamespace(stage=f[0], done=None if f[1] else print) for f in fetches]
+    exchanges = [f and SimpleNamespace(stage=f[0], on_end=None if f[1] else print) for f in fetches]
     handle = SimpleNamespace(fetches=[SimpleNamespace(end=f and f[2]) for f in fetches])
     went_on = takeover_adapter.goes_on(
-        net.now, SimpleNamespace(tag=1, errands=errands, handle=handle), CHANGE
+        net.now, SimpleNamespace(tag=1, exchanges=exchanges, handle=handle), CHANGE
     )
     net.run()
     return went_on
 
 
-UNREACHED = (Stage.CONNECTING, True, End.UNREACHED)
+UNREACHED = (ExchangeStage.CONNECTING, True, End.UNREACHED)
 
 
 @pytest.mark.parametrize(
     "further",
-    [[], [(Stage.CONNECTING, False, None)], [None]],
+    [[], [(ExchangeStage.CONNECTING, False, None)], [None]],
     ids=["nothing", "connecting", "waits for its permit"],
 )
 def test_a_mutating_visit_whose_client_left_before_it_ran_is_run_for_who_asks_again(further):
@@ -137,7 +137,7 @@
     net = Net()
     net.take("m0", CHANGE)
     assert send_allowed(net, "m0", CHANGE)
-    assert continues_without_client(net, (Stage.ANSWERING, ended, None))
+    assert continues_without_client(net, (ExchangeStage.ANSWERING, ended, None))
     net.at["m0"].record_answer(net.now, 1, b"the answer")
     net.run()
     assert net.ask("m4", CHANGE) == [("answer", b"the answer")]
