--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -68,7 +68,7 @@
     return time.monotonic() * 1e3
 
 
-class Taken:
+class PendingVisit:
     """A visit on the socket side: the client that waits for it, its decision handle and its exchanges."""
 
     __slots__ = (
@@ -76,35 +76,37 @@
         "arrived_at",
         "backstop_timer",
         "client",
+        "client_left",
+        "decision",
         "exchanges",
         "fetch_ends",
-        "handle",
         "last_timed_out",
-        "left",
+        "prefix_settings",
         "request",
         "tag",
-        "terms",
     )
 
-    def __init__(self, tag: int, request: Request, terms: PathPrefix, client: Client | None) -> None:
+    def __init__(
+        self, tag: int, request: Request, prefix_settings: PathPrefix, client: Client | None
+    ) -> None:
         self.tag = tag
         self.request = request
         # its path prefix settings at arrival; after a reload the same index may mean another prefix
-        self.terms = terms
+        self.prefix_settings = prefix_settings
         self.client = client
-        self.handle: Visit | None = None
+        self.decision: Visit | None = None
         self.exchanges: list[Exchange | None] = []
         self.fetch_ends: list[str] = []  # how its fetches ended, in that order, for the log
         # when its last byte reached this machine (`clock()` ms), as far as the OS reports it
         self.arrived_at = 0.0
         self.answered = False
-        self.left = False  # the client has disconnected; no new fetch starts
+        self.client_left = False  # the client has disconnected; no new fetch starts
         self.last_timed_out = False  # whether its latest fetch timed out
         self.backstop_timer: asyncio.TimerHandle | None = None
 
-    def wanted(self) -> bool:
+    def client_waits(self) -> bool:
         """Whether a client still waits for it; checked before a byte of it is sent to an upstream."""
-        return not (self.answered or self.left or (self.client is not None and self.client.has_left()))
+        return not (self.answered or self.client_left or (self.client is not None and self.client.has_left()))
 
 
 class EventDispatcher:
@@ -121,7 +123,7 @@
         # takeover of visits between balancers, if enabled
         self.takeover_adapter: TakeoverAdapter | None = None
         self.closing = False
-        self.visits: dict[int, Taken] = {}
+        self.visits: dict[int, PendingVisit] = {}
         self._open_ids: set[bytes] = set()  # request ids of the open visits
         self.counts: Counter[str] = Counter()
         self.events = EventLog(self.logger, clock, self.counts)
@@ -385,11 +387,11 @@
             # An exception in the decisions costs only the visit concerned, which still gets an answer.
             self.counts["faults"] += 1
             self.logger.exception("exception in an event handler")
-            taken = next((arg for arg in args if isinstance(arg, Taken)), None)
-            if taken is not None and not taken.answered:
-                self.answer_error(taken.tag)
-                self._discard_visit(taken)
-                for exchange in taken.exchanges:
+            pending = next((arg for arg in args if isinstance(arg, PendingVisit)), None)
+            if pending is not None and not pending.answered:
+                self.answer_error(pending.tag)
+                self._discard_visit(pending)
+                for exchange in pending.exchanges:
                     if exchange is not None:
                         exchange.fail(FailureReason.CANCELLED)
 
@@ -436,19 +438,19 @@
             return self.takeover_adapter is not None and self.takeover_adapter.joins(request, client)
         self._open_ids.add(request.trace)
         self._last_tag += 1
-        terms = self._config.deployment.prefixes[request.prefix]
-        taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
-        taken.arrived_at = clock() - client.ms_since_received()
+        prefix_settings = self._config.deployment.prefixes[request.prefix]
+        pending = self.visits[self._last_tag] = PendingVisit(self._last_tag, request, prefix_settings, client)
+        pending.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
-        self.enqueue(self._begin_visit, taken)
+        self.enqueue(self._begin_visit, pending)
         return True
 
     def client_left(self, client: Client) -> None:
         """Record that the client of a visit has disconnected."""
-        taken = self.visits.get(client.tag)
-        if taken is not None and taken.client is client:
-            taken.client, taken.left = None, True
-            self.enqueue(self._on_client_left, taken)
+        pending = self.visits.get(client.tag)
+        if pending is not None and pending.client is client:
+            pending.client, pending.client_left = None, True
+            self.enqueue(self._on_client_left, pending)
 
     def ready(self) -> bool:
         """Readiness for health checks: a valid list lease and at least one upstream that is ready."""
@@ -458,49 +460,57 @@
             and self.balancer.lease.ready(clock())
         )
 
-    def _begin_visit(self, now: float, taken: Taken) -> None:
+    def _begin_visit(self, now: float, pending: PendingVisit) -> None:
         """Determine the time left for a visit, set its backstop timer and pass it on."""
-        if taken.client is None:
-            self._discard_visit(taken)
+        if pending.client is None:
+            self._discard_visit(pending)
             return
         self.counts["visits"] += 1
-        request, terms = taken.request, taken.terms
-        time_left = terms.client_timeout
+        request, prefix_settings = pending.request, pending.prefix_settings
+        time_left = prefix_settings.client_timeout
         if request.time_left is not None:
             time_left = min(time_left, request.time_left)
         # Time that the request spent in its socket or in the listen queue while the loop was late counts,
         # too. Otherwise the upstream would be given more time than is left, and the client answered after its
         # timeout.
-        waited = now - taken.arrived_at
+        waited = now - pending.arrived_at
         if now <= self.stood_to:
             # A request may have waited in its socket during a stall and would be forwarded for a client that
             # has gone. Not every OS reports when it arrived, so the whole stall counts.
             waited = max(waited, now - self._stalled_from)
         time_left -= waited
-        taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, taken
+        pending.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
         )
-        if self.takeover_adapter is None or self.takeover_adapter.begins(now, taken, time_left, terms.kind):
-            self.decide(now, taken, time_left, ())
+        if self.takeover_adapter is None or self.takeover_adapter.begins(
+            now, pending, time_left, prefix_settings.kind
+        ):
+            self.decide(now, pending, time_left, ())
 
     def decide(
-        self, now: float, taken: Taken, time_left: float, prior_fetches: Sequence[tuple[str, int, float]]
+        self,
+        now: float,
+        pending: PendingVisit,
+        time_left: float,
+        prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Pass a visit to the decisions. `prior_fetches`: those that other balancers may have sent before, as
         (zone, cell, ms ago).
         """
         try:
-            prefix = self._config.deployment.prefixes.index(taken.terms)
+            prefix = self._config.deployment.prefixes.index(pending.prefix_settings)
         except ValueError:
             # A reload came while the visit waited: its path prefix now has another index or no longer exists.
-            return self.answer_error(taken.tag) if prior_fetches else self.refuse(taken.tag)
-        request = taken.request
+            return self.answer_error(pending.tag) if prior_fetches else self.refuse(pending.tag)
+        request = pending.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
-        taken.exchanges = [None] * len(before)
-        taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
-        if self.takeover_adapter is not None and len(taken.exchanges) == len(before):
-            self.takeover_adapter.decided(now, taken)
-        self._discard_if_settled(taken)
+        pending.exchanges = [None] * len(before)
+        pending.decision = self.balancer.accept_visit(
+            now, pending.tag, prefix, time_left, request.repeat, before
+        )
+        if self.takeover_adapter is not None and len(pending.exchanges) == len(before):
+            self.takeover_adapter.decided(now, pending)
+        self._discard_if_settled(pending)
 
     def adopt_visit(
         self,
@@ -511,70 +521,74 @@
         prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Take over a visit of a failed balancer; no client waits for it here."""
-        taken = self.visits[tag] = Taken(tag, request, self._config.deployment.prefixes[request.prefix], None)
-        taken.arrived_at = now
+        pending = self.visits[tag] = PendingVisit(
+            tag, request, self._config.deployment.prefixes[request.prefix], None
+        )
+        pending.arrived_at = now
         self._open_ids.add(request.trace)
-        taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, taken
+        pending.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
         )
-        self.decide(now, taken, time_left, prior_fetches)
+        self.decide(now, pending, time_left, prior_fetches)
 
     def refuse(self, tag: int) -> None:
         """Answer a visit that the decisions have not seen with "retry": no fetch of it ran."""
         self.bounce(tag, self._config.deployment.max_retry_after)
 
-    def close_visit(self, now: float, taken: Taken) -> None:
+    def close_visit(self, now: float, pending: PendingVisit) -> None:
         """Close a visit for which this balancer is no longer responsible."""
-        taken.answered = True
-        if taken.handle is not None:
-            taken.handle.client_left(now)
-        self._discard_if_settled(taken)
+        pending.answered = True
+        if pending.decision is not None:
+            pending.decision.client_left(now)
+        self._discard_if_settled(pending)
 
-    def _on_client_left(self, now: float, taken: Taken) -> None:
-        if not taken.left:
+    def _on_client_left(self, now: float, pending: PendingVisit) -> None:
+        if not pending.client_left:
             return  # another connection of its client has joined it since
-        if self.takeover_adapter is not None and not taken.answered:
-            if self.takeover_adapter.goes_on(now, taken, taken.terms.kind):
+        if self.takeover_adapter is not None and not pending.answered:
+            if self.takeover_adapter.goes_on(now, pending, pending.prefix_settings.kind):
                 return  # open fetches continue; no new one starts unless the client asks again
-            if taken.handle is None:
-                self._discard_visit(taken)
-        if taken.handle is not None:
-            self.counts["clients_left"] += not taken.answered
-            taken.answered = True
-            taken.handle.client_left(now)
-            for number, exchange in enumerate(taken.exchanges):
+            if pending.decision is None:
+                self._discard_visit(pending)
+        if pending.decision is not None:
+            self.counts["clients_left"] += not pending.answered
+            pending.answered = True
+            pending.decision.client_left(now)
+            for number, exchange in enumerate(pending.exchanges):
                 if exchange is not None:
                     exchange.withdraw()
-                elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
+                elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
                     # Its acceptors were told that it is over and will not reply, so its end is reported here;
                     # otherwise the visit would stay open forever.
                     self.enqueue(
                         self.ended,
-                        taken,
+                        pending,
                         number,
                         ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
                     )
-            self._discard_if_settled(taken)
+            self._discard_if_settled(pending)
 
-    def _on_overdue(self, now: float, taken: Taken) -> None:
+    def _on_overdue(self, now: float, pending: PendingVisit) -> None:
         """Backstop: answer a visit that has none yet, whatever went wrong."""
-        if taken.answered and not (
-            self.takeover_adapter is not None and self.takeover_adapter.overdue(taken.tag)
+        if pending.answered and not (
+            self.takeover_adapter is not None and self.takeover_adapter.overdue(pending.tag)
         ):
-            return self._discard_if_settled(taken)
+            return self._discard_if_settled(pending)
         self.counts["overdue"] += 1
-        self.logger.error("visit answered by the backstop", fetches=len(taken.exchanges))
-        self.answer_error(taken.tag)
-        if taken.handle is not None:
-            taken.handle.client_left(now)
-        self._discard_if_settled(taken)
-
-    def ended(self, now: float, taken: Taken, number: int, outcome: Answer | ExchangeFailure) -> None:
+        self.logger.error("visit answered by the backstop", fetches=len(pending.exchanges))
+        self.answer_error(pending.tag)
+        if pending.decision is not None:
+            pending.decision.client_left(now)
+        self._discard_if_settled(pending)
+
+    def ended(
+        self, now: float, pending: PendingVisit, number: int, outcome: Answer | ExchangeFailure
+    ) -> None:
         """Report the end of a fetch to the decisions; if it delivered, answer the client."""
         end = reported = classify_end(outcome)
         self.counts[end.name.lower()] += 1
-        taken.fetch_ends.append(end.name.lower())
-        exchange = taken.exchanges[number]
+        pending.fetch_ends.append(end.name.lower())
+        exchange = pending.exchanges[number]
         elapsed = 0.0
         if exchange is not None:
             # Time beyond the fetch's deadline is our own delay. Reported as the upstreams', a 30 s stall made
@@ -582,28 +596,28 @@
             elapsed = min(now, exchange.deadline) - exchange.sent
             if end is End.TIMED_OUT and now <= self.stood_to and exchange.sent <= self._stalled_from:
                 reported = End.CANCELLED  # stalled: its answer may be unread in the socket
-        taken.last_timed_out = end is End.TIMED_OUT
+        pending.last_timed_out = end is End.TIMED_OUT
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
             report = parse_load_report(outcome.report, self._report_fields) if outcome.report else ()
-            if end is End.DELIVERED and not taken.answered:
-                taken.answered = True
-                self.latencies_ms.append(now - taken.arrived_at)
-                reply = taken, 200, outcome.head, outcome.body
-                if self.takeover_adapter is None or self.takeover_adapter.may_tell(now, taken, reply):
+            if end is End.DELIVERED and not pending.answered:
+                pending.answered = True
+                self.latencies_ms.append(now - pending.arrived_at)
+                reply = pending, 200, outcome.head, outcome.body
+                if self.takeover_adapter is None or self.takeover_adapter.may_tell(now, pending, reply):
                     self._pending_actions.append((self.reply, reply))
-        if taken.handle is not None:
-            taken.handle.fetch_ended(now, number, reported, elapsed, taken.answered, report)
-            self._discard_if_settled(taken)
+        if pending.decision is not None:
+            pending.decision.fetch_ended(now, number, reported, elapsed, pending.answered, report)
+            self._discard_if_settled(pending)
 
     def answer_all(self) -> None:
         """At shutdown: answer all visits that have no answer yet."""
-        for taken in self.visits.values():
-            self.enqueue(self._on_overdue, taken)
+        for pending in self.visits.values():
+            self.enqueue(self._on_overdue, pending)
 
     def has_unanswered_visits(self) -> bool:
         """Whether any visit has no answer yet."""
-        return any(not taken.answered for taken in self.visits.values())
+        return any(not pending.answered for pending in self.visits.values())
 
     def close(self) -> None:
         self._timers.clear()
@@ -612,68 +626,78 @@
         self.discovery.close()
         self.upstreams.close()
 
-    def _discard_if_settled(self, taken: Taken) -> None:
-        if self.takeover_adapter is not None and self.takeover_adapter.holds(taken.tag):
+    def _discard_if_settled(self, pending: PendingVisit) -> None:
+        if self.takeover_adapter is not None and self.takeover_adapter.holds(pending.tag):
             return
-        if taken.handle.settled if taken.handle is not None else taken.answered and taken.client is None:
-            self._discard_visit(taken)
+        if (
+            pending.decision.settled
+            if pending.decision is not None
+            else pending.answered and pending.client is None
+        ):
+            self._discard_visit(pending)
 
-    def _discard_visit(self, taken: Taken) -> None:
-        if self.visits.pop(taken.tag, None) is not None:
-            self._open_ids.discard(taken.request.trace)
+    def _discard_visit(self, pending: PendingVisit) -> None:
+        if self.visits.pop(pending.tag, None) is not None:
+            self._open_ids.discard(pending.request.trace)
             if self.takeover_adapter is not None:
-                self.takeover_adapter.forget(taken.tag)
-        if taken.backstop_timer is not None:
-            taken.backstop_timer.cancel()
+                self.takeover_adapter.forget(pending.tag)
+        if pending.backstop_timer is not None:
+            pending.backstop_timer.cancel()
 
-    def reply(self, now: float, taken: Taken, status: int, fields: bytes, body: bytes) -> None:
+    def reply(self, now: float, pending: PendingVisit, status: int, fields: bytes, body: bytes) -> None:
         """Send the final answer to the client, if it still waits."""
-        if taken.client is not None:
-            client, taken.client = taken.client, None
+        if pending.client is not None:
+            client, pending.client = pending.client, None
             client.reply(status, fields, body)
             self.counts[f"answers_{status}"] += 1
         # Without this, a visit that was queued and given up in another visit's batch was never removed.
-        self._discard_if_settled(taken)
+        self._discard_if_settled(pending)
 
     # -- upstreams ----------------------------------------------------------------------------------------
 
     def _start_fetch(
-        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, generation: int, until: float
     ) -> None:
         if self.takeover_adapter is None or self.takeover_adapter.may_write(
-            now, taken, number, upstream, generation, until
+            now, pending, number, upstream, generation, until
         ):
-            self.write(now, taken, number, upstream, generation, until)
+            self.write(now, pending, number, upstream, generation, until)
 
     def write(
-        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, generation: int, until: float
     ) -> None:
         """Start a fetch with deadline `until` (ms), unless the upstream has changed since `generation`."""
-        request, time_out = taken.request, until - now
+        request, time_out = pending.request, until - now
         if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
             return self.enqueue(
-                self.ended, taken, number, ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN)
+                self.ended,
+                pending,
+                number,
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
             )
-        exchange = taken.exchanges[number] = Exchange(
+        exchange = pending.exchanges[number] = Exchange(
             request.head(),
             request.body,
             now,
             time_out,
             request.method == b"HEAD",
-            lambda outcome: self.enqueue(self.ended, taken, number, outcome),
-            taken.wanted,
+            lambda outcome: self.enqueue(self.ended, pending, number, outcome),
+            pending.client_waits,
         )
-        if taken.handle is not None:
-            exchange.start_before = taken.handle.repeat_deadline
+        if pending.decision is not None:
+            exchange.start_before = pending.decision.repeat_deadline
         self.upstreams.pools[upstream].run(exchange)
 
-    def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
-        exchange = taken.exchanges[number]
+    def _cancel_fetch(self, now: float, pending: PendingVisit, number: int) -> None:
+        exchange = pending.exchanges[number]
         if exchange is not None:
             exchange.fail(FailureReason.CANCELLED)
-        elif self.takeover_adapter is not None and self.takeover_adapter.called_off(taken, number):
+        elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
             self.enqueue(
-                self.ended, taken, number, ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN)
+                self.ended,
+                pending,
+                number,
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
             )
 
     def _send_probe(self, now: float, upstream: int) -> None:
@@ -912,60 +936,60 @@
     # -- Host: actions for the decisions ------------------------------------------------------------------
 
     def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
-        taken = self.visits[tag]
-        if taken.fetch_ends:
+        pending = self.visits[tag]
+        if pending.fetch_ends:
             self.events.line(
                 "retry",
-                taken.fetch_ends[-1],
-                id=taken.request.trace.decode("latin-1"),
-                after=taken.fetch_ends,
-                attempt=len(taken.exchanges) + 1,
+                pending.fetch_ends[-1],
+                id=pending.request.trace.decode("latin-1"),
+                after=pending.fetch_ends,
+                attempt=len(pending.exchanges) + 1,
                 upstream=self._uid_by_index[upstream],
             )
-        taken.exchanges.append(None)
+        pending.exchanges.append(None)
         generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
         until = self._last_batch_at + timeout_ms
         self._pending_actions.append(
-            (self._start_fetch, (taken, len(taken.exchanges) - 1, upstream, generation, until))
+            (self._start_fetch, (pending, len(pending.exchanges) - 1, upstream, generation, until))
         )
 
     def cancel_fetch(self, tag: int, fetch: int) -> None:
-        if (taken := self.visits.get(tag)) is not None:
-            self._pending_actions.append((self._cancel_fetch, (taken, fetch)))
+        if (pending := self.visits.get(tag)) is not None:
+            self._pending_actions.append((self._cancel_fetch, (pending, fetch)))
 
     def bounce(self, tag: int, retry_after: float) -> None:
-        taken = self.visits[tag]
-        taken.answered = True
-        self._log_refusal("rejected", taken)
+        pending = self.visits[tag]
+        pending.answered = True
+        self._log_refusal("rejected", pending)
         fields = b"Retry-After: %.3f\r\n" % (retry_after / 1e3) if retry_after else b""
-        reply = taken, 503, fields, b"no room, try again\n"
+        reply = pending, 503, fields, b"no room, try again\n"
         if self.takeover_adapter is None or self.takeover_adapter.may_bounce(
-            self._last_batch_at, taken, reply
+            self._last_batch_at, pending, reply
         ):
             self._pending_actions.append((self.reply, reply))
 
     def answer_error(self, tag: int) -> None:
-        taken = self.visits[tag]
-        taken.answered = True
-        self._log_refusal("failed", taken)
+        pending = self.visits[tag]
+        pending.answered = True
+        self._log_refusal("failed", pending)
         if self.takeover_adapter is not None:
-            self.takeover_adapter.failed(self._last_batch_at, taken)
+            self.takeover_adapter.failed(self._last_batch_at, pending)
         self._pending_actions.append(
-            (self.reply, (taken, 504 if taken.last_timed_out else 502, b"", b"no answer\n"))
+            (self.reply, (pending, 504 if pending.last_timed_out else 502, b"", b"no answer\n"))
         )
 
-    def _log_refusal(self, event: str, taken: Taken) -> None:
+    def _log_refusal(self, event: str, pending: PendingVisit) -> None:
         """Log why a request gets an answer that did not come from an upstream."""
-        why = "its attempts failed" if taken.fetch_ends else "no upstream has room for it in time"
+        why = "its attempts failed" if pending.fetch_ends else "no upstream has room for it in time"
         if (withheld := self.balancer.lease.block_reason(self._last_batch_at)) is not None:
             why = withheld.value
         self.events.line(
             event,
             why,
-            id=taken.request.trace.decode("latin-1"),
-            prefix=taken.terms.name,
-            attempts=taken.fetch_ends,
+            id=pending.request.trace.decode("latin-1"),
+            prefix=pending.prefix_settings.name,
+            attempts=pending.fetch_ends,
         )
 
     def call_at(self, at: float, call: Callable[[float], None]) -> None:
--- a/ospreyline/net/takeover_adapter.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -18,7 +18,7 @@
 from ospreyline.net.upstreams import ExchangeFailure, ExchangeStage, FailureReason
 
 if TYPE_CHECKING:
-    from ospreyline.net.dispatcher import EventDispatcher, Taken
+    from ospreyline.net.dispatcher import EventDispatcher, PendingVisit
     from ospreyline.operator_settings import TakeoverSettings
 
 _LETTERS = {kind: letter for letter, kind in KIND_BY_BYTE.items()}
@@ -87,95 +87,95 @@
         """Whether a client that asks again is joined to its visit in progress here."""
         if not request.asks:
             return False
-        for taken in self._dispatcher.visits.values():
-            if taken.request.trace == request.trace and not taken.answered:
-                if taken.client is not None:
-                    taken.client.out = None
-                    taken.client.drop("its client asks again on another")
-                taken.client, taken.left, client.tag = client, False, taken.tag
+        for pending in self._dispatcher.visits.values():
+            if pending.request.trace == request.trace and not pending.answered:
+                if pending.client is not None:
+                    pending.client.out = None
+                    pending.client.drop("its client asks again on another")
+                pending.client, pending.client_left, client.tag = client, False, pending.tag
                 self._dispatcher.counts["joined"] += 1
                 return True
         return False
 
-    def begins(self, now: float, taken: Taken, left: float, kind: Kind) -> bool:
+    def begins(self, now: float, pending: PendingVisit, left: float, kind: Kind) -> bool:
         """A visit has arrived; returns whether the decision module gets it now."""
-        request = taken.request
+        request = pending.request
         if request.asks:
-            self._retry_deadlines[taken.tag] = now + left
+            self._retry_deadlines[pending.tag] = now + left
             self.takeover.claim_for_client(
-                now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+                now, pending.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
             )
             self._send_messages()
             return False
         if not self.takeover.admit(
-            now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+            now, pending.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
         ):
-            self._dispatcher.refuse(taken.tag)
+            self._dispatcher.refuse(pending.tag)
             return False
         return True
 
-    def decided(self, now: float, taken: Taken) -> None:
+    def decided(self, now: float, pending: PendingVisit) -> None:
         """The decision module has decided on a visit: one that is queued is registered at its acceptors."""
-        if not taken.answered and not taken.exchanges:
-            self.takeover.register_queued(now, taken.tag)
+        if not pending.answered and not pending.exchanges:
+            self.takeover.register_queued(now, pending.tag)
 
     def may_write(
-        self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, times: int, until: float
     ) -> bool:
         """Whether a fetch may be written now; else it is written when its grant arrives."""
         zone, cell = self._dispatcher.place(upstream)
-        if self.takeover.request_send(now, taken.tag, number, zone, cell, now <= self._dispatcher.stood_to):
+        if self.takeover.request_send(now, pending.tag, number, zone, cell, now <= self._dispatcher.stood_to):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._dispatcher.write, (taken, number, upstream, times, until))
+        self._waiting[pending.tag] = (self._dispatcher.write, (pending, number, upstream, times, until))
         self._send_messages()
         return False
 
-    def called_off(self, taken: Taken, number: int) -> bool:
+    def called_off(self, pending: PendingVisit, number: int) -> bool:
         """Whether a cancelled fetch still waited here for its grant, and so is never sent."""
-        action, args = self._waiting.get(taken.tag, (None, ()))
+        action, args = self._waiting.get(pending.tag, (None, ()))
         if action != self._dispatcher.write or args[1] != number:
             return False
-        del self._waiting[taken.tag]
-        self.takeover.cancel_send(taken.tag, number)
+        del self._waiting[pending.tag]
+        self.takeover.cancel_send(pending.tag, number)
         return True
 
-    def may_bounce(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
-        if self.takeover.refuse(now, taken.tag):
+    def may_bounce(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
+        if self.takeover.refuse(now, pending.tag):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._dispatcher.reply, reply)
+        self._waiting[pending.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return False
 
-    def may_tell(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
+    def may_tell(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
         """A visit is delivered: store its answer for clients that ask again; returns whether its client is
         answered now."""
         _, status, head, body = reply
         at_once = self.takeover.record_answer(
-            now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._dispatcher.stood_to
+            now, pending.tag, _ENCODER.encode((status, head, body)), now <= self._dispatcher.stood_to
         )
         if not at_once:
-            self._waiting[taken.tag] = (self._dispatcher.reply, reply)
+            self._waiting[pending.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return at_once
 
-    def failed(self, now: float, taken: Taken) -> None:
-        self.takeover.fail(now, taken.tag)
+    def failed(self, now: float, pending: PendingVisit) -> None:
+        self.takeover.fail(now, pending.tag)
         self._send_messages()
 
-    def goes_on(self, now: float, taken: Taken, kind: Kind) -> bool:
+    def goes_on(self, now: float, pending: PendingVisit, kind: Kind) -> bool:
         """The client has left; returns whether the visit continues, so that its answer can be asked for."""
-        fetches = taken.handle.fetches if taken.handle is not None else []
+        fetches = pending.decision.fetches if pending.decision is not None else []
         # An end that is still queued behind the client's leaving is not decided yet, and may be the answer.
-        out = [e for e, f in zip(taken.exchanges, fetches, strict=False) if e is not None and f.end is None]
+        out = [e for e, f in zip(pending.exchanges, fetches, strict=False) if e is not None and f.end is None]
         if kind is not Kind.READ_LIKE and any(e.stage > ExchangeStage.CONNECTING for e in out):
-            return taken.tag in self.takeover.visits
+            return pending.tag in self.takeover.visits
         # Without closing a mutating visit's ballot here, a client that asked again waited for an answer until
         # its deadline. A visit that may have run has ended or continues: of the rest no fetch ran or will
         # run.
-        sent = kind is not Kind.MUTATING and any(e is not None for e in taken.exchanges)
-        self.takeover.abandon(now, taken.tag, sent)
+        sent = kind is not Kind.MUTATING and any(e is not None for e in pending.exchanges)
+        self.takeover.abandon(now, pending.tag, sent)
         self._send_messages()
         return False
 
@@ -211,8 +211,8 @@
             for what, tag, details in news:
                 if what == "adopt":
                     self._adopt(now, tag, *details)
-                elif (taken := self._dispatcher.visits.get(tag)) is not None:
-                    self._handle_event(now, taken, what, details)
+                elif (pending := self._dispatcher.visits.get(tag)) is not None:
+                    self._handle_event(now, pending, what, details)
         if self.takeover.out:
             self._send_messages()
 
@@ -223,10 +223,10 @@
         acceptor = self.takeover.guardian
         return {**counts, "cover_guards": len(acceptor.works), "cover_bytes": acceptor.stored_bytes}
 
-    def _handle_event(self, now: float, taken: Taken, what: str, details: Any) -> None:
+    def _handle_event(self, now: float, pending: PendingVisit, what: str, details: Any) -> None:
         dispatcher = self._dispatcher
-        deadline = self._retry_deadlines.pop(taken.tag, 0.0)
-        action, args = self._waiting.pop(taken.tag, (None, ()))
+        deadline = self._retry_deadlines.pop(pending.tag, 0.0)
+        action, args = self._waiting.pop(pending.tag, (None, ()))
         if what in ("go", "refused", "told"):
             if action is not None:
                 dispatcher.enqueue(action, *args)
@@ -235,29 +235,29 @@
             # it was never written: the decision module may send it elsewhere if the visit is still ours
             dispatcher.enqueue(
                 dispatcher.ended,
-                taken,
+                pending,
                 args[1],
                 ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
             )
         if what == "answer":
-            self._reply_with_stored_answer(now, taken, details)
+            self._reply_with_stored_answer(now, pending, details)
         elif what == "unknown":
-            dispatcher.enqueue(dispatcher.reply, taken, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
-            dispatcher.close_visit(now, taken)
+            dispatcher.enqueue(dispatcher.reply, pending, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
+            dispatcher.close_visit(now, pending)
         elif what == "lost":
             # another balancer has it: nothing more is sent; a fetch in progress may still be recorded
-            if taken.client is not None:
-                client, taken.client = taken.client, None
+            if pending.client is not None:
+                client, pending.client = pending.client, None
                 client.out = None
                 client.drop("another balancer has taken its request over")
-            if not any(e is not None and e.on_end is not None for e in taken.exchanges):
-                dispatcher.close_visit(now, taken)
+            if not any(e is not None and e.on_end is not None for e in pending.exchanges):
+                dispatcher.close_visit(now, pending)
         elif what == "take":
-            dispatcher.decide(now, taken, max(0.0, deadline - now), details)
+            dispatcher.decide(now, pending, max(0.0, deadline - now), details)
         elif what == "bounce":
-            dispatcher.refuse(taken.tag)
+            dispatcher.refuse(pending.tag)
 
-    def _reply_with_stored_answer(self, now: float, taken: Taken, encoded_answer: bytes) -> None:
+    def _reply_with_stored_answer(self, now: float, pending: PendingVisit, encoded_answer: bytes) -> None:
         dispatcher = self._dispatcher
         reply: tuple[int, bytes, bytes] = (502, b"", b"it was answered, and its answer is not kept\n")
         if encoded_answer:
@@ -267,8 +267,8 @@
                 # invalid data from a peer affects only its visit
                 dispatcher.counts["unreadable_answers"] += 1
         status, head, body = reply
-        dispatcher.enqueue(dispatcher.reply, taken, status, head + ANSWERED_HEADER, body)
-        dispatcher.close_visit(now, taken)
+        dispatcher.enqueue(dispatcher.reply, pending, status, head + ANSWERED_HEADER, body)
+        dispatcher.close_visit(now, pending)
 
     def _adopt(
         self, now: float, tag: int, encoded: bytes, kind: Kind, prior_fetches: list[PriorFetch], left: float
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -767,9 +767,8 @@
             await registry.until(lambda: len(registry.writers) == 1)
             raw = Raw()
             service.dispatcher.discovery.at = ("127.0.0.1", raw.port)
-            service.dispatcher.discovery._full_list_due = (
-                True  # otherwise the open watch makes up for the failed call
-            )
+            # otherwise the open watch makes up for the failed call
+            service.dispatcher.discovery._full_list_due = True
             service.dispatcher.discovery.refresh()
             conn, _ = await raw.take()
             failed, noted = [], service.dispatcher.discovery._tell_failed
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -901,10 +901,10 @@
                     await asyncio.sleep(0.01)
                 await connect(*args)
 
-            def then(now, taken, number, outcome):
+            def then(now, pending, number, outcome):
                 # the first has ended: the next one is chosen in time, and then delayed
                 dispatcher.ended = ended
-                begun.append(taken.exchanges[number].sent)
+                begun.append(pending.exchanges[number].sent)
                 for peer in peers:
                     peer.answers = [ok()]
                 if what == "connection":
@@ -916,8 +916,8 @@
                         "_open_connection",
                         delay.before(upstreams.ConnectionPool._open_connection),
                     )
-                ended(now, taken, number, outcome)
-                assert len(taken.handle.fetches) == 2
+                ended(now, pending, number, outcome)
+                assert len(pending.decision.fetches) == 2
 
             connect, dispatcher.ended = upstreams.ConnectionPool._connect, then
             sock = open_client(service)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -49,11 +49,11 @@
         self.kinds: list[Kind] = []
         self.waiting: list = []
 
-    def begins(self, now, taken, left, kind):
-        self.waiting.append((taken, left))
+    def begins(self, now, pending, left, kind):
+        self.waiting.append((pending, left))
         return False
 
-    def goes_on(self, now, taken, kind):
+    def goes_on(self, now, pending, kind):
         self.kinds.append(kind)
         return False
 
@@ -84,13 +84,13 @@
             while not takeover.waiting:
                 await asyncio.sleep(0)
             reload(service, names, **changes)
-            (taken, left), dispatcher = takeover.waiting[0], service.dispatcher
-            dispatcher.enqueue(dispatcher.decide, taken, left, [("a", 0, 5.0)] if ran else [])
+            (pending, left), dispatcher = takeover.waiting[0], service.dispatcher
+            dispatcher.enqueue(dispatcher.decide, pending, left, [("a", 0, 5.0)] if ran else [])
             got = (await client.answer())[0]
             # a visit that may have executed is never answered as harmless to repeat
             assert got == (502 if ran and status == 503 else status) and len(peer.requests) == (got == 200)
             if got == 200:
-                assert taken.handle.request_class.kind is Kind.READ_LIKE
+                assert pending.decision.request_class.kind is Kind.READ_LIKE
             assert not dispatcher.counts["faults"] and not dispatcher.visits
 
     play(scenario)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -139,10 +139,10 @@
             client = await caller(service)
             dispatcher, real = service.dispatcher, service.dispatcher.ended
 
-            def ended(now, taken, number, outcome):
+            def ended(now, pending, number, outcome):
                 # both events are pending when the event batch begins: the reset first, then the disconnect
                 dispatcher.client_left(next(iter(service.clients.open)))
-                real(now, taken, number, outcome)
+                real(now, pending, number, outcome)
 
             dispatcher.ended = ended
             client.writer.write(request())
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -148,8 +148,8 @@
         async with running(peer) as service:
             dispatcher, real, written = service.dispatcher, service.dispatcher._begin_visit, []
 
-            def begin_then_update(now, taken):
-                real(now, taken)
+            def begin_then_update(now, pending):
+                real(now, pending)
                 dispatcher._on_list_update(now, restart_update())
 
             def restart_update():
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -181,7 +181,7 @@
             def accept_then_switch(found, by):
                 done = accept(found, by)
                 switch(service, settings_text(registry))  # in the same loop iteration, before the event batch
-                seen.append(next(iter(service.dispatcher.visits.values())).handle.request_class.kind)
+                seen.append(next(iter(service.dispatcher.visits.values())).decision.request_class.kind)
                 return done
 
             service.dispatcher.accept_request = accept_then_switch  # type: ignore[method-assign]
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -169,8 +169,8 @@
             client = await caller(service)
             client.writer.write(request())
             await peer.until(lambda: bool(peer.requests))
-            (taken,) = dispatcher.visits.values()
-            exchange = taken.exchanges[0]
+            (pending,) = dispatcher.visits.values()
+            exchange = pending.exchanges[0]
             assert isinstance(exchange, Exchange)
             (u,) = dispatcher.balancer._upstreams.values()
             was = u.locality.latency
