--- a/ospreyline/net/clients.py
+++ b/ospreyline/net/clients.py
@@ -60,12 +60,12 @@
     path: bytes  # including the query
     fields: bytes  # header fields to forward
     body: bytes
-    prefix: int  # index of the path prefix, or NO_PREFIX
-    trace: bytes  # request id
+    prefix_index: int  # index of the path prefix, or NO_PREFIX
+    request_id: bytes
     time_left: float | None
-    repeat: bool
+    is_repeat: bool
     # its client got no answer to an earlier request with this id and asks again for the outcome
-    asks: bool = False
+    asks_for_outcome: bool = False
 
     def head(self) -> bytes:
         """Request line and header fields to send to an upstream, without the final blank line."""
@@ -73,7 +73,7 @@
         return b"%b %b HTTP/1.1\r\n%b%b" % (self.method, self.path, self.fields, length)
 
 
-class Door(Protocol):
+class VisitHandler(Protocol):
     """Handles whole requests."""
 
     prefixes: dict[bytes, int]
@@ -81,8 +81,8 @@
     closing: bool
     counts: Counter[str]
 
-    def accept_request(self, request: Request, client: Client) -> bool: ...
-    def client_left(self, client: Client) -> None: ...
+    def accept_request(self, request: Request, client: ClientConnection) -> bool: ...
+    def client_left(self, client: ClientConnection) -> None: ...
     def ready(self) -> bool: ...
 
 
@@ -106,16 +106,16 @@
     )
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection."""
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: ClientListener) -> None:
         self.clients = clients
         self.transport: asyncio.Transport | None = None
         # loop time (s) at which it became idle, or began to read a request or to write an answer
         self.state_since = clients.loop.time()
-        self.out: Request | None = None  # the request that is waiting for its answer
-        self.tag = -1  # the visit's tag at the door
+        self.current_request: Request | None = None  # the request that is waiting for its answer
+        self.tag = -1  # the visit's tag at the handler
         self._parser: Any = httptools.HttpRequestParser(self)
         self._unhandled: deque[Request | BadRequest] = deque()
         self.has_requested = False  # has sent at least one whole request
@@ -142,16 +142,22 @@
         """Eviction order: 2 last answer written, 1 no request yet, 0 idle; -1 must not be evicted."""
         if self.transport is not None and self.transport.get_write_buffer_size():
             return -1  # closing would cut short an answer that the client is still reading
-        if self._finished and self.out is None and not self._unhandled:
+        if self._finished and self.current_request is None and not self._unhandled:
             return 2
         return -1 if not self.is_idle() else 0 if self.has_requested else 1
 
     def is_idle(self) -> bool:
-        return self.out is None and not self._reading and not self._unhandled and not self._finished
+        return (
+            self.current_request is None and not self._reading and not self._unhandled and not self._finished
+        )
 
     def is_busy(self) -> bool:
         """Whether a request is being received or is waiting for its answer."""
-        return self.out is not None or bool(self._unhandled) or (self._reading and not self._finished)
+        return (
+            self.current_request is not None
+            or bool(self._unhandled)
+            or (self._reading and not self._finished)
+        )
 
     def data_received(self, data: bytes) -> None:
         if self._finished or not self._keep_alive:
@@ -159,7 +165,7 @@
             self._trailing_bytes += len(data)
             if self._trailing_bytes > MAX_LINGER_BYTES:
                 # without this limit, reading on a body of 60 MB takes CPU time that other clients need
-                self.drop("too much behind its last answer")
+                self.close("too much behind its last answer")
             return
         self._raw_bytes += len(data)
         try:
@@ -192,7 +198,7 @@
     # callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
-        if self.out is not None or self._unhandled:
+        if self.current_request is not None or self._unhandled:
             # Requests are accepted one at a time: pipelining could bring hundreds at once. None of those that
             # arrived together is forwarded.
             self._unhandled.clear()
@@ -227,7 +233,7 @@
         if (
             named.get(b"expect", b"").lower() == b"100-continue"
             and self.transport is not None
-            and self.out is None
+            and self.current_request is None
         ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -266,16 +272,16 @@
         if not self._path.startswith(b"/"):
             raise BadRequest(400)
         name = self._path.split(b"?", 1)[0].split(b"/", 2)[1]
-        prefix = self.clients.door.prefixes.get(name, NO_PREFIX)
-        if prefix == NO_PREFIX:
+        prefix_index = self.clients.handler.prefixes.get(name, NO_PREFIX)
+        if prefix_index == NO_PREFIX:
             raise BadRequest(404)
         if values.get(b"x-qos", name) != name:
             raise BadRequest(400)  # header and path name different prefixes
         # Upstreams reject a request without an id, which would count as a failure of theirs, and a repeat of
         # a tagged visit is recognized only by its key.
-        trace = values.get(b"x-trace-id", b"")
-        if not REQUEST_ID.fullmatch(trace) or (
-            prefix in self.clients.door.tagged and not values.get(b"idempotency-key")
+        request_id = values.get(b"x-trace-id", b"")
+        if not REQUEST_ID.fullmatch(request_id) or (
+            prefix_index in self.clients.handler.tagged and not values.get(b"idempotency-key")
         ):
             raise BadRequest(400)
         left: float | None = None
@@ -291,42 +297,44 @@
             path=self._path,
             fields=b"".join(b"%b: %b\r\n" % f for f in self._fields if f[0].lower() not in removed),
             body=b"".join(self._body),
-            prefix=prefix,
-            trace=trace,
+            prefix_index=prefix_index,
+            request_id=request_id,
             time_left=left,
-            repeat=(again := values.get(b"x-second-try", b"").strip()) in (b"1", b"same"),
-            asks=again == b"same",
+            is_repeat=(again := values.get(b"x-second-try", b"").strip()) in (b"1", b"same"),
+            asks_for_outcome=again == b"same",
         )
 
     # visits and their answers
 
     def _handle_next(self) -> None:
         """Handle the queued requests as long as none is waiting for its answer."""
-        while self.out is None and self._unhandled:
+        while self.current_request is None and self._unhandled:
             found = self._unhandled.popleft()
             if isinstance(found, BadRequest):
-                self.clients.door.counts[f"door_{found.status}"] += 1
+                self.clients.handler.counts[f"door_{found.status}"] += 1
                 self.write_answer(response(found.status, b"", b"", self._is_last_answer()))
-            elif found.prefix == NO_PREFIX:
-                ok = found.path != b"/health/ready" or self.clients.door.ready()
+            elif found.prefix_index == NO_PREFIX:
+                ok = found.path != b"/health/ready" or self.clients.handler.ready()
                 status, body = (200, b"ok\n") if ok else (503, b"not ready\n")
                 self.write_answer(response(status, b"", body, self._is_last_answer()))
             else:
-                self.out = found
-                if not self.clients.door.accept_request(found, self):
+                self.current_request = found
+                if not self.clients.handler.accept_request(found, self):
                     # Another open request has this id: forwarding it would send an upstream a second copy,
                     # and a client asking again for the id could get the wrong answer.
-                    self.out = None
-                    self.clients.door.counts["door_409"] += 1
+                    self.current_request = None
+                    self.clients.handler.counts["door_409"] += 1
                     self.write_answer(response(409, b"", b"", self._is_last_answer()))
 
     def _is_last_answer(self) -> bool:
         """Whether the next answer is the last on this connection."""
-        return not self._unhandled and (self._finished or not self._keep_alive or self.clients.door.closing)
+        return not self._unhandled and (
+            self._finished or not self._keep_alive or self.clients.handler.closing
+        )
 
     def reply(self, status: int, fields: bytes, body: bytes) -> None:
         """Write the final answer to the current visit."""
-        request, self.out, self.tag = self.out, None, -1
+        request, self.current_request, self.tag = self.current_request, None, -1
         head_only = request is not None and request.method == b"HEAD"
         self.write_answer(response(status, fields, body, self._is_last_answer(), head_only))
         self._handle_next()
@@ -362,7 +370,7 @@
         if self.has_unacknowledged():
             self.clients.loop.call_later(QUIET_BEFORE_CLOSE_S, self._end_lingering)
         else:
-            self.drop("its last answer has gone")
+            self.close("its last answer has gone")
 
     def has_unacknowledged(self) -> bool:
         """Whether part of the written data is not yet acknowledged by the client's machine."""
@@ -401,9 +409,9 @@
 
     def _notify_left(self) -> None:
         """Report the disconnect at once, not when the transport is closed some loop iterations later."""
-        if self.out is not None:
-            self.out = None
-            self.clients.door.client_left(self)
+        if self.current_request is not None:
+            self.current_request = None
+            self.clients.handler.client_left(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.clients.remove(self)
@@ -414,7 +422,7 @@
 
     def is_overdue(self, now: float) -> bool:
         """Whether it has exceeded the time limit of its current state; `now` is loop time in seconds."""
-        if self.out is not None:
+        if self.current_request is not None:
             return False
         return now - self.state_since > (
             TRANSFER_TIMEOUT_S
@@ -424,7 +432,7 @@
             else FIRST_BYTE_TIMEOUT_S
         )
 
-    def drop(self, why: str) -> None:
+    def close(self, why: str) -> None:
         """Close the connection at once."""
         if self.transport is not None and not self.transport.is_closing():
             if self.clients.events is not None:
@@ -433,19 +441,23 @@
             self.transport.abort()
 
 
-class Clients:
+class ClientListener:
     """The listening socket and the accepted connections."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, door: Door, max_open: int, events: EventLog | None = None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        handler: VisitHandler,
+        max_open: int,
+        events: EventLog | None = None,
     ) -> None:
         self.loop = loop
         self.events = events
-        self.door = door
+        self.handler = handler
         self.max_open = max_open
-        self.open: dict[Client, None] = {}
+        self.open: dict[ClientConnection, None] = {}
         # evicted; their descriptors are freed in the next loop iteration
-        self.evicted: dict[Client, None] = {}
+        self.evicted: dict[ClientConnection, None] = {}
         self._accepting = 0  # number accepted, but not yet in `open`
         self._tasks: set[asyncio.Task[None]] = set()  # running _accept_connection calls
         self._accept_timer: asyncio.TimerHandle | None = None  # resumes accepting after a pause at the limit
@@ -490,7 +502,7 @@
                 return False
             conn.setblocking(False)
             accepted = True
-            self.door.counts["accepted"] += 1
+            self.handler.counts["accepted"] += 1
             task = self.loop.create_task(self._accept_connection(conn))
             self._accepting += 1
             self._tasks.add(task)
@@ -504,7 +516,7 @@
 
     async def _accept_connection(self, conn: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: Client(self), conn)
+            await self.loop.connect_accepted_socket(lambda: ClientConnection(self), conn)
         except OSError:
             self._accepting -= 1
             conn.close()
@@ -525,10 +537,10 @@
         client = next((c for _, _, c in found if not c.has_unread() and not c.has_unacknowledged()), None)
         if client is None or (client.eviction_rank() == 0 and silent > self.max_open // 4):
             return False  # a flood of silent connections must not evict regular clients
-        self.door.counts["made_room"] += 1
+        self.handler.counts["made_room"] += 1
         self.open.pop(client, None)
         self.evicted[client] = None
-        client.drop("made room for another")
+        client.close("made room for another")
         return True
 
     def _pause_accepting(self, sock: socket.socket) -> None:
@@ -542,7 +554,7 @@
         if self._socket is not None:
             self.loop.add_reader(self._socket, self.accept)
 
-    def remove(self, client: Client) -> None:
+    def remove(self, client: ClientConnection) -> None:
         """Remove a closed connection; if accepting is paused, resume it, as a descriptor is free."""
         self.open.pop(client, None)
         self.evicted.pop(client, None)
@@ -559,12 +571,12 @@
                 # otherwise be closed with whole requests in their sockets.
                 client.spared_once = True
                 continue
-            self.door.counts["cut_slow"] += 1
+            self.handler.counts["cut_slow"] += 1
             if client.has_requested and client.is_idle():
                 # some clients stay idle until this limit and send a request at that moment
                 client.start_lingering_close()
             else:
-                client.drop("too slow, or silent")
+                client.close("too slow, or silent")
         while len(self.open) > self.max_open // 2 and self._evict_idle(QUIET_BEFORE_CLOSE_S):
             pass
 
@@ -595,13 +607,13 @@
     def close(self) -> None:
         self._close_listener()
         for client in list(self.open):
-            client.drop("the process ends")
+            client.close("the process ends")
 
     def close_idle(self) -> None:
         for client in self._closable_idle():
             client.start_lingering_close()
 
-    def _closable_idle(self) -> list[Client]:
+    def _closable_idle(self) -> list[ClientConnection]:
         # A connection that was accepted just now may have a request unread or on its way: idle ones that were
         # answered may be closed, but the first request on a connection must get an answer.
         now = self.loop.time()
--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -25,7 +25,7 @@
 from ospreyline.decide import Balancer
 from ospreyline.host import End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
-from ospreyline.net.clients import Client, Request
+from ospreyline.net.clients import ClientConnection, Request
 from ospreyline.net.discovery import CallFailure, Discovery
 from ospreyline.net.events import EventLog
 from ospreyline.net.listing import News, Target, read
@@ -87,7 +87,7 @@
     )
 
     def __init__(
-        self, tag: int, request: Request, prefix_settings: PathPrefix, client: Client | None
+        self, tag: int, request: Request, prefix_settings: PathPrefix, client: ClientConnection | None
     ) -> None:
         self.tag = tag
         self.request = request
@@ -110,7 +110,7 @@
 
 
 class EventDispatcher:
-    """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
+    """The `Host` of one balancer and the `VisitHandler` of its client connections."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, config: ProxyConfig, operator: OperatorSettings | None = None
@@ -432,20 +432,20 @@
         """Zone and cell of an upstream."""
         return self._place_by_index[upstream]
 
-    def accept_request(self, request: Request, client: Client) -> bool:
+    def accept_request(self, request: Request, client: ClientConnection) -> bool:
         """Start a visit for a request, or join it to its open visit; False if its id is in use otherwise."""
-        if request.trace in self._open_ids:
+        if request.request_id in self._open_ids:
             return self.takeover_adapter is not None and self.takeover_adapter.joins(request, client)
-        self._open_ids.add(request.trace)
+        self._open_ids.add(request.request_id)
         self._last_tag += 1
-        prefix_settings = self._config.deployment.prefixes[request.prefix]
+        prefix_settings = self._config.deployment.prefixes[request.prefix_index]
         pending = self.visits[self._last_tag] = PendingVisit(self._last_tag, request, prefix_settings, client)
         pending.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
         self.enqueue(self._begin_visit, pending)
         return True
 
-    def client_left(self, client: Client) -> None:
+    def client_left(self, client: ClientConnection) -> None:
         """Record that the client of a visit has disconnected."""
         pending = self.visits.get(client.tag)
         if pending is not None and pending.client is client:
@@ -506,7 +506,7 @@
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
         pending.exchanges = [None] * len(before)
         pending.decision = self.balancer.accept_visit(
-            now, pending.tag, prefix, time_left, request.repeat, before
+            now, pending.tag, prefix, time_left, request.is_repeat, before
         )
         if self.takeover_adapter is not None and len(pending.exchanges) == len(before):
             self.takeover_adapter.decided(now, pending)
@@ -522,10 +522,10 @@
     ) -> None:
         """Take over a visit of a failed balancer; no client waits for it here."""
         pending = self.visits[tag] = PendingVisit(
-            tag, request, self._config.deployment.prefixes[request.prefix], None
+            tag, request, self._config.deployment.prefixes[request.prefix_index], None
         )
         pending.arrived_at = now
-        self._open_ids.add(request.trace)
+        self._open_ids.add(request.request_id)
         pending.backstop_timer = self._loop.call_later(
             max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
         )
@@ -638,7 +638,7 @@
 
     def _discard_visit(self, pending: PendingVisit) -> None:
         if self.visits.pop(pending.tag, None) is not None:
-            self._open_ids.discard(pending.request.trace)
+            self._open_ids.discard(pending.request.request_id)
             if self.takeover_adapter is not None:
                 self.takeover_adapter.forget(pending.tag)
         if pending.backstop_timer is not None:
@@ -941,7 +941,7 @@
             self.events.line(
                 "retry",
                 pending.fetch_ends[-1],
-                id=pending.request.trace.decode("latin-1"),
+                id=pending.request.request_id.decode("latin-1"),
                 after=pending.fetch_ends,
                 attempt=len(pending.exchanges) + 1,
                 upstream=self._uid_by_index[upstream],
@@ -987,7 +987,7 @@
         self.events.line(
             event,
             why,
-            id=pending.request.trace.decode("latin-1"),
+            id=pending.request.request_id.decode("latin-1"),
             prefix=pending.prefix_settings.name,
             attempts=pending.fetch_ends,
         )
--- a/ospreyline/net/service.py
+++ b/ospreyline/net/service.py
@@ -15,7 +15,7 @@
 import structlog
 
 from ospreyline.config import ConfigError, ProxyConfig
-from ospreyline.net.clients import Clients
+from ospreyline.net.clients import ClientListener
 from ospreyline.net.dispatcher import EventDispatcher, clock
 
 if TYPE_CHECKING:
@@ -48,7 +48,9 @@
         self._operator = operator  # None: no optional feature is enabled
         self._log = structlog.get_logger()
         self.dispatcher = EventDispatcher(loop, config, operator)
-        self.clients = Clients(loop, self.dispatcher, self.dispatcher.max_clients, self.dispatcher.events)
+        self.clients = ClientListener(
+            loop, self.dispatcher, self.dispatcher.max_clients, self.dispatcher.events
+        )
         self.at = config.listen
         self._maintenance_rounds = 0
         self._maintenance_timer: asyncio.TimerHandle | None = None
--- a/ospreyline/net/takeover_adapter.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -14,7 +14,7 @@
 
 from ospreyline.fleet.takeover import KIND_BY_BYTE, PriorFetch, Takeover
 from ospreyline.host import Kind
-from ospreyline.net.clients import Client, Request
+from ospreyline.net.clients import ClientConnection, Request
 from ospreyline.net.upstreams import ExchangeFailure, ExchangeStage, FailureReason
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
     # calls of the dispatcher
 
     def _visit_id(self, request: Request) -> str:
-        return f"{self._dispatcher.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
+        return f"{self._dispatcher.prefix_name(request.prefix_index)} {request.request_id.decode('latin-1')}"
 
     def _encode_request(self, request: Request, kind: Kind) -> bytes:
         return _LETTERS[kind] + _ENCODER.encode(
@@ -78,20 +78,20 @@
                 request.path,
                 request.fields,
                 request.body,
-                self._dispatcher.prefix_name(request.prefix),
-                request.trace,
+                self._dispatcher.prefix_name(request.prefix_index),
+                request.request_id,
             )
         )
 
-    def joins(self, request: Request, client: Client) -> bool:
+    def joins(self, request: Request, client: ClientConnection) -> bool:
         """Whether a client that asks again is joined to its visit in progress here."""
-        if not request.asks:
+        if not request.asks_for_outcome:
             return False
         for pending in self._dispatcher.visits.values():
-            if pending.request.trace == request.trace and not pending.answered:
+            if pending.request.request_id == request.request_id and not pending.answered:
                 if pending.client is not None:
-                    pending.client.out = None
-                    pending.client.drop("its client asks again on another")
+                    pending.client.current_request = None
+                    pending.client.close("its client asks again on another")
                 pending.client, pending.client_left, client.tag = client, False, pending.tag
                 self._dispatcher.counts["joined"] += 1
                 return True
@@ -100,7 +100,7 @@
     def begins(self, now: float, pending: PendingVisit, left: float, kind: Kind) -> bool:
         """A visit has arrived; returns whether the decision module gets it now."""
         request = pending.request
-        if request.asks:
+        if request.asks_for_outcome:
             self._retry_deadlines[pending.tag] = now + left
             self.takeover.claim_for_client(
                 now, pending.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
@@ -248,8 +248,8 @@
             # another balancer has it: nothing more is sent; a fetch in progress may still be recorded
             if pending.client is not None:
                 client, pending.client = pending.client, None
-                client.out = None
-                client.drop("another balancer has taken its request over")
+                client.current_request = None
+                client.close("another balancer has taken its request over")
             if not any(e is not None and e.on_end is not None for e in pending.exchanges):
                 dispatcher.close_visit(now, pending)
         elif what == "take":
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -40,7 +40,7 @@
 
 
 async def connected(service, least=1, receive=0):
-    """A raw client socket and its `Client`, once the balancer has accepted the connection."""
+    """A raw client socket and its `ClientConnection`, once the balancer has accepted the connection."""
     sock, before = socket.socket(), len(service.clients.open)
     if receive:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -182,7 +182,11 @@
     slow, client = await connected(service, receive=4096)
     send_buffer(client, 2 * len(body))
     slow.sendall(request(**fields))
-    while client.out is not None or not client.has_requested or client.transport.get_write_buffer_size():
+    while (
+        client.current_request is not None
+        or not client.has_requested
+        or client.transport.get_write_buffer_size()
+    ):
         await asyncio.sleep(0)
     for _ in range(20):
         await asyncio.sleep(0)
@@ -507,7 +511,7 @@
 def test_a_request_may_come_in_pieces_at_every_byte(path, monkeypatch):
     async def scenario():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 0.0)
-        peer, calls = Peer(), counted(clients.Client, monkeypatch)
+        peer, calls = Peer(), counted(clients.ClientConnection, monkeypatch)
         async with running(peer) as service:
             sock, _ = await connected(service)
             loop = asyncio.get_running_loop()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -151,7 +151,7 @@
     # it was accepted 20 ms later: a request with that much time left was lost
     async def story():
         monkeypatch.setattr(clients, "SILENT_EVICTION_AGE_S", 60.0)
-        monkeypatch.setattr(clients.Clients, "_evict_idle", lambda *_: False)  # all are busy
+        monkeypatch.setattr(clients.ClientListener, "_evict_idle", lambda *_: False)  # all are busy
         async with running(Peer(), sockets=64) as service:
             most = service.dispatcher.max_clients
             held = [await caller(service) for _ in range(most)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -128,9 +128,9 @@
             while len(service.clients.open) < 2:
                 await asyncio.sleep(0)
             new = next(client for client in service.clients.open if client is not old)
-            again = replace(old.out, asks=True)
+            again = replace(old.current_request, asks_for_outcome=True)
             old._notify_left()  # its end is read, and no event batch has run since
-            new.out = again
+            new.current_request = again
             assert TakeoverAdapter.joins(SimpleNamespace(_dispatcher=dispatcher), again, new)
             peer.writers[0].write(ok(b"once"))
             assert (await second.answer())[2] == b"once" and len(peer.requests) == 1
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -44,7 +44,7 @@
             for _ in range(limit):
                 callers.append(await caller(service))
                 callers[-1].writer.write(request("/change", "POST", b"x"))
-            while sum(client.out is not None for client in service.clients.open) < limit:
+            while sum(client.current_request is not None for client in service.clients.open) < limit:
                 await asyncio.sleep(0)
             # for these clients the connections are established and the requests written
             for _ in range(4):
