--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -238,7 +238,7 @@
     calls_left, world.calls_left = world.calls_left, 0
     world.later_outcome = STAYS_OPEN
     world.process.call_schedule.next_call_at = world.now
-    while not world.process.lists.told_by_watch:
+    while not world.process.lists.watch_answered:
         world.step()
     world.calls_left, world.later_outcome = calls_left, None
 
--- a/ospreyline/check/list_world.py
+++ b/ospreyline/check/list_world.py
@@ -1,6 +1,6 @@
 """A simulated list service, one balancer and the connections between them, without sockets.
 
-The balancer is the real `Discovery` with its real calls, `ListLease` and `CallSchedule`, driven by bytes on a
+The balancer is the real `ListClient` with real calls, `ListLease` and `CallSchedule`, driven by bytes on a
 simulated clock (ms). The service knows what it has written. Each event with more than one possible outcome is
 passed to `choose`; `list_lease` explores all choices. One server, u0, begins to drain at a chosen point.
 """
@@ -19,9 +19,9 @@
 
 from ospreyline.call_schedule import CallSchedule
 from ospreyline.lease import LeaseMessage, ListLease, UpdateRead
-from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.discovery import CallFailure, ListClient
 from ospreyline.net.list_call import ListCall
-from ospreyline.net.listing import News
+from ospreyline.net.listing import ListUpdate
 
 GRACE_MS, MUST_ASK_IN_MS, BALANCER_COUNT = 500.0, 10_000.0, 4
 STALL_MS = 150.0  # longest stall of a process before it reads, and again before it writes
@@ -208,7 +208,7 @@
 
 
 class _FakeLoop:
-    """The part of the event loop interface that `Discovery` uses."""
+    """The part of the event loop interface that `ListClient` uses."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -247,16 +247,16 @@
         self.call_schedule = CallSchedule(0.5)
         self.call_schedule.configure(BALANCER_COUNT, MUST_ASK_IN_MS)
         self._events: list[Callable[[], None]] = []
-        self.lists = Discovery(
+        self.lists = ListClient(
             cast(asyncio.AbstractEventLoop, _FakeLoop(world)),
             FIRST_SERVICE,
             1,
             cast(Any, _NullLog()),
-            tell=lambda news: self._events.append(lambda: self._on_update(news)),
-            tell_failed=lambda failure: self._events.append(lambda: self._on_failure(failure)),
-            tell_lease=lambda message: self._events.append(lambda: self._on_lease_message(message)),
+            on_update=lambda update: self._events.append(lambda: self._on_update(update)),
+            on_failure=lambda failure: self._events.append(lambda: self._on_failure(failure)),
+            on_lease_message=lambda message: self._events.append(lambda: self._on_lease_message(message)),
         )
-        self.lists.again, self.lists.patient = self.call_schedule.period / 1e3, True
+        self.lists.repoll_after_s, self.lists.service_may_be_slow = self.call_schedule.period / 1e3, True
 
     def run_pending(self) -> None:
         """Handles all enqueued events, and starts a list call that is due."""
@@ -269,15 +269,15 @@
             self.lists.watch(True)
             self.run_pending()
 
-    def _on_update(self, news: News) -> None:
-        if self.lists.told_by_watch:
+    def _on_update(self, update: ListUpdate) -> None:
+        if self.lists.watch_answered:
             self.call_schedule.call_answered()
-        state = next((target.state for target, _ in news.targets if target.uid == "u0"), "")
-        if state or news.whole:
+        state = next((target.state for target, _ in update.entries if target.uid == "u0"), "")
+        if state or update.is_full:
             self.u0_active = state == "active"
 
     def _on_failure(self, failure: CallFailure) -> None:
-        self.call_schedule.call_failed(self.world.now, failure.turned_away)
+        self.call_schedule.call_failed(self.world.now, failure.rejected)
         if failure.lost:
             self.call_schedule.update_lost(self.world.now)
 
@@ -523,7 +523,7 @@
     def move(self) -> None:
         self.offer_drain("before the balancer is led to another service")
         self.record("the balancer is led to another service")
-        self.process.lists.move(SECOND_SERVICE)
+        self.process.lists.change_address(SECOND_SERVICE)
         self.process.call_schedule.call_started(self.now, new_service=True)
         self.process.run_pending()
 
--- a/ospreyline/net/discovery.py
+++ b/ospreyline/net/discovery.py
@@ -27,7 +27,7 @@
     UpdateRead,
 )
 from ospreyline.net.list_call import SILENCE_TIMEOUT_S, CallEnd, ListCall
-from ospreyline.net.listing import Entry, Log, News
+from ospreyline.net.listing import Entry, ListUpdate, Log
 
 MAX_UNANSWERED_WATCHES = 3
 MAX_HALF_CLOSED = 3  # calls that we have ended and still read
@@ -38,18 +38,18 @@
 class CallFailure:
     """A call has failed and no other one is open; with `lost` also while others are open."""
 
-    retry_after: float = 0.0  # ms; from the Retry-After header
+    retry_after_ms: float = 0.0  # from the Retry-After header
     lost: bool = False  # an update may have been written on it that did not arrive
-    seen: bool = False  # and a part of an answer did arrive
-    turned_away: bool = False  # rejected by a service that answers, and has too many callers
+    partly_received: bool = False  # and a part of an answer did arrive
+    rejected: bool = False  # by a service that answers, and has too many callers
 
 
-def _withdrawn(news: News) -> list[Entry]:
+def _withdrawn(update: ListUpdate) -> list[Entry]:
     """Entries of an update whose upstreams take no new requests (draining, gone or unreadable)."""
-    return [entry for entry in news.targets if entry[0].state != "active"]
+    return [entry for entry in update.entries if entry[0].state != "active"]
 
 
-class Discovery:
+class ListClient:
     """Client of the list service: at most one watch in use, and polls for the full list."""
 
     def __init__(
@@ -58,24 +58,24 @@
         at: tuple[str, int],
         rev: int,
         log: Log,
-        tell: Callable[[News], None],
-        tell_failed: Callable[[CallFailure], None],
-        tell_lease: Callable[[LeaseMessage], None] = lambda message: None,
+        on_update: Callable[[ListUpdate], None],
+        on_failure: Callable[[CallFailure], None],
+        on_lease_message: Callable[[LeaseMessage], None] = lambda message: None,
     ) -> None:
         self.loop = loop
         self.at = at
         self.rev = rev
         self.log = log
-        self._tell = tell
-        self._tell_failed = tell_failed
-        self._tell_lease = tell_lease
+        self._on_update = on_update
+        self._on_failure = on_failure
+        self._on_lease_message = on_lease_message
         self._calls: dict[ListCall, asyncio.Task[None]] = {}
         self._half_closed: list[ListCall] = []  # ended by us and still read, oldest first
         self._watch: ListCall | None = None  # the latest one
         self.calls_started = 0
         self._last_call_at_loss = 0  # number of the latest call when an update was last lost
-        self.again = 1.4  # s after which a poll that is still open gets another one beside it
-        self.patient = False  # the service may need seconds for an answer
+        self.repoll_after_s = 1.4  # a poll that is still open then gets another one beside it
+        self.service_may_be_slow = False  # the service may need seconds for an answer
         # earlier watches without an answer yet, oldest first: the first one that is answered is kept
         self._unanswered: list[ListCall] = []
         self._replaced: ListCall | None = None  # the previous watch, read until the new one is answered
@@ -85,7 +85,7 @@
         # the known list is numbered by another service, or has gaps: changes alone need not name who is gone
         self._full_list_due = False
 
-    def move(self, at: tuple[str, int]) -> None:
+    def change_address(self, at: tuple[str, int]) -> None:
         """Switches to another address of the list service; no update may be lost meanwhile."""
         former = self._former_watch or self._replaced or self._watch
         for call in [c for c in self._calls if c is not former]:
@@ -103,29 +103,29 @@
         self.watch(True)
 
     @property
-    def watching(self) -> bool:
+    def has_watch(self) -> bool:
         return self._watch is not None
 
     @property
-    def told_by_watch(self) -> bool:
+    def watch_answered(self) -> bool:
         """Whether there is a watch that has been answered."""
         return self._watch is not None and self._watch.answered
 
     @property
-    def complete(self) -> bool:
+    def list_complete(self) -> bool:
         """Whether the known list has everything that the service had at the known version."""
         return not self._full_list_due
 
     @property
-    def waiting(self) -> bool:
+    def watch_unanswered(self) -> bool:
         """Whether there is a watch that has not been answered yet."""
         return self._watch is not None and not self._watch.answered
 
     def watch(self, on: bool) -> None:
         """Opens a new watch, or closes all watches."""
-        if on and self.told_by_watch:
+        if on and self.watch_answered:
             # the open watch is kept: an update may be written on it just as it is closed
-            return self._refresh_beside_watch()
+            return self._poll_beside_watch()
         old, self._watch = self._watch, None
         if old is not None and on and not old.answered and len(self._unanswered) < MAX_UNANSWERED_WATCHES - 1:
             self._unanswered.append(old)  # in the service's queue it is ahead of the new one
@@ -139,19 +139,19 @@
                 self._end_call(call)
         self._replaced, self._unanswered = None, []
 
-    def refresh(self) -> None:
+    def poll(self) -> None:
         """Polls the full list."""
         self._start(watching=False)
 
-    def _refresh_beside_watch(self) -> None:
+    def _poll_beside_watch(self) -> None:
         """Polls the full list, unless a poll is open that started after the latest loss."""
         if not any(call.number > self._last_call_at_loss for call in self._calls if not call.watching):
-            self.refresh()
+            self.poll()
 
     def _start(self, watching: bool) -> ListCall:
         self.calls_started += 1
         call = ListCall(self, self.calls_started, self.at, self.rev, watching)
-        self._tell_lease(CallStarted(call.number))
+        self._on_lease_message(CallStarted(call.number))
         self._calls[call] = self.loop.create_task(self._open(call))
         self.log.info(
             "list call begins",
@@ -171,11 +171,11 @@
             call.stop(str(error), CallEnd.NOT_SENT)
 
     def update_arriving(self, call: ListCall) -> None:
-        self._tell_lease(UpdateArriving(call.number))
+        self._on_lease_message(UpdateArriving(call.number))
 
     def no_update_arriving(self, call: ListCall) -> None:
         if not call.outcome_unknown:
-            self._tell_lease(NoUpdateArriving(call.number))
+            self._on_lease_message(NoUpdateArriving(call.number))
 
     def _report_loss(self, call: ListCall) -> bool:
         """Whether an update may have been written on an ended call and not been read; reported once.
@@ -197,7 +197,7 @@
 
     def _record_loss(self, call: ListCall, version: int) -> None:
         self._last_call_at_loss = self.calls_started
-        self._tell_lease(UpdateLost(call.number, version))
+        self._on_lease_message(UpdateLost(call.number, version))
 
     def _has_answered_watch(self) -> bool:
         """Whether a watch is open that has been answered."""
@@ -233,7 +233,7 @@
         if not call.ended_by_timeout and not call.covered_by_watch:
             # a service that serves calls in turn may write an update here first, and on the watch later
             call.outcome_unknown, call.loss_reported = True, False
-            self._tell_lease(UpdateArriving(call.number))
+            self._on_lease_message(UpdateArriving(call.number))
         self._half_closed.append(call)
         if not call.half_close():
             self._stop_reading(call)
@@ -258,58 +258,58 @@
             unfinished=call.has_partial_update(),
         )
         if self._report_loss(call):
-            self._tell_failed(CallFailure(lost=True, seen=True))
+            self._on_failure(CallFailure(lost=True, partly_received=True))
         elif call.end.message_complete:
-            self._tell_lease(MessageComplete(call.number, self._has_answered_watch()))
+            self._on_lease_message(MessageComplete(call.number, self._has_answered_watch()))
         else:
-            self._tell_lease(NoUpdateArriving(call.number))
+            self._on_lease_message(NoUpdateArriving(call.number))
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether a socket of a call has data that the event loop has not read yet."""
         return any(call.has_unread_data() for call in (*self._calls, *self._half_closed))
 
-    def took(self, rev: int) -> None:
+    def record_version(self, rev: int) -> None:
         """Records the version of a list that came from elsewhere, e.g. from another balancer."""
         self.rev = rev
         for call in self._calls:
             call.newest_elsewhere = max(call.newest_elsewhere, rev)
 
-    def update_received(self, call: ListCall, news: News | None) -> None:
+    def update_received(self, call: ListCall, update: ListUpdate | None) -> None:
         """Handles an update; None (an empty line) means that nothing has changed."""
         if call.half_closed_at is not None:
-            return self._late_update_received(call, news)
-        if news is not None and not news.all_identified and not news.whole and call.watching:
+            return self._late_update_received(call, update)
+        if update is not None and not update.all_identified and not update.is_full and call.watching:
             # the upstream of an entry without a readable uid may drain; only the full list settles that
             self._full_list_due = True
             self._record_loss(call, FULL_LIST_VERSION)
-            self._accept_update(call, news)  # this polls the full list
+            self._accept_update(call, update)  # this polls the full list
             return
         former = call is self._former_watch
-        if not self._accept_update(call, news):
+        if not self._accept_update(call, update):
             # an older list is no evidence about a newer one
             return self.no_update_arriving(call)
-        if news is None and call.objects == 0:
+        if update is None and call.objects == 0:
             # changes come with the first object; an empty line before it says nothing
             return self.no_update_arriving(call)
-        version = self.rev if news is None else news.rev
-        full = news is not None and (news.whole or not call.watching)
+        version = self.rev if update is None else update.rev
+        full = update is not None and (update.is_full or not call.watching)
         read = FormerServiceRead(call.number) if former else UpdateRead(call.number, version, full)
-        self._tell_lease(read)
+        self._on_lease_message(read)
 
-    def _late_update_received(self, call: ListCall, news: News | None) -> None:
+    def _late_update_received(self, call: ListCall, update: ListUpdate | None) -> None:
         """Handles an update on a half-closed call."""
         self.no_update_arriving(call)
-        if news is None:
+        if update is None:
             return
-        if call.address == self.at and news.rev > self.rev and not self._move_pending:
-            self.took(news.rev)
-            return self._tell(news)
+        if call.address == self.at and update.rev > self.rev and not self._move_pending:
+            self.record_version(update.rev)
+            return self._on_update(update)
         # the former address may have reported a drain last, under versions of its own; its other entries may
         # be older than those of the new address, so the full list of the new one decides
-        if call.address != self.at and (ends := _withdrawn(news)):
-            self._tell(News(self.rev, False, ends))
+        if call.address != self.at and (ends := _withdrawn(update)):
+            self._on_update(ListUpdate(self.rev, False, ends))
             self._full_list_due = True
-            self.refresh()
+            self.poll()
 
     def _promote_watch(self, call: ListCall) -> None:
         """Keeps the first of several watches that is answered, and ends the others that are not needed."""
@@ -325,13 +325,13 @@
         if needed:
             self._replaced, self._unanswered, self._watch = call, needed[:-1], needed[-1]
 
-    def _accept_update(self, call: ListCall, news: News | None) -> bool:
+    def _accept_update(self, call: ListCall, update: ListUpdate | None) -> bool:
         """Passes on an update of a call; False if it is older than what is known."""
         call.answered = True
         if call is self._former_watch:
-            if news is not None:
-                self._former_withdrawals += _withdrawn(news)
-                self._tell(news)
+            if update is not None:
+                self._former_withdrawals += _withdrawn(update)
+                self._on_update(update)
             return True
         if self._unanswered and call in (*self._unanswered, self._watch):
             self._promote_watch(call)
@@ -341,53 +341,57 @@
             if former is not None:
                 former.covered_by_watch = call.watching
                 self._end_call(former)
-            self.log.info("discovery has moved", rev=news and news.rev, whole=bool(news and news.whole))
+            self.log.info(
+                "discovery has moved", rev=update and update.rev, whole=bool(update and update.is_full)
+            )
         if call is self._watch and self._replaced is not None:
             self._end_call(self._replaced)
             self._replaced = None
-        if news is None:
-            news = News(self.rev, False, [])
-        elif news.rev < call.newest_elsewhere:
+        if update is None:
+            update = ListUpdate(self.rev, False, [])
+        elif update.rev < call.newest_elsewhere:
             # an answer that was under way while another call received a newer one would undo that
-            self.log.warning("older list ignored", rev=news.rev, had=call.newest_elsewhere, whole=news.whole)
+            self.log.warning(
+                "older list ignored", rev=update.rev, had=call.newest_elsewhere, whole=update.is_full
+            )
             if not call.watching and self._full_list_due:
                 call.stop("older than what was told meanwhile", CallEnd.ENDED_BY_US)
             return False
-        elif news.rev < self.rev:
+        elif update.rev < self.rev:
             # no other call received an update since this one started: the service has reset its versions
-            self.log.warning("list version went back", rev=news.rev, had=self.rev, whole=news.whole)
-            if not news.whole:
+            self.log.warning("list version went back", rev=update.rev, had=self.rev, whole=update.is_full)
+            if not update.is_full:
                 # the base of these changes is unknown here, and more of them may follow for good. Upstreams
                 # that take no new requests are accepted at once, everything else is requested again
-                self._tell(News(news.rev, False, _withdrawn(news)))
+                self._on_update(ListUpdate(update.rev, False, _withdrawn(update)))
                 self.rev, self._full_list_due = 0, True
                 call.stop("it counts anew", CallEnd.ENDED_BY_US)
                 return False
-        if news.whole or not call.watching:
+        if update.is_full or not call.watching:
             self._full_list_due = False  # a poll returns the full list, even where it is not marked so
             for other in [c for c in self._calls if not c.watching and c is not call]:
                 self._end_call(other)
-        self.rev = news.rev
+        self.rev = update.rev
         for other in self._calls:
             if other is not call:
-                other.newest_elsewhere = max(other.newest_elsewhere, news.rev)
-        self._tell(news)
-        self._reapply_former_withdrawals(news)
+                other.newest_elsewhere = max(other.newest_elsewhere, update.rev)
+        self._on_update(update)
+        self._reapply_former_withdrawals(update)
         if self._full_list_due and all(c.watching for c in self._calls):
-            self.refresh()  # upstreams that are gone need not be among the changes
+            self.poll()  # upstreams that are gone need not be among the changes
         return True
 
-    def _reapply_former_withdrawals(self, news: News) -> None:
+    def _reapply_former_withdrawals(self, update: ListUpdate) -> None:
         """Restores drains that the former address has reported since the move.
 
         The first answer of the new address may be older, and a draining server would be used again. The full
         list, requested then, decides.
         """
-        ready = {target.uid for target, _ in news.targets if target.state == "active"}
+        ready = {target.uid for target, _ in update.entries if target.state == "active"}
         ends = [entry for entry in self._former_withdrawals if entry[0].uid in ready]
         self._former_withdrawals = []
         if ends:
-            self._tell(News(self.rev, False, ends))
+            self._on_update(ListUpdate(self.rev, False, ends))
             self._full_list_due = True
 
     def call_ended(self, call: ListCall, why: str) -> None:
@@ -402,17 +406,19 @@
         if why and (alone or lost or call.watching):
             self.log.warning("call to discovery failed", why=why, watch=call.watching, end=call.end.value)
         if why and (alone or lost):
-            seen = lost and (call.end is not CallEnd.INCOMPLETE or (call.bytes > 0 and not call.answered))
-            self._tell_failed(CallFailure(call.retry_after_ms, lost, seen, call.rejected))
+            partly_received = lost and (
+                call.end is not CallEnd.INCOMPLETE or (call.bytes > 0 and not call.answered)
+            )
+            self._on_failure(CallFailure(call.retry_after_ms, lost, partly_received, call.rejected))
 
     def _report_end(self, call: ListCall) -> None:
         """Reports the end of a call without a lost update to the lease."""
         if call.end is CallEnd.REFUSED:
-            self._tell_lease(ConnectionRefused(call.number))
+            self._on_lease_message(ConnectionRefused(call.number))
         elif call.end.message_complete:
-            self._tell_lease(MessageComplete(call.number, self._has_answered_watch()))
+            self._on_lease_message(MessageComplete(call.number, self._has_answered_watch()))
         elif not call.outcome_unknown:
-            self._tell_lease(NoUpdateArriving(call.number))
+            self._on_lease_message(NoUpdateArriving(call.number))
 
     def _release_role(self, call: ListCall) -> bool:
         """Takes an ended call out of its role; whether no other open call fills that."""
@@ -449,18 +455,18 @@
             if expired and not call.has_unread_data():
                 self._stop_reading(call)
         polls = [call for call in self._calls if not call.watching]
-        if polls and self._full_list_due and self.loop.time() - polls[-1].started_at > self.again:
+        if polls and self._full_list_due and self.loop.time() - polls[-1].started_at > self.repoll_after_s:
             # a poll whose answer trickles in must not delay the list; it stays open, as its answer may be the
             # only one, and a new one is made beside it
             if len(polls) > 1:
                 self._end_call(polls[-1])
-            self.refresh()
+            self.poll()
 
     def _end_unresponsive(self, call: ListCall, now: float) -> None:
         """Ends a call that has timed out; what it misses counts as received some time after its last data."""
         if call.transport is not None:
             call.ended_by_timeout = True
-            self._tell_lease(CallTimedOut(call.number, now - call.heard_at))
+            self._on_lease_message(CallTimedOut(call.number, now - call.heard_at))
         call.stop("silent", CallEnd.ENDED_BY_US)
 
     def close(self) -> None:
--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -26,9 +26,9 @@
 from ospreyline.host import End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
 from ospreyline.net.clients import ClientConnection, Request
-from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.discovery import CallFailure, ListClient
 from ospreyline.net.events import EventLog
-from ospreyline.net.listing import News, Target, read
+from ospreyline.net.listing import ListUpdate, Target, parse_update
 from ospreyline.net.upstreams import (
     Answer,
     ConnectionPools,
@@ -179,15 +179,15 @@
             if self._list_cache is not None
             else config.initial_list
         )
-        known = read(kept, self.logger)
-        self.discovery = Discovery(
+        known = parse_update(kept, self.logger)
+        self.discovery = ListClient(
             loop,
             config.discovery,
             known.rev if known else 0,
             self.logger,
-            tell=self._enqueue_list_update,
-            tell_failed=lambda failure: self.enqueue(self._on_list_call_failed, failure),
-            tell_lease=lambda message: self.enqueue(self._on_lease_message, message),
+            on_update=self._enqueue_list_update,
+            on_failure=lambda failure: self.enqueue(self._on_list_call_failed, failure),
+            on_lease_message=lambda message: self.enqueue(self._on_lease_message, message),
         )
         self._configure_discovery()
         now = clock()
@@ -196,7 +196,7 @@
         self.upstreams.sends_blocked = self._sends_blocked
         self.balancer.apply_list(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
-            self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.targets])
+            self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.entries])
         if self._pace is not None:
             later = 0.0
             if self.bank is not None and self.bank.lists is not None and not self.bank.lists.passing:
@@ -270,8 +270,8 @@
 
     def _configure_discovery(self) -> None:
         terms = self._config.deployment
-        self.discovery.again = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
-        self.discovery.patient = terms.ask_for_list or self._pace is not None
+        self.discovery.repoll_after_s = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
+        self.discovery.service_may_be_slow = terms.ask_for_list or self._pace is not None
 
     def apply_config(self, config: ProxyConfig) -> None:
         """Apply a new, validated configuration; events queued before are still handled under the old one."""
@@ -289,7 +289,7 @@
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
         self.balancer.apply_list_changes(now, entries, is_first_list=True, from_own_watch=False)
-        if not config.deployment.ask_for_list and not self.discovery.watching and self._pace is None:
+        if not config.deployment.ask_for_list and not self.discovery.has_watch and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
 
@@ -301,15 +301,15 @@
         if self._pace is not None and not paced:
             # An open watch is kept and still counts; without one the first paced call replaces it.
             self._pace.call_started(clock())
-            if self.discovery.told_by_watch:
+            if self.discovery.watch_answered:
                 self._pace.call_answered()
-            elif not self.discovery.watching:
+            elif not self.discovery.has_watch:
                 self._pace.call_failed(clock())
             self._schedule_list_call()
 
     def move_discovery(self, at: tuple[str, int]) -> None:
         """Switch to a new list service address and call it at once."""
-        self.discovery.move(at)
+        self.discovery.change_address(at)
         # Restart the wait between calls. Otherwise a wait that was running for the old address would cause
         # another call at once; and if this call received no data, the next one would start only after it was
         # given up.
@@ -327,8 +327,8 @@
             self._batch_scheduled = True
             self._loop.call_soon(self._dispatch)
 
-    def _enqueue_list_update(self, update: News) -> None:
-        self._update_queued = self._update_queued or update.whole or bool(update.targets)
+    def _enqueue_list_update(self, update: ListUpdate) -> None:
+        self._update_queued = self._update_queued or update.is_full or bool(update.entries)
         self.enqueue(self._on_list_update, update)
 
     def _sends_blocked(self) -> bool:
@@ -338,7 +338,7 @@
             return True
         # Also blocks a send that was delayed since it was decided, or whose batch was late, if the list has
         # unread data.
-        return now - self._last_batch_at > LATE_TIMER_MS and self.discovery.unread()
+        return now - self._last_batch_at > LATE_TIMER_MS and self.discovery.has_unread_data()
 
     def _dispatch(self) -> None:
         self._run_batch(sockets_read=False)
@@ -361,7 +361,11 @@
             due, _, callback = heappop(self._timers)
             self.max_timer_lag_ms = max(self.max_timer_lag_ms, now - due)
             self._run_guarded(now, callback, ())
-        if self._pending_actions and not sockets_read and (self._actions_deferred or self.discovery.unread()):
+        if (
+            self._pending_actions
+            and not sockets_read
+            and (self._actions_deferred or self.discovery.has_unread_data())
+        ):
             return self._defer_actions()
         self._actions_deferred = False
         actions, self._pending_actions = self._pending_actions, []
@@ -770,16 +774,16 @@
                 self._schedule_list_call()
         elif self._config.deployment.ask_for_list:
             self.balancer.schedule_list_call(now)
-        elif not self.discovery.waiting:
+        elif not self.discovery.watch_unanswered:
             self.discovery.watch(True)
 
     def _on_list_call_failed(self, now: float, failure: CallFailure) -> None:
         relayed = self.bank is not None and self.bank.told_nothing()
         if self._pace is not None:
-            self._pace.call_failed(now, failure.retry_after, relayed)
+            self._pace.call_failed(now, failure.retry_after_ms, relayed)
             # A list service that goes down resets the calls of the whole bank, which must still keep its
             # pace.
-            if failure.seen:
+            if failure.partly_received:
                 self._pace.update_lost(now)
             self._schedule_list_call()
         elif not self._config.deployment.ask_for_list:
@@ -788,10 +792,10 @@
             self.call_at(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
             self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
-        self.balancer.list_call_failed(now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(now, failure.lost, failure.rejected)
 
     def _reopen_watch(self, now: float) -> None:
-        if not self._config.deployment.ask_for_list and not self.discovery.watching:
+        if not self._config.deployment.ask_for_list and not self.discovery.has_watch:
             self.discovery.watch(True)
 
     def _hasten_list_call(self, now: float) -> None:
@@ -813,45 +817,45 @@
             b"true" if forwarded.whole else b"false",
             b",".join(forwarded.targets),
         )
-        update = read(text, self.logger)
+        update = parse_update(text, self.logger)
         if update is None:
             return
         self.counts["lists_from_others"] += 1
-        self.discovery.took(update.rev)
+        self.discovery.record_version(update.rev)
         entries = self._list_entries(update)
-        if update.whole:
+        if update.is_full:
             self.balancer.apply_list(now, entries, from_own_watch=False)
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
             self._list_cache.told(changed=True)
 
-    def _on_list_update(self, now: float, update: News) -> None:
+    def _on_list_update(self, now: float, update: ListUpdate) -> None:
         self._watch_retry_ms = WATCH_RETRY_MS
         # Data from another call, or from the watch at a former address, does not count as received by our own
         # watch. Otherwise nobody would be asked any more once that watch has ended or while it receives
         # nothing.
-        from_watch = self.discovery.told_by_watch
+        from_watch = self.discovery.watch_answered
         if self._pace is not None and from_watch:
             self._pace.call_answered()
         if self._list_cache is not None:
-            self._list_cache.told(changed=update.whole or bool(update.targets))
+            self._list_cache.told(changed=update.is_full or bool(update.entries))
         if self.bank is not None:
             self.bank.told(
                 update.rev,
-                update.whole,
-                [(target.uid, target.state == "left", json.encode(target)) for target, _ in update.targets],
+                update.is_full,
+                [(target.uid, target.state == "left", json.encode(target)) for target, _ in update.entries],
             )
         entries = self._list_entries(update)
-        if update.whole:
+        if update.is_full:
             self.balancer.apply_list(now, entries, from_watch)
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=from_watch)
 
-    def _list_entries(self, update: News) -> list[ListedUpstream]:
+    def _list_entries(self, update: ListUpdate) -> list[ListedUpstream]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
         entries = []
-        for target, at in update.targets:
+        for target, at in update.entries:
             upstream = self._index_by_uid.get(target.uid)
             if upstream is None:
                 if at is None or target.state == "left":
@@ -866,8 +870,8 @@
                 target.boot_ms,
                 entries[-1].readiness is Readiness.READY,
             )
-        if update.whole:
-            named = {target.uid for target, _ in update.targets}
+        if update.is_full:
+            named = {target.uid for target, _ in update.entries}
             for uid, upstream in self._index_by_uid.items():
                 if uid not in named and self._readiness.get(uid) is not Readiness.GONE:
                     self._record_readiness(uid, Readiness.GONE, None)
@@ -912,7 +916,7 @@
         if self._list_cache is not None and not self._update_queued:
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
-            whole = self.discovery.complete and not self.balancer.lease.has_lost_update
+            whole = self.discovery.list_complete and not self.balancer.lease.has_lost_update
             self._list_cache.tidy(
                 self.discovery.rev if whole else 0,
                 lambda: [
@@ -1015,7 +1019,7 @@
         self._pending_actions.append((lambda now: self.discovery.watch(on), ()))
 
     def poll_list(self) -> None:
-        self._pending_actions.append((lambda now: self.discovery.refresh(), ()))
+        self._pending_actions.append((lambda now: self.discovery.poll(), ()))
 
     def log(self, text: str) -> None:
         self.logger.info(text)
--- a/ospreyline/net/list_call.py
+++ b/ospreyline/net/list_call.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from ospreyline.net.listing import Log, News, open_brackets, read, version_of
+from ospreyline.net.listing import ListUpdate, Log, open_brackets, parse_update, version_of
 from ospreyline.net.sockets import failed
 from ospreyline.net.upstreams import unread
 
@@ -55,7 +55,7 @@
 
     loop: asyncio.AbstractEventLoop
     log: Log
-    patient: bool  # the service may need seconds for an answer
+    service_may_be_slow: bool  # the service may need seconds for an answer
 
     def update_arriving(self, call: ListCall) -> None:
         """The first bytes of an answer, or of an update, have come."""
@@ -63,7 +63,7 @@
     def no_update_arriving(self, call: ListCall) -> None:
         """They were no update: the rest of a head, or of a chunk whose lines have been passed on."""
 
-    def update_received(self, call: ListCall, news: News | None) -> None:
+    def update_received(self, call: ListCall, update: ListUpdate | None) -> None:
         """An update has come completely; None: an empty line, nothing has changed."""
 
     def call_ended(self, call: ListCall, why: str) -> None:
@@ -122,7 +122,7 @@
 
         On a watch only whole lines are a sign of life, as half a line may stay incomplete.
         """
-        if self.bytes == 0 and self.transport is not None and self.owner.patient:
+        if self.bytes == 0 and self.transport is not None and self.owner.service_may_be_slow:
             # not earlier, as a call that is given up loses its place in the service's queue
             return now - self.started_at > FIRST_BYTE_TIMEOUT_S
         return now - self.heard_at > SILENCE_TIMEOUT_S or (
@@ -299,14 +299,18 @@
 
     def _read_update(self, text: bytes, cut_off_by: str = "") -> None:
         """Parses an update; `cut_off_by`: why its rest may be missing, "" where all of it has come."""
-        if (news := read(text, self.owner.log)) is not None:
+        if (update := parse_update(text, self.owner.log)) is not None:
             self._object_lines, self._open_brackets, self._object_bytes, self.arriving = [], 0, 0, False
             self.heard_at = self.owner.loop.time()
             self.objects += 1
             self.owner.log.info(
-                "list received", call=self.number, rev=news.rev, whole=news.whole, entries=len(news.targets)
+                "list received",
+                call=self.number,
+                rev=update.rev,
+                whole=update.is_full,
+                entries=len(update.entries),
             )
-            self.owner.update_received(self, news)
+            self.owner.update_received(self, update)
         else:
             # the call fails, so that another one brings the change that could not be read
             self.stop(
--- a/ospreyline/net/listing.py
+++ b/ospreyline/net/listing.py
@@ -40,12 +40,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class ListUpdate:
     """An update: the full list, or what changed."""
 
     rev: int
-    whole: bool
-    targets: list[Entry]
+    is_full: bool
+    entries: list[Entry]
     all_identified: bool = True  # the uid of every entry could be read
 
 
@@ -66,7 +66,7 @@
     return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
 
-def read(line: bytes, log: Log) -> News | None:
+def parse_update(line: bytes, log: Log) -> ListUpdate | None:
     """Parses one JSON object of the list; None if it is unreadable.
 
     An entry of which only the uid can be read gets the state "unreadable": no new requests go to it.
@@ -92,7 +92,7 @@
         if address is None and target.state not in ("left", "unreadable"):
             log.warning("entry of the list without an address", uid=target.uid, endpoint=target.endpoint)
         targets.append((target, address))
-    return News(listing.rev, listing.all, targets, all_identified)
+    return ListUpdate(listing.rev, listing.all, targets, all_identified)
 
 
 def _uid_of(raw: msgspec.Raw) -> str | None:
--- a/tests/test_calls_we_end.py
+++ b/tests/test_calls_we_end.py
@@ -27,7 +27,7 @@
 from ospreyline.host import Readiness
 from ospreyline.lease import UpdateArriving, UpdateLost
 from ospreyline.net import discovery as discovery_module
-from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.discovery import CallFailure, ListClient
 from ospreyline.net.dispatcher import clock
 from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, ListCall
 from ospreyline.net.service import Service
@@ -49,7 +49,7 @@
         if watching:
             self.lists.watch(True)
         else:
-            self.lists.refresh()
+            self.lists.poll()
         await registry.until(lambda: len(registry.writers) > out)
         await settled(registry, self.service, out + 1)
 
@@ -106,7 +106,7 @@
     await setup.another_call(watching=False)
     setup.lists._full_list_due = True
     for call in setup.calls():
-        call.started_at -= setup.lists.again + 1.0
+        call.started_at -= setup.lists.repoll_after_s + 1.0
     setup.put(setup.drain_update(), 2)
     setup.lists.tidy()
 
@@ -195,7 +195,7 @@
             await registry.say(listing(40))
             while setup.lists.rev != 40:
                 await asyncio.sleep(0)
-            setup.lists.refresh()
+            setup.lists.poll()
             await settled(registry, service, 2)
             watch, plain = setup.calls()
             watch.data_received(chunk(listing(41)))
@@ -270,7 +270,7 @@
     async def scenario():
         service, steps, failures = Stubborn(), [], []
         await service.start()
-        lists = Discovery(
+        lists = ListClient(
             asyncio.get_running_loop(),
             ("127.0.0.1", service.port),
             3,
@@ -290,7 +290,7 @@
         while UpdateLost(1, 50) not in steps:
             lists.tidy()
             await asyncio.sleep(0.005)
-        assert failures == [CallFailure(lost=True, seen=True)]
+        assert failures == [CallFailure(lost=True, partly_received=True)]
         # the other call stays open; as the later one, it can settle the loss
         assert [call.number for call in lists._calls] == [2] and not lists._half_closed
         lists.close()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -713,7 +713,7 @@
             if how == "watch":
                 await registry.tell(5, whole, whole=True)
             else:
-                service.dispatcher.discovery.refresh()
+                service.dispatcher.discovery.poll()
                 await registry.until(lambda: len(registry.writers) == 2)
                 await registry.tell(5, whole, whole=True)
                 registry.writers[-1].write(b"0\r\n\r\n")
@@ -773,10 +773,10 @@
             service.dispatcher.discovery.at = ("127.0.0.1", raw.port)
             # otherwise the open watch makes up for the failed call
             service.dispatcher.discovery._full_list_due = True
-            service.dispatcher.discovery.refresh()
+            service.dispatcher.discovery.poll()
             conn, _ = await raw.take()
-            failed, noted = [], service.dispatcher.discovery._tell_failed
-            service.dispatcher.discovery._tell_failed = lambda wait: (failed.append(wait), noted(wait))
+            failed, noted = [], service.dispatcher.discovery._on_failure
+            service.dispatcher.discovery._on_failure = lambda wait: (failed.append(wait), noted(wait))
             line = json.dumps({"rev": 5, "all": True, "targets": [target("u0", peer.port)]}).encode()
             conn.sendall(head + {True: line, None: line, False: line[:-10], "": b""}[whole])
             conn.close()
@@ -847,7 +847,7 @@
         zero, one = (target(f"u{i}", peer.port) for i, peer in enumerate(peers))
         async with running(known=[zero, one]) as service:
             lists = service.dispatcher.discovery
-            lists.move(("127.0.0.1", raw.port))
+            lists.change_address(("127.0.0.1", raw.port))
             conn, got = await raw.take()
             assert b"watch=1&after=0 " in got
             line = json.dumps({"rev": 5, "all": True, "targets": [zero]}).encode() + b"\n"
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -328,7 +328,7 @@
             config = service._config
             service._operator = operator_settings.OFF
             service.reload(lambda: (config, settings))
-            assert service.dispatcher._pace is not None and service.dispatcher.discovery.watching
+            assert service.dispatcher._pace is not None and service.dispatcher.discovery.has_watch
             # another size of the bank changes the window, though the operator file is the same
             window = service.dispatcher._pace.window
             larger = replace(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,8 +21,8 @@
 from test_clients import play
 
 from ospreyline.net import clients, upstreams
-from ospreyline.net.discovery import Discovery
-from ospreyline.net.listing import News
+from ospreyline.net.discovery import ListClient
+from ospreyline.net.listing import ListUpdate
 
 OWN_DESCRIPTORS = 16  # the most that an idle process has; 14 here
 PATIENT = 30.0  # s, timeout of a process, as others may keep the machine busy
@@ -187,7 +187,7 @@
     log, most = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None), 0
     for steps in product(range(11), repeat=5):
         loop = NeverConnectingLoop()
-        calls = Discovery(loop, ("h", 1), 1, log, lambda news: None, lambda wait: None)
+        calls = ListClient(loop, ("h", 1), 1, log, lambda update: None, lambda wait: None)
         calls.watch(True)
 
         def wait(loop=loop, calls=calls):
@@ -195,10 +195,10 @@
             calls.tidy()
 
         for rev, step in enumerate(steps, 2):
-            news = News(rev, False, [])
-            kinds = [partial(calls.watch, True), partial(calls.move, ("h", 2)), wait]
+            update = ListUpdate(rev, False, [])
+            kinds = [partial(calls.watch, True), partial(calls.change_address, ("h", 2)), wait]
             for call in calls._calls:
-                kinds += [partial(calls.update_received, call, news), partial(calls.call_ended, call, "x")]
+                kinds += [partial(calls.update_received, call, update), partial(calls.call_ended, call, "x")]
             if step >= len(kinds):
                 break
             kinds[step]()
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -33,7 +33,7 @@
 )
 
 from ospreyline.lease import ConnectionRefused, LeaseMessage, MessageComplete, UpdateLost, UpdateRead
-from ospreyline.net.discovery import Discovery
+from ospreyline.net.discovery import ListClient
 
 REJECTING_FOR = 8.5  # s for which the service rejects all calls
 
@@ -84,7 +84,7 @@
         registry = Registry()
         await registry.start()
         steps: list[LeaseMessage] = []
-        lists = Discovery(
+        lists = ListClient(
             asyncio.get_running_loop(),
             ("127.0.0.1", registry.port),
             3,
@@ -103,11 +103,11 @@
         # a watch with an unreadable last line has lost an update
         steps.clear()
         await registry.start()
-        lists.move(("127.0.0.1", registry.port))
+        lists.change_address(("127.0.0.1", registry.port))
         await registry.tell(5, target("u0", 1))
-        await wait_for(lambda: lists.told_by_watch)
+        await wait_for(lambda: lists.watch_answered)
         await registry.say(b'{"rev":6}\n')
-        await wait_for(lambda: not lists.watching)
+        await wait_for(lambda: not lists.has_watch)
         assert UpdateLost in map(type, steps) and MessageComplete not in map(type, steps)
         lists.close()
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -46,7 +46,7 @@
         async with running(*peers, registry=registry) as service:
             known = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
             await registry.tell(40)
-            service.dispatcher.discovery.refresh()
+            service.dispatcher.discovery.poll()
             await settled(registry, service, 2)
             watch, plain = registry.writers[:2]
             leaving = target("u0", peers[0].port, state="leaving")
@@ -60,7 +60,7 @@
                     while service.dispatcher.discovery.rev != 41:
                         await asyncio.sleep(0)
             await served_by(service, {b"1"})
-            assert service.dispatcher.discovery.rev == 41 and service.dispatcher.discovery.watching
+            assert service.dispatcher.discovery.rev == 41 and service.dispatcher.discovery.has_watch
             await registry.until(lambda: len(registry.writers) == 1)  # and the watch goes on
             watch.write(chunk(listing(42, target("u0", peers[0].port))))
             await served_by(service, {b"0", b"1"})
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -153,10 +153,10 @@
                 dispatcher._on_list_update(now, restart_update())
 
             def restart_update():
-                from ospreyline.net.listing import News, Target
+                from ospreyline.net.listing import ListUpdate, Target
 
                 restarted = Target("u0", f"127.0.0.1:{peer.port}", "a", 0, "active", 1e3 * wall())
-                return News(9, False, [(restarted, ("127.0.0.1", peer.port))])
+                return ListUpdate(9, False, [(restarted, ("127.0.0.1", peer.port))])
 
             def wall():
                 import time
--- a/tests/test_silent_list.py
+++ b/tests/test_silent_list.py
@@ -31,7 +31,7 @@
 )
 
 from ospreyline.lease import CallStarted, LeaseMessage, NoUpdateArriving
-from ospreyline.net.discovery import Discovery
+from ospreyline.net.discovery import ListClient
 from ospreyline.net.list_call import FIRST_BYTE_TIMEOUT_S, CallEnd
 
 STOOD, WAITS, WAITS_BEHIND = "a watch that stood", "a call that waits", "a call behind a watch that ended"
@@ -97,7 +97,7 @@
         async def never(*_: object) -> None:
             await asyncio.sleep(PATIENT)
 
-        lists = Discovery(
+        lists = ListClient(
             loop,
             ("127.0.0.1", 1),
             3,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -33,9 +33,9 @@
 from ospreyline.fleet.lists import Lists
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.net import service as service_module
-from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.discovery import CallFailure, ListClient
 from ospreyline.net.list_call import ListCall
-from ospreyline.net.listing import News, Target
+from ospreyline.net.listing import ListUpdate, Target
 
 NOTIFIED_AFTER = 6_000.0  # ms
 QUEUE = 1_000.0  # ms that a call waits in a queue before it is turned away
@@ -62,7 +62,7 @@
     def cancel(self) -> None: ...
 
 
-class SimulatedDiscovery(Discovery):
+class SimulatedListClient(ListClient):
     """List calls without connections: the simulation decides how each goes."""
 
     world: World
@@ -100,7 +100,7 @@
         self.pace = CallPacer(0, terms_now.balancers, 250.0, terms_now.must_ask_in) if paced else None
         if self.pace is not None:
             self.pace.phase = place
-        self.discovery = SimulatedDiscovery(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
+        self.discovery = SimulatedListClient(Loop(self), ("", 0), 3, NoLog(), self._news, self._failed)  # type: ignore[arg-type]
         self.discovery.world = self
         self.call_at(self.now + 1e3 * service_module.MAINTENANCE_INTERVAL_S * place, self._tidy)
 
@@ -127,22 +127,22 @@
             self._plan()
             self.discovery.watch(True)
 
-    def _news(self, news: News) -> None:
-        own = self.discovery.told_by_watch
+    def _news(self, update: ListUpdate) -> None:
+        own = self.discovery.watch_answered
         if self.pace is not None and own:
             self.pace.call_answered()
         self.balancer.apply_list_changes(self.now, [], from_own_watch=own)
-        if self.now > self.reachable_at and own and news.targets:  # and the watch is open
+        if self.now > self.reachable_at and own and update.entries:  # and the watch is open
             self.told_at = min(self.told_at, self.now)
 
     def _failed(self, failure: CallFailure) -> None:
         if self.pace is not None:
-            self.pace.call_failed(self.now, failure.retry_after)
+            self.pace.call_failed(self.now, failure.retry_after_ms)
             self._plan()
-        self.balancer.list_call_failed(self.now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(self.now, failure.lost, failure.rejected)
 
     def _move(self, now: float) -> None:
-        self.discovery.move(("", 1))
+        self.discovery.change_address(("", 1))
         self.balancer.list_service_moved(now)
         if self.pace is not None:
             self.pace.call_started(now, new_service=True)
@@ -165,13 +165,13 @@
         else:
             self.call_at(self.now + self.answer, lambda now: self._answer(call))
 
-    def _receive(self, call: ListCall, news: News | None) -> None:
+    def _receive(self, call: ListCall, update: ListUpdate | None) -> None:
         if not call.over:
             call.heard_at = self.now / 1e3
-            self.discovery.update_received(call, news)
+            self.discovery.update_received(call, update)
 
     def _answer(self, call: ListCall) -> None:
-        self._receive(call, News(call.newest_elsewhere + 9, True, [(Target("u0"), None)]))
+        self._receive(call, ListUpdate(call.newest_elsewhere + 9, True, [(Target("u0"), None)]))
         if not call.watching:
             call.stop("")
 
@@ -305,10 +305,10 @@
         if self._watch is not None and not self._watch.answered:
             self._end_call(self._watch)
             self._watch = None
-        Discovery.watch(self, on)
+        ListClient.watch(self, on)
 
     if not kept:
-        monkeypatch.setattr(SimulatedDiscovery, "watch", replaced)
+        monkeypatch.setattr(SimulatedListClient, "watch", replaced)
     took, _, _ = longest([*chains(1)], 200, False, 2_500.0, 0)
     assert (took <= NOTIFIED_AFTER) is kept
 
@@ -421,7 +421,7 @@
                 await asyncio.sleep(0)
             other.write(HEAD + chunk(listing(40, target("u0", peers[0].port, state="leaving"))))
             await served_by(service, {b"1"})
-            assert service.dispatcher.discovery.told_by_watch and other in registry.scripted
+            assert service.dispatcher.discovery.watch_answered and other in registry.scripted
 
     play(scenario)
 
@@ -481,7 +481,7 @@
             await settled(new, service, 2)
             watch, plain = new.writers[:2]
             watch.transport.abort()
-            while service.dispatcher.discovery.watching:
+            while service.dispatcher.discovery.has_watch:
                 await asyncio.sleep(0)
             both = [target(f"u{i}", peer.port) for i, peer in enumerate(peers)]
             plain.write(chunk(listing(2, *both, whole=True)) + END)
