--- a/ospreyline/check/list_lease.py
+++ b/ospreyline/check/list_lease.py
@@ -1,7 +1,7 @@
 """Model checker of the list lease: until when a balancer sends to servers of a possibly stale upstream list.
 
 Explores the production code: `lease.py`, `net/list_call.py`, `net/discovery.py`, and `call_schedule.py`,
-which decides when the next call starts. `list_world` simulates the list service and the connections. One
+which decides when the next call starts. `list_world` simulates the list service and connections. One
 server begins to drain at any of the points that matter. The balancer counts as notified at the first of:
 the drain is written on any of its calls; 6 s after a call fell silent, if the drain was written on it; 6 s
 after the drain began, if the service can be reached. A path is one combination of all choices; all paths
@@ -238,7 +238,7 @@
     calls_left, world.calls_left = world.calls_left, 0
     world.later_outcome = STAYS_OPEN
     world.process.call_schedule.next_call_at = world.now
-    while not world.process.lists.told_by_watch:
+    while not world.process.lists.watch_answered:
         world.step()
     world.calls_left, world.later_outcome = calls_left, None
 
--- a/ospreyline/lab/cold.py
+++ b/ospreyline/lab/cold.py
@@ -164,9 +164,7 @@
                 for i in range(self._count):
                     late = self._shape == "late" and i % 2
                     self.notified_at[i] = now + (5_000 * random.random() if late else 0.0)
-                self._list[cold] = ListedUpstream(
-                    cold, self._list[cold].hash_key, 0, 0, Readiness.READY, now
-                )
+                self._list[cold] = ListedUpstream(cold, self._list[cold].hash_key, 0, 0, Readiness.READY, now)
             for i, balancer in enumerate(self.bank):
                 if started and before < self.notified_at[i] <= now:
                     balancer.apply_list_changes(now, [self._list[cold]])
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/dispatcher.py
@@ -1,6 +1,6 @@
 """Runs the balancer's decisions on sockets: events are queued and handled together in one event batch.
 
-Callbacks of connections, timers and the list service only enqueue events (`note`). Once per event loop
+Callbacks of connections, timers and the list service only enqueue events (`enqueue`). Once per event loop
 iteration a batch reads the clock, passes all queued events to the decisions in order of arrival, and then
 executes the actions that the decisions asked for.
 """
@@ -25,17 +25,17 @@
 from ospreyline.decide import Balancer
 from ospreyline.host import End, Kind, ListedUpstream, PathPrefix, Readiness
 from ospreyline.lease import CallTimedOut, LeaseMessage, UpdateLost, UpdateRead
-from ospreyline.net.clients import Client, Request
-from ospreyline.net.discovery import CallFailure, Discovery
+from ospreyline.net.clients import ClientConnection, Request
+from ospreyline.net.discovery import CallFailure, ListClient
 from ospreyline.net.events import EventLog
-from ospreyline.net.listing import News, Target, read
+from ospreyline.net.listing import ListUpdate, Target, parse_update
 from ospreyline.net.upstreams import (
     Answer,
     ConnectionPools,
-    Cut,
-    Errand,
-    Stage,
-    Why,
+    Exchange,
+    ExchangeFailure,
+    ExchangeStage,
+    FailureReason,
     classify_end,
     parse_load_report,
 )
@@ -45,7 +45,7 @@
     from ospreyline.fleet.bank import Bank
     from ospreyline.fleet.kept import Keeping
     from ospreyline.fleet.pace import CallPacer
-    from ospreyline.net.covering import Covering
+    from ospreyline.net.takeover_adapter import TakeoverAdapter
     from ospreyline.operator_settings import OperatorSettings
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
@@ -68,7 +68,7 @@
     return time.monotonic() * 1e3
 
 
-class Taken:
+class PendingVisit:
     """A visit on the socket side: the client that waits for it, its decision handle and its exchanges."""
 
     __slots__ = (
@@ -76,39 +76,41 @@
         "arrived_at",
         "backstop_timer",
         "client",
-        "errands",
+        "client_left",
+        "decision",
+        "exchanges",
         "fetch_ends",
-        "handle",
         "last_timed_out",
-        "left",
+        "prefix_settings",
         "request",
         "tag",
-        "terms",
     )
 
-    def __init__(self, tag: int, request: Request, terms: PathPrefix, client: Client | None) -> None:
+    def __init__(
+        self, tag: int, request: Request, prefix_settings: PathPrefix, client: ClientConnection | None
+    ) -> None:
         self.tag = tag
         self.request = request
         # its path prefix settings at arrival; after a reload the same index may mean another prefix
-        self.terms = terms
+        self.prefix_settings = prefix_settings
         self.client = client
-        self.handle: Visit | None = None
-        self.errands: list[Errand | None] = []
+        self.decision: Visit | None = None
+        self.exchanges: list[Exchange | None] = []
         self.fetch_ends: list[str] = []  # how its fetches ended, in that order, for the log
         # when its last byte reached this machine (`clock()` ms), as far as the OS reports it
         self.arrived_at = 0.0
         self.answered = False
-        self.left = False  # the client has disconnected; no new fetch starts
+        self.client_left = False  # the client has disconnected; no new fetch starts
         self.last_timed_out = False  # whether its latest fetch timed out
         self.backstop_timer: asyncio.TimerHandle | None = None
 
-    def wanted(self) -> bool:
+    def client_waits(self) -> bool:
         """Whether a client still waits for it; checked before a byte of it is sent to an upstream."""
-        return not (self.answered or self.left or (self.client is not None and self.client.has_left()))
+        return not (self.answered or self.client_left or (self.client is not None and self.client.has_left()))
 
 
-class Turn:
-    """The `Host` of one balancer and the `Door` (request handler) of its client connections."""
+class EventDispatcher:
+    """The `Host` of one balancer and the `VisitHandler` of its client connections."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, config: ProxyConfig, operator: OperatorSettings | None = None
@@ -118,9 +120,10 @@
         self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
         self._list_cache: Keeping | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
-        self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
+        # takeover of visits between balancers, if enabled
+        self.takeover_adapter: TakeoverAdapter | None = None
         self.closing = False
-        self.visits: dict[int, Taken] = {}
+        self.visits: dict[int, PendingVisit] = {}
         self._open_ids: set[bytes] = set()  # request ids of the open visits
         self.counts: Counter[str] = Counter()
         self.events = EventLog(self.logger, clock, self.counts)
@@ -176,15 +179,15 @@
             if self._list_cache is not None
             else config.initial_list
         )
-        known = read(kept, self.logger)
-        self.discovery = Discovery(
+        known = parse_update(kept, self.logger)
+        self.discovery = ListClient(
             loop,
             config.discovery,
             known.rev if known else 0,
             self.logger,
-            tell=self._enqueue_list_update,
-            tell_failed=lambda failure: self.note(self._on_list_call_failed, failure),
-            tell_lease=lambda message: self.note(self._on_lease_message, message),
+            on_update=self._enqueue_list_update,
+            on_failure=lambda failure: self.enqueue(self._on_list_call_failed, failure),
+            on_lease_message=lambda message: self.enqueue(self._on_lease_message, message),
         )
         self._configure_discovery()
         now = clock()
@@ -193,7 +196,7 @@
         self.upstreams.sends_blocked = self._sends_blocked
         self.balancer.apply_list(now, self._list_entries(known) if known else [])
         if self.bank is not None and known is not None:
-            self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.targets])
+            self.bank.begin(known.rev, [(t.uid, t.state == "left", json.encode(t)) for t, _ in known.entries])
         if self._pace is not None:
             later = 0.0
             if self.bank is not None and self.bank.lists is not None and not self.bank.lists.passing:
@@ -203,7 +206,7 @@
         elif not config.deployment.ask_for_list:
             # a pushed list: the decisions never ask for it, so a watch is opened here
             self.discovery.watch(True)
-        self.note(lambda now: None)  # the first batch executes the actions requested during construction
+        self.enqueue(lambda now: None)  # the first batch executes the actions requested during construction
 
     def _enable_features(self, operator: OperatorSettings) -> None:
         """Set up the features that the operator file enables; only those modules are imported."""
@@ -219,7 +222,7 @@
         elif self._pace is not None:
             self._pace = None
             # the decisions schedule list calls themselves from now on
-            self.note(self.balancer.list_call_failed)
+            self.enqueue(self.balancer.list_call_failed)
         if lists.keep and self._list_cache is None:
             from ospreyline.fleet.kept import Keeping
 
@@ -235,14 +238,14 @@
                 zone,
                 operator.fleet,
                 self._config.seed,
-                listed=lambda update: self.note(self._on_list_from_balancer, update),
-                hinted=lambda body: self.note(self._on_bank_message, body),
-                hasten=lambda: self.note(self._hasten_list_call),
+                listed=lambda update: self.enqueue(self._on_list_from_balancer, update),
+                hinted=lambda body: self.enqueue(self._on_bank_message, body),
+                hasten=lambda: self.enqueue(self._hasten_list_call),
             )
             if operator.takeover.on:
-                from ospreyline.net.covering import Covering
+                from ospreyline.net.takeover_adapter import TakeoverAdapter
 
-                self.covering = Covering(
+                self.takeover_adapter = TakeoverAdapter(
                     self,
                     operator.takeover,
                     self._config.name,
@@ -251,7 +254,9 @@
                     self._config.seed,
                     terms.max_fetches,
                 )
-                self.bank.guard(self.covering.takeover, lambda: self.note(self.run_takeover_results))
+                self.bank.guard(
+                    self.takeover_adapter.takeover, lambda: self.enqueue(self.process_takeover_events)
+                )
 
     def _use_config(self, config: ProxyConfig) -> None:
         self._config = config
@@ -264,8 +269,8 @@
 
     def _configure_discovery(self) -> None:
         terms = self._config.deployment
-        self.discovery.again = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
-        self.discovery.patient = terms.ask_for_list or self._pace is not None
+        self.discovery.repoll_after_s = call_period_ms(terms.balancers, terms.must_ask_in) / 1e3
+        self.discovery.service_may_be_slow = terms.ask_for_list or self._pace is not None
 
     def apply_config(self, config: ProxyConfig) -> None:
         """Apply a new, validated configuration; events queued before are still handled under the old one."""
@@ -283,7 +288,7 @@
             self._list_entry(target, self._index_by_uid[uid]) for uid, target in self._target_by_uid.items()
         ]
         self.balancer.apply_list_changes(now, entries, is_first_list=True, from_own_watch=False)
-        if not config.deployment.ask_for_list and not self.discovery.watching and self._pace is None:
+        if not config.deployment.ask_for_list and not self.discovery.has_watch and self._pace is None:
             self.discovery.watch(True)
         self._dispatch()
 
@@ -295,15 +300,15 @@
         if self._pace is not None and not paced:
             # An open watch is kept and still counts; without one the first paced call replaces it.
             self._pace.call_started(clock())
-            if self.discovery.told_by_watch:
+            if self.discovery.watch_answered:
                 self._pace.call_answered()
-            elif not self.discovery.watching:
+            elif not self.discovery.has_watch:
                 self._pace.call_failed(clock())
             self._schedule_list_call()
 
     def move_discovery(self, at: tuple[str, int]) -> None:
         """Switch to a new list service address and call it at once."""
-        self.discovery.move(at)
+        self.discovery.change_address(at)
         # Restart the wait between calls. Otherwise a wait that was running for the old address would cause
         # another call at once; and if this call received no data, the next one would start only after it was
         # given up.
@@ -314,16 +319,16 @@
 
     # -- event batches ------------------------------------------------------------------------------------
 
-    def note(self, call: Callable[..., None], *args: Any) -> None:
+    def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         """Enqueue an event, to be handled in the next batch."""
         self._queued_events.append((call, args))
         if not self._batch_scheduled:
             self._batch_scheduled = True
             self._loop.call_soon(self._dispatch)
 
-    def _enqueue_list_update(self, update: News) -> None:
-        self._update_queued = self._update_queued or update.whole or bool(update.targets)
-        self.note(self._on_list_update, update)
+    def _enqueue_list_update(self, update: ListUpdate) -> None:
+        self._update_queued = self._update_queued or update.is_full or bool(update.entries)
+        self.enqueue(self._on_list_update, update)
 
     def _sends_blocked(self) -> bool:
         """Whether all sends to upstreams are blocked; checked right before each one."""
@@ -332,7 +337,7 @@
             return True
         # Also blocks a send that was delayed since it was decided, or whose batch was late, if the list has
         # unread data.
-        return now - self._last_batch_at > LATE_TIMER_MS and self.discovery.unread()
+        return now - self._last_batch_at > LATE_TIMER_MS and self.discovery.has_unread_data()
 
     def _dispatch(self) -> None:
         self._run_batch(sockets_read=False)
@@ -355,7 +360,11 @@
             due, _, callback = heappop(self._timers)
             self.max_timer_lag_ms = max(self.max_timer_lag_ms, now - due)
             self._run_guarded(now, callback, ())
-        if self._pending_actions and not sockets_read and (self._actions_deferred or self.discovery.unread()):
+        if (
+            self._pending_actions
+            and not sockets_read
+            and (self._actions_deferred or self.discovery.has_unread_data())
+        ):
             return self._defer_actions()
         self._actions_deferred = False
         actions, self._pending_actions = self._pending_actions, []
@@ -381,13 +390,13 @@
             # An exception in the decisions costs only the visit concerned, which still gets an answer.
             self.counts["faults"] += 1
             self.logger.exception("exception in an event handler")
-            taken = next((arg for arg in args if isinstance(arg, Taken)), None)
-            if taken is not None and not taken.answered:
-                self.answer_error(taken.tag)
-                self._discard_visit(taken)
-                for errand in taken.errands:
-                    if errand is not None:
-                        errand.cut(Why.CALLED_OFF)
+            pending = next((arg for arg in args if isinstance(arg, PendingVisit)), None)
+            if pending is not None and not pending.answered:
+                self.answer_error(pending.tag)
+                self._discard_visit(pending)
+                for exchange in pending.exchanges:
+                    if exchange is not None:
+                        exchange.fail(FailureReason.CANCELLED)
 
     def _schedule_loop_timer(self, now: float) -> None:
         if not self._timers:
@@ -414,10 +423,10 @@
 
     # -- visits -------------------------------------------------------------------------------------------
 
-    def run_takeover_results(self, now: float) -> None:
+    def process_takeover_events(self, now: float) -> None:
         """Carry out what takeover has decided."""
-        if self.covering is not None:
-            self.covering.carry_out(now)
+        if self.takeover_adapter is not None:
+            self.takeover_adapter.carry_out(now)
 
     def prefix_name(self, prefix: int) -> str:
         return self._config.prefix_names[prefix]
@@ -426,25 +435,25 @@
         """Zone and cell of an upstream."""
         return self._place_by_index[upstream]
 
-    def accept_request(self, request: Request, client: Client) -> bool:
+    def accept_request(self, request: Request, client: ClientConnection) -> bool:
         """Start a visit for a request, or join it to its open visit; False if its id is in use otherwise."""
-        if request.trace in self._open_ids:
-            return self.covering is not None and self.covering.joins(request, client)
-        self._open_ids.add(request.trace)
+        if request.request_id in self._open_ids:
+            return self.takeover_adapter is not None and self.takeover_adapter.joins(request, client)
+        self._open_ids.add(request.request_id)
         self._last_tag += 1
-        terms = self._config.deployment.prefixes[request.prefix]
-        taken = self.visits[self._last_tag] = Taken(self._last_tag, request, terms, client)
-        taken.arrived_at = clock() - client.ms_since_received()
+        prefix_settings = self._config.deployment.prefixes[request.prefix_index]
+        pending = self.visits[self._last_tag] = PendingVisit(self._last_tag, request, prefix_settings, client)
+        pending.arrived_at = clock() - client.ms_since_received()
         client.tag = self._last_tag
-        self.note(self._begin_visit, taken)
+        self.enqueue(self._begin_visit, pending)
         return True
 
-    def client_left(self, client: Client) -> None:
+    def client_left(self, client: ClientConnection) -> None:
         """Record that the client of a visit has disconnected."""
-        taken = self.visits.get(client.tag)
-        if taken is not None and taken.client is client:
-            taken.client, taken.left = None, True
-            self.note(self._on_client_left, taken)
+        pending = self.visits.get(client.tag)
+        if pending is not None and pending.client is client:
+            pending.client, pending.client_left = None, True
+            self.enqueue(self._on_client_left, pending)
 
     def ready(self) -> bool:
         """Readiness for health checks: a valid list lease and at least one upstream that is ready."""
@@ -454,49 +463,57 @@
             and self.balancer.lease.ready(clock())
         )
 
-    def _begin_visit(self, now: float, taken: Taken) -> None:
+    def _begin_visit(self, now: float, pending: PendingVisit) -> None:
         """Determine the time left for a visit, set its backstop timer and pass it on."""
-        if taken.client is None:
-            self._discard_visit(taken)
+        if pending.client is None:
+            self._discard_visit(pending)
             return
         self.counts["visits"] += 1
-        request, terms = taken.request, taken.terms
-        time_left = terms.client_timeout
+        request, prefix_settings = pending.request, pending.prefix_settings
+        time_left = prefix_settings.client_timeout
         if request.time_left is not None:
             time_left = min(time_left, request.time_left)
         # Time that the request spent in its socket or in the listen queue while the loop was late counts,
         # too. Otherwise the upstream would be given more time than is left, and the client answered after its
         # timeout.
-        waited = now - taken.arrived_at
+        waited = now - pending.arrived_at
         if now <= self.stood_to:
             # A request may have waited in its socket during a stall and would be forwarded for a client that
             # has gone. Not every OS reports when it arrived, so the whole stall counts.
             waited = max(waited, now - self._stalled_from)
         time_left -= waited
-        taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+        pending.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
         )
-        if self.covering is None or self.covering.begins(now, taken, time_left, terms.kind):
-            self.decide(now, taken, time_left, ())
+        if self.takeover_adapter is None or self.takeover_adapter.begins(
+            now, pending, time_left, prefix_settings.kind
+        ):
+            self.decide(now, pending, time_left, ())
 
     def decide(
-        self, now: float, taken: Taken, time_left: float, prior_fetches: Sequence[tuple[str, int, float]]
+        self,
+        now: float,
+        pending: PendingVisit,
+        time_left: float,
+        prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Pass a visit to the decisions. `prior_fetches`: those that other balancers may have sent before, as
         (zone, cell, ms ago).
         """
         try:
-            prefix = self._config.deployment.prefixes.index(taken.terms)
+            prefix = self._config.deployment.prefixes.index(pending.prefix_settings)
         except ValueError:
             # A reload came while the visit waited: its path prefix now has another index or no longer exists.
-            return self.answer_error(taken.tag) if prior_fetches else self.refuse(taken.tag)
-        request = taken.request
+            return self.answer_error(pending.tag) if prior_fetches else self.refuse(pending.tag)
+        request = pending.request
         before = [(self._zone_index.get(zone, -1), cell, now - ago) for zone, cell, ago in prior_fetches]
-        taken.errands = [None] * len(before)
-        taken.handle = self.balancer.accept_visit(now, taken.tag, prefix, time_left, request.repeat, before)
-        if self.covering is not None and len(taken.errands) == len(before):
-            self.covering.decided(now, taken)
-        self._discard_if_settled(taken)
+        pending.exchanges = [None] * len(before)
+        pending.decision = self.balancer.accept_visit(
+            now, pending.tag, prefix, time_left, request.is_repeat, before
+        )
+        if self.takeover_adapter is not None and len(pending.exchanges) == len(before):
+            self.takeover_adapter.decided(now, pending)
+        self._discard_if_settled(pending)
 
     def adopt_visit(
         self,
@@ -507,92 +524,103 @@
         prior_fetches: Sequence[tuple[str, int, float]],
     ) -> None:
         """Take over a visit of a failed balancer; no client waits for it here."""
-        taken = self.visits[tag] = Taken(tag, request, self._config.deployment.prefixes[request.prefix], None)
-        taken.arrived_at = now
-        self._open_ids.add(request.trace)
-        taken.backstop_timer = self._loop.call_later(
-            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.note, self._on_overdue, taken
+        pending = self.visits[tag] = PendingVisit(
+            tag, request, self._config.deployment.prefixes[request.prefix_index], None
         )
-        self.decide(now, taken, time_left, prior_fetches)
+        pending.arrived_at = now
+        self._open_ids.add(request.request_id)
+        pending.backstop_timer = self._loop.call_later(
+            max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
+        )
+        self.decide(now, pending, time_left, prior_fetches)
 
     def refuse(self, tag: int) -> None:
         """Answer a visit that the decisions have not seen with "retry": no fetch of it ran."""
         self.bounce(tag, self._config.deployment.max_retry_after)
 
-    def close_visit(self, now: float, taken: Taken) -> None:
+    def close_visit(self, now: float, pending: PendingVisit) -> None:
         """Close a visit for which this balancer is no longer responsible."""
-        taken.answered = True
-        if taken.handle is not None:
-            taken.handle.client_left(now)
-        self._discard_if_settled(taken)
+        pending.answered = True
+        if pending.decision is not None:
+            pending.decision.client_left(now)
+        self._discard_if_settled(pending)
 
-    def _on_client_left(self, now: float, taken: Taken) -> None:
-        if not taken.left:
+    def _on_client_left(self, now: float, pending: PendingVisit) -> None:
+        if not pending.client_left:
             return  # another connection of its client has joined it since
-        if self.covering is not None and not taken.answered:
-            if self.covering.goes_on(now, taken, taken.terms.kind):
+        if self.takeover_adapter is not None and not pending.answered:
+            if self.takeover_adapter.goes_on(now, pending, pending.prefix_settings.kind):
                 return  # open fetches continue; no new one starts unless the client asks again
-            if taken.handle is None:
-                self._discard_visit(taken)
-        if taken.handle is not None:
-            self.counts["clients_left"] += not taken.answered
-            taken.answered = True
-            taken.handle.client_left(now)
-            for number, errand in enumerate(taken.errands):
-                if errand is not None:
-                    errand.withdraw()
-                elif self.covering is not None and self.covering.called_off(taken, number):
+            if pending.decision is None:
+                self._discard_visit(pending)
+        if pending.decision is not None:
+            self.counts["clients_left"] += not pending.answered
+            pending.answered = True
+            pending.decision.client_left(now)
+            for number, exchange in enumerate(pending.exchanges):
+                if exchange is not None:
+                    exchange.withdraw()
+                elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
                     # Its acceptors were told that it is over and will not reply, so its end is reported here;
                     # otherwise the visit would stay open forever.
-                    self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
-            self._discard_if_settled(taken)
-
-    def _on_overdue(self, now: float, taken: Taken) -> None:
+                    self.enqueue(
+                        self.ended,
+                        pending,
+                        number,
+                        ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+                    )
+            self._discard_if_settled(pending)
+
+    def _on_overdue(self, now: float, pending: PendingVisit) -> None:
         """Backstop: answer a visit that has none yet, whatever went wrong."""
-        if taken.answered and not (self.covering is not None and self.covering.overdue(taken.tag)):
-            return self._discard_if_settled(taken)
+        if pending.answered and not (
+            self.takeover_adapter is not None and self.takeover_adapter.overdue(pending.tag)
+        ):
+            return self._discard_if_settled(pending)
         self.counts["overdue"] += 1
-        self.logger.error("visit answered by the backstop", fetches=len(taken.errands))
-        self.answer_error(taken.tag)
-        if taken.handle is not None:
-            taken.handle.client_left(now)
-        self._discard_if_settled(taken)
-
-    def ended(self, now: float, taken: Taken, number: int, outcome: Answer | Cut) -> None:
+        self.logger.error("visit answered by the backstop", fetches=len(pending.exchanges))
+        self.answer_error(pending.tag)
+        if pending.decision is not None:
+            pending.decision.client_left(now)
+        self._discard_if_settled(pending)
+
+    def ended(
+        self, now: float, pending: PendingVisit, number: int, outcome: Answer | ExchangeFailure
+    ) -> None:
         """Report the end of a fetch to the decisions; if it delivered, answer the client."""
         end = reported = classify_end(outcome)
         self.counts[end.name.lower()] += 1
-        taken.fetch_ends.append(end.name.lower())
-        errand = taken.errands[number]
+        pending.fetch_ends.append(end.name.lower())
+        exchange = pending.exchanges[number]
         elapsed = 0.0
-        if errand is not None:
+        if exchange is not None:
             # Time beyond the fetch's deadline is our own delay. Reported as the upstreams', a 30 s stall made
             # all of them look slow, and all requests were rejected for 4 s.
-            elapsed = min(now, errand.expires) - errand.sent
-            if end is End.TIMED_OUT and now <= self.stood_to and errand.sent <= self._stalled_from:
+            elapsed = min(now, exchange.deadline) - exchange.sent
+            if end is End.TIMED_OUT and now <= self.stood_to and exchange.sent <= self._stalled_from:
                 reported = End.CANCELLED  # stalled: its answer may be unread in the socket
-        taken.last_timed_out = end is End.TIMED_OUT
+        pending.last_timed_out = end is End.TIMED_OUT
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
             report = parse_load_report(outcome.report, self._report_fields) if outcome.report else ()
-            if end is End.DELIVERED and not taken.answered:
-                taken.answered = True
-                self.latencies_ms.append(now - taken.arrived_at)
-                reply = taken, 200, outcome.head, outcome.body
-                if self.covering is None or self.covering.may_tell(now, taken, reply):
+            if end is End.DELIVERED and not pending.answered:
+                pending.answered = True
+                self.latencies_ms.append(now - pending.arrived_at)
+                reply = pending, 200, outcome.head, outcome.body
+                if self.takeover_adapter is None or self.takeover_adapter.may_tell(now, pending, reply):
                     self._pending_actions.append((self.reply, reply))
-        if taken.handle is not None:
-            taken.handle.fetch_ended(now, number, reported, elapsed, taken.answered, report)
-            self._discard_if_settled(taken)
+        if pending.decision is not None:
+            pending.decision.fetch_ended(now, number, reported, elapsed, pending.answered, report)
+            self._discard_if_settled(pending)
 
     def answer_all(self) -> None:
         """At shutdown: answer all visits that have no answer yet."""
-        for taken in self.visits.values():
-            self.note(self._on_overdue, taken)
+        for pending in self.visits.values():
+            self.enqueue(self._on_overdue, pending)
 
     def has_unanswered_visits(self) -> bool:
         """Whether any visit has no answer yet."""
-        return any(not taken.answered for taken in self.visits.values())
+        return any(not pending.answered for pending in self.visits.values())
 
     def close(self) -> None:
         self._timers.clear()
@@ -601,79 +629,97 @@
         self.discovery.close()
         self.upstreams.close()
 
-    def _discard_if_settled(self, taken: Taken) -> None:
-        if self.covering is not None and self.covering.holds(taken.tag):
+    def _discard_if_settled(self, pending: PendingVisit) -> None:
+        if self.takeover_adapter is not None and self.takeover_adapter.holds(pending.tag):
             return
-        if taken.handle.settled if taken.handle is not None else taken.answered and taken.client is None:
-            self._discard_visit(taken)
-
-    def _discard_visit(self, taken: Taken) -> None:
-        if self.visits.pop(taken.tag, None) is not None:
-            self._open_ids.discard(taken.request.trace)
-            if self.covering is not None:
-                self.covering.forget(taken.tag)
-        if taken.backstop_timer is not None:
-            taken.backstop_timer.cancel()
-
-    def reply(self, now: float, taken: Taken, status: int, fields: bytes, body: bytes) -> None:
+        if (
+            pending.decision.settled
+            if pending.decision is not None
+            else pending.answered and pending.client is None
+        ):
+            self._discard_visit(pending)
+
+    def _discard_visit(self, pending: PendingVisit) -> None:
+        if self.visits.pop(pending.tag, None) is not None:
+            self._open_ids.discard(pending.request.request_id)
+            if self.takeover_adapter is not None:
+                self.takeover_adapter.forget(pending.tag)
+        if pending.backstop_timer is not None:
+            pending.backstop_timer.cancel()
+
+    def reply(self, now: float, pending: PendingVisit, status: int, fields: bytes, body: bytes) -> None:
         """Send the final answer to the client, if it still waits."""
-        if taken.client is not None:
-            client, taken.client = taken.client, None
+        if pending.client is not None:
+            client, pending.client = pending.client, None
             client.reply(status, fields, body)
             self.counts[f"answers_{status}"] += 1
         # Without this, a visit that was queued and given up in another visit's batch was never removed.
-        self._discard_if_settled(taken)
+        self._discard_if_settled(pending)
 
     # -- upstreams ----------------------------------------------------------------------------------------
 
     def _start_fetch(
-        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, generation: int, until: float
     ) -> None:
-        if self.covering is None or self.covering.may_write(now, taken, number, upstream, generation, until):
-            self.write(now, taken, number, upstream, generation, until)
+        if self.takeover_adapter is None or self.takeover_adapter.may_write(
+            now, pending, number, upstream, generation, until
+        ):
+            self.write(now, pending, number, upstream, generation, until)
 
     def write(
-        self, now: float, taken: Taken, number: int, upstream: int, generation: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, generation: int, until: float
     ) -> None:
         """Start a fetch with deadline `until` (ms), unless the upstream has changed since `generation`."""
-        request, time_out = taken.request, until - now
+        request, time_out = pending.request, until - now
         if time_out <= 0 or generation != self.upstreams.pools[upstream].generation:
-            return self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
-        errand = taken.errands[number] = Errand(
+            return self.enqueue(
+                self.ended,
+                pending,
+                number,
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+            )
+        exchange = pending.exchanges[number] = Exchange(
             request.head(),
             request.body,
             now,
             time_out,
             request.method == b"HEAD",
-            lambda outcome: self.note(self.ended, taken, number, outcome),
-            taken.wanted,
+            lambda outcome: self.enqueue(self.ended, pending, number, outcome),
+            pending.client_waits,
         )
-        if taken.handle is not None:
-            errand.begin_by = taken.handle.repeat_deadline
-        self.upstreams.pools[upstream].run(errand)
-
-    def _cancel_fetch(self, now: float, taken: Taken, number: int) -> None:
-        errand = taken.errands[number]
-        if errand is not None:
-            errand.cut(Why.CALLED_OFF)
-        elif self.covering is not None and self.covering.called_off(taken, number):
-            self.note(self.ended, taken, number, Cut(Stage.CONNECTING, Why.WITHDRAWN))
+        if pending.decision is not None:
+            exchange.start_before = pending.decision.repeat_deadline
+        self.upstreams.pools[upstream].run(exchange)
+
+    def _cancel_fetch(self, now: float, pending: PendingVisit, number: int) -> None:
+        exchange = pending.exchanges[number]
+        if exchange is not None:
+            exchange.fail(FailureReason.CANCELLED)
+        elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
+            self.enqueue(
+                self.ended,
+                pending,
+                number,
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+            )
 
     def _send_probe(self, now: float, upstream: int) -> None:
         pool = self.upstreams.pools[upstream]
         path = b"/stats" if self._report_fields else b"/health/live"
         head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n" % (path, pool.address[0].encode(), pool.address[1])
-        errand = Errand(
+        exchange = Exchange(
             head,
             b"",
             now,
             PROBE_TIMEOUT_FACTOR * self._config.connect_timeout_ms,
             False,
-            lambda outcome: self.note(self._on_probe_ended, upstream, now, outcome),
+            lambda outcome: self.enqueue(self._on_probe_ended, upstream, now, outcome),
         )
-        pool.run(errand)
+        pool.run(exchange)
 
-    def _on_probe_ended(self, now: float, upstream: int, sent: float, outcome: Answer | Cut) -> None:
+    def _on_probe_ended(
+        self, now: float, upstream: int, sent: float, outcome: Answer | ExchangeFailure
+    ) -> None:
         report: tuple[float, ...] = ()
         if isinstance(outcome, Answer):
             report = parse_load_report(outcome.report or outcome.body, self._report_fields)
@@ -727,16 +773,16 @@
                 self._schedule_list_call()
         elif self._config.deployment.ask_for_list:
             self.balancer.schedule_list_call(now)
-        elif not self.discovery.waiting:
+        elif not self.discovery.watch_unanswered:
             self.discovery.watch(True)
 
     def _on_list_call_failed(self, now: float, failure: CallFailure) -> None:
         relayed = self.bank is not None and self.bank.told_nothing()
         if self._pace is not None:
-            self._pace.call_failed(now, failure.retry_after, relayed)
+            self._pace.call_failed(now, failure.retry_after_ms, relayed)
             # A list service that goes down resets the calls of the whole bank, which must still keep its
             # pace.
-            if failure.seen:
+            if failure.partly_received:
                 self._pace.update_lost(now)
             self._schedule_list_call()
         elif not self._config.deployment.ask_for_list:
@@ -745,10 +791,10 @@
             self.call_at(now + self._watch_retry_ms * (0.5 + self._random()), self._reopen_watch)
             self._watch_retry_ms = min(2 * self._watch_retry_ms, MAX_WATCH_RETRY_MS)
             return
-        self.balancer.list_call_failed(now, failure.lost, failure.turned_away)
+        self.balancer.list_call_failed(now, failure.lost, failure.rejected)
 
     def _reopen_watch(self, now: float) -> None:
-        if not self._config.deployment.ask_for_list and not self.discovery.watching:
+        if not self._config.deployment.ask_for_list and not self.discovery.has_watch:
             self.discovery.watch(True)
 
     def _hasten_list_call(self, now: float) -> None:
@@ -770,45 +816,45 @@
             b"true" if forwarded.whole else b"false",
             b",".join(forwarded.targets),
         )
-        update = read(text, self.logger)
+        update = parse_update(text, self.logger)
         if update is None:
             return
         self.counts["lists_from_others"] += 1
-        self.discovery.took(update.rev)
+        self.discovery.record_version(update.rev)
         entries = self._list_entries(update)
-        if update.whole:
+        if update.is_full:
             self.balancer.apply_list(now, entries, from_own_watch=False)
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
             self._list_cache.told(changed=True)
 
-    def _on_list_update(self, now: float, update: News) -> None:
+    def _on_list_update(self, now: float, update: ListUpdate) -> None:
         self._watch_retry_ms = WATCH_RETRY_MS
         # Data from another call, or from the watch at a former address, does not count as received by our own
         # watch. Otherwise nobody would be asked any more once that watch has ended or while it receives
         # nothing.
-        from_watch = self.discovery.told_by_watch
+        from_watch = self.discovery.watch_answered
         if self._pace is not None and from_watch:
             self._pace.call_answered()
         if self._list_cache is not None:
-            self._list_cache.told(changed=update.whole or bool(update.targets))
+            self._list_cache.told(changed=update.is_full or bool(update.entries))
         if self.bank is not None:
             self.bank.told(
                 update.rev,
-                update.whole,
-                [(target.uid, target.state == "left", json.encode(target)) for target, _ in update.targets],
+                update.is_full,
+                [(target.uid, target.state == "left", json.encode(target)) for target, _ in update.entries],
             )
         entries = self._list_entries(update)
-        if update.whole:
+        if update.is_full:
             self.balancer.apply_list(now, entries, from_watch)
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=from_watch)
 
-    def _list_entries(self, update: News) -> list[ListedUpstream]:
+    def _list_entries(self, update: ListUpdate) -> list[ListedUpstream]:
         """Convert a list update to entries for the decisions, and update the connection pools from it."""
         entries = []
-        for target, at in update.targets:
+        for target, at in update.entries:
             upstream = self._index_by_uid.get(target.uid)
             if upstream is None:
                 if at is None or target.state == "left":
@@ -823,8 +869,8 @@
                 target.boot_ms,
                 entries[-1].readiness is Readiness.READY,
             )
-        if update.whole:
-            named = {target.uid for target, _ in update.targets}
+        if update.is_full:
+            named = {target.uid for target, _ in update.entries}
             for uid, upstream in self._index_by_uid.items():
                 if uid not in named and self._readiness.get(uid) is not Readiness.GONE:
                     self._record_readiness(uid, Readiness.GONE, None)
@@ -869,7 +915,7 @@
         if self._list_cache is not None and not self._update_queued:
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
-            whole = self.discovery.complete and not self.balancer.lease.has_lost_update
+            whole = self.discovery.list_complete and not self.balancer.lease.has_lost_update
             self._list_cache.tidy(
                 self.discovery.rev if whole else 0,
                 lambda: [
@@ -881,7 +927,7 @@
             # keep one: a balancer that knows no upstream treats the next list as its first
             if (
                 now - since < REMOVE_GONE_AFTER_MS
-                or self.upstreams.pools[upstream].errands
+                or self.upstreams.pools[upstream].exchanges
                 or len(self._index_by_uid) == 1
             ):
                 return
@@ -893,58 +939,60 @@
     # -- Host: actions for the decisions ------------------------------------------------------------------
 
     def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
-        taken = self.visits[tag]
-        if taken.fetch_ends:
+        pending = self.visits[tag]
+        if pending.fetch_ends:
             self.events.line(
                 "retry",
-                taken.fetch_ends[-1],
-                id=taken.request.trace.decode("latin-1"),
-                after=taken.fetch_ends,
-                attempt=len(taken.errands) + 1,
+                pending.fetch_ends[-1],
+                id=pending.request.request_id.decode("latin-1"),
+                after=pending.fetch_ends,
+                attempt=len(pending.exchanges) + 1,
                 upstream=self._uid_by_index[upstream],
             )
-        taken.errands.append(None)
+        pending.exchanges.append(None)
         generation = self.upstreams.pools[upstream].generation
         # The timeout counts from the decision, not from when the action is executed.
         until = self._last_batch_at + timeout_ms
         self._pending_actions.append(
-            (self._start_fetch, (taken, len(taken.errands) - 1, upstream, generation, until))
+            (self._start_fetch, (pending, len(pending.exchanges) - 1, upstream, generation, until))
         )
 
     def cancel_fetch(self, tag: int, fetch: int) -> None:
-        if (taken := self.visits.get(tag)) is not None:
-            self._pending_actions.append((self._cancel_fetch, (taken, fetch)))
+        if (pending := self.visits.get(tag)) is not None:
+            self._pending_actions.append((self._cancel_fetch, (pending, fetch)))
 
     def bounce(self, tag: int, retry_after: float) -> None:
-        taken = self.visits[tag]
-        taken.answered = True
-        self._log_refusal("rejected", taken)
+        pending = self.visits[tag]
+        pending.answered = True
+        self._log_refusal("rejected", pending)
         fields = b"Retry-After: %.3f\r\n" % (retry_after / 1e3) if retry_after else b""
-        reply = taken, 503, fields, b"no room, try again\n"
-        if self.covering is None or self.covering.may_bounce(self._last_batch_at, taken, reply):
+        reply = pending, 503, fields, b"no room, try again\n"
+        if self.takeover_adapter is None or self.takeover_adapter.may_bounce(
+            self._last_batch_at, pending, reply
+        ):
             self._pending_actions.append((self.reply, reply))
 
     def answer_error(self, tag: int) -> None:
-        taken = self.visits[tag]
-        taken.answered = True
-        self._log_refusal("failed", taken)
-        if self.covering is not None:
-            self.covering.failed(self._last_batch_at, taken)
+        pending = self.visits[tag]
+        pending.answered = True
+        self._log_refusal("failed", pending)
+        if self.takeover_adapter is not None:
+            self.takeover_adapter.failed(self._last_batch_at, pending)
         self._pending_actions.append(
-            (self.reply, (taken, 504 if taken.last_timed_out else 502, b"", b"no answer\n"))
+            (self.reply, (pending, 504 if pending.last_timed_out else 502, b"", b"no answer\n"))
         )
 
-    def _log_refusal(self, event: str, taken: Taken) -> None:
+    def _log_refusal(self, event: str, pending: PendingVisit) -> None:
         """Log why a request gets an answer that did not come from an upstream."""
-        why = "its attempts failed" if taken.fetch_ends else "no upstream has room for it in time"
+        why = "its attempts failed" if pending.fetch_ends else "no upstream has room for it in time"
         if (withheld := self.balancer.lease.block_reason(self._last_batch_at)) is not None:
             why = withheld.value
         self.events.line(
             event,
             why,
-            id=taken.request.trace.decode("latin-1"),
-            prefix=taken.terms.name,
-            attempts=taken.fetch_ends,
+            id=pending.request.request_id.decode("latin-1"),
+            prefix=pending.prefix_settings.name,
+            attempts=pending.fetch_ends,
         )
 
     def call_at(self, at: float, call: Callable[[float], None]) -> None:
@@ -970,7 +1018,7 @@
         self._pending_actions.append((lambda now: self.discovery.watch(on), ()))
 
     def poll_list(self) -> None:
-        self._pending_actions.append((lambda now: self.discovery.refresh(), ()))
+        self._pending_actions.append((lambda now: self.discovery.poll(), ()))
 
     def log(self, text: str) -> None:
         self.logger.info(text)
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -14,11 +14,11 @@
 
 from ospreyline.fleet.takeover import KIND_BY_BYTE, PriorFetch, Takeover
 from ospreyline.host import Kind
-from ospreyline.net.clients import Client, Request
-from ospreyline.net.upstreams import Cut, Stage, Why
+from ospreyline.net.clients import ClientConnection, Request
+from ospreyline.net.upstreams import ExchangeFailure, ExchangeStage, FailureReason
 
 if TYPE_CHECKING:
-    from ospreyline.net.turn import Taken, Turn
+    from ospreyline.net.dispatcher import EventDispatcher, PendingVisit
     from ospreyline.operator_settings import TakeoverSettings
 
 _LETTERS = {kind: letter for letter, kind in KIND_BY_BYTE.items()}
@@ -38,12 +38,12 @@
     trace: bytes
 
 
-class Covering:
+class TakeoverAdapter:
     """The event dispatcher's side of takeover."""
 
     def __init__(
         self,
-        turn: Turn,
+        dispatcher: EventDispatcher,
         settings: TakeoverSettings,
         name: str,
         zone: str,
@@ -61,7 +61,7 @@
             settings.uncovered == "refuse",
             max_fetches,
         )
-        self._turn = turn
+        self._dispatcher = dispatcher
         # by tag: the action, with arguments, that waits for an event of takeover
         self._waiting: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
         self._retry_deadlines: dict[int, float] = {}  # by tag: ms, deadline of a client that asks again
@@ -69,7 +69,7 @@
     # calls of the dispatcher
 
     def _visit_id(self, request: Request) -> str:
-        return f"{self._turn.prefix_name(request.prefix)} {request.trace.decode('latin-1')}"
+        return f"{self._dispatcher.prefix_name(request.prefix_index)} {request.request_id.decode('latin-1')}"
 
     def _encode_request(self, request: Request, kind: Kind) -> bytes:
         return _LETTERS[kind] + _ENCODER.encode(
@@ -78,104 +78,104 @@
                 request.path,
                 request.fields,
                 request.body,
-                self._turn.prefix_name(request.prefix),
-                request.trace,
+                self._dispatcher.prefix_name(request.prefix_index),
+                request.request_id,
             )
         )
 
-    def joins(self, request: Request, client: Client) -> bool:
+    def joins(self, request: Request, client: ClientConnection) -> bool:
         """Whether a client that asks again is joined to its visit in progress here."""
-        if not request.asks:
+        if not request.asks_for_outcome:
             return False
-        for taken in self._turn.visits.values():
-            if taken.request.trace == request.trace and not taken.answered:
-                if taken.client is not None:
-                    taken.client.out = None
-                    taken.client.drop("its client asks again on another")
-                taken.client, taken.left, client.tag = client, False, taken.tag
-                self._turn.counts["joined"] += 1
+        for pending in self._dispatcher.visits.values():
+            if pending.request.request_id == request.request_id and not pending.answered:
+                if pending.client is not None:
+                    pending.client.current_request = None
+                    pending.client.close("its client asks again on another")
+                pending.client, pending.client_left, client.tag = client, False, pending.tag
+                self._dispatcher.counts["joined"] += 1
                 return True
         return False
 
-    def begins(self, now: float, taken: Taken, left: float, kind: Kind) -> bool:
+    def begins(self, now: float, pending: PendingVisit, left: float, kind: Kind) -> bool:
         """A visit has arrived; returns whether the decision module gets it now."""
-        request = taken.request
-        if request.asks:
-            self._retry_deadlines[taken.tag] = now + left
+        request = pending.request
+        if request.asks_for_outcome:
+            self._retry_deadlines[pending.tag] = now + left
             self.takeover.claim_for_client(
-                now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+                now, pending.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
             )
             self._send_messages()
             return False
         if not self.takeover.admit(
-            now, taken.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
+            now, pending.tag, self._visit_id(request), kind, self._encode_request(request, kind), left
         ):
-            self._turn.refuse(taken.tag)
+            self._dispatcher.refuse(pending.tag)
             return False
         return True
 
-    def decided(self, now: float, taken: Taken) -> None:
+    def decided(self, now: float, pending: PendingVisit) -> None:
         """The decision module has decided on a visit: one that is queued is registered at its acceptors."""
-        if not taken.answered and not taken.errands:
-            self.takeover.register_queued(now, taken.tag)
+        if not pending.answered and not pending.exchanges:
+            self.takeover.register_queued(now, pending.tag)
 
     def may_write(
-        self, now: float, taken: Taken, number: int, upstream: int, times: int, until: float
+        self, now: float, pending: PendingVisit, number: int, upstream: int, times: int, until: float
     ) -> bool:
         """Whether a fetch may be written now; else it is written when its grant arrives."""
-        zone, cell = self._turn.place(upstream)
-        if self.takeover.request_send(now, taken.tag, number, zone, cell, now <= self._turn.stood_to):
+        zone, cell = self._dispatcher.place(upstream)
+        if self.takeover.request_send(now, pending.tag, number, zone, cell, now <= self._dispatcher.stood_to):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._turn.write, (taken, number, upstream, times, until))
+        self._waiting[pending.tag] = (self._dispatcher.write, (pending, number, upstream, times, until))
         self._send_messages()
         return False
 
-    def called_off(self, taken: Taken, number: int) -> bool:
+    def called_off(self, pending: PendingVisit, number: int) -> bool:
         """Whether a cancelled fetch still waited here for its grant, and so is never sent."""
-        action, args = self._waiting.get(taken.tag, (None, ()))
-        if action != self._turn.write or args[1] != number:
+        action, args = self._waiting.get(pending.tag, (None, ()))
+        if action != self._dispatcher.write or args[1] != number:
             return False
-        del self._waiting[taken.tag]
-        self.takeover.cancel_send(taken.tag, number)
+        del self._waiting[pending.tag]
+        self.takeover.cancel_send(pending.tag, number)
         return True
 
-    def may_bounce(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
-        if self.takeover.refuse(now, taken.tag):
+    def may_bounce(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
+        if self.takeover.refuse(now, pending.tag):
             self._send_messages()
             return True
-        self._waiting[taken.tag] = (self._turn.reply, reply)
+        self._waiting[pending.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return False
 
-    def may_tell(self, now: float, taken: Taken, reply: tuple[Any, ...]) -> bool:
+    def may_tell(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
         """A visit is delivered: store its answer for clients that ask again; returns whether its client is
         answered now."""
         _, status, head, body = reply
         at_once = self.takeover.record_answer(
-            now, taken.tag, _ENCODER.encode((status, head, body)), now <= self._turn.stood_to
+            now, pending.tag, _ENCODER.encode((status, head, body)), now <= self._dispatcher.stood_to
         )
         if not at_once:
-            self._waiting[taken.tag] = (self._turn.reply, reply)
+            self._waiting[pending.tag] = (self._dispatcher.reply, reply)
         self._send_messages()
         return at_once
 
-    def failed(self, now: float, taken: Taken) -> None:
-        self.takeover.fail(now, taken.tag)
+    def failed(self, now: float, pending: PendingVisit) -> None:
+        self.takeover.fail(now, pending.tag)
         self._send_messages()
 
-    def goes_on(self, now: float, taken: Taken, kind: Kind) -> bool:
+    def goes_on(self, now: float, pending: PendingVisit, kind: Kind) -> bool:
         """The client has left; returns whether the visit continues, so that its answer can be asked for."""
-        fetches = taken.handle.fetches if taken.handle is not None else []
+        fetches = pending.decision.fetches if pending.decision is not None else []
         # An end that is still queued behind the client's leaving is not decided yet, and may be the answer.
-        out = [e for e, f in zip(taken.errands, fetches, strict=False) if e is not None and f.end is None]
-        if kind is not Kind.READ_LIKE and any(e.stage > Stage.CONNECTING for e in out):
-            return taken.tag in self.takeover.visits
+        out = [e for e, f in zip(pending.exchanges, fetches, strict=False) if e is not None and f.end is None]
+        if kind is not Kind.READ_LIKE and any(e.stage > ExchangeStage.CONNECTING for e in out):
+            return pending.tag in self.takeover.visits
         # Without closing a mutating visit's ballot here, a client that asked again waited for an answer until
         # its deadline. A visit that may have run has ended or continues: of the rest no fetch ran or will
         # run.
-        sent = kind is not Kind.MUTATING and any(e is not None for e in taken.errands)
-        self.takeover.abandon(now, taken.tag, sent)
+        sent = kind is not Kind.MUTATING and any(e is not None for e in pending.exchanges)
+        self.takeover.abandon(now, pending.tag, sent)
         self._send_messages()
         return False
 
@@ -188,14 +188,14 @@
 
     def _send_messages(self) -> None:
         """Send takeover's messages; its events are processed in a later batch."""
-        if self._turn.bank is not None:
-            self._turn.bank.carry_out()
+        if self._dispatcher.bank is not None:
+            self._dispatcher.bank.carry_out()
 
     def overdue(self, tag: int) -> bool:
         """The client's deadline has passed; returns whether its answer still waited here for an event that
         did not come."""
         action, _ = self._waiting.get(tag, (None, ()))
-        if action != self._turn.reply:
+        if action != self._dispatcher.reply:
             return False
         del self._waiting[tag]
         return True
@@ -211,8 +211,8 @@
             for what, tag, details in news:
                 if what == "adopt":
                     self._adopt(now, tag, *details)
-                elif (taken := self._turn.visits.get(tag)) is not None:
-                    self._handle_event(now, taken, what, details)
+                elif (pending := self._dispatcher.visits.get(tag)) is not None:
+                    self._handle_event(now, pending, what, details)
         if self.takeover.out:
             self._send_messages()
 
@@ -223,46 +223,52 @@
         acceptor = self.takeover.guardian
         return {**counts, "cover_guards": len(acceptor.works), "cover_bytes": acceptor.stored_bytes}
 
-    def _handle_event(self, now: float, taken: Taken, what: str, details: Any) -> None:
-        turn = self._turn
-        deadline = self._retry_deadlines.pop(taken.tag, 0.0)
-        action, args = self._waiting.pop(taken.tag, (None, ()))
+    def _handle_event(self, now: float, pending: PendingVisit, what: str, details: Any) -> None:
+        dispatcher = self._dispatcher
+        deadline = self._retry_deadlines.pop(pending.tag, 0.0)
+        action, args = self._waiting.pop(pending.tag, (None, ()))
         if what in ("go", "refused", "told"):
             if action is not None:
-                turn.note(action, *args)
+                dispatcher.enqueue(action, *args)
             return
-        if action == turn.write:
+        if action == dispatcher.write:
             # it was never written: the decision module may send it elsewhere if the visit is still ours
-            turn.note(turn.ended, taken, args[1], Cut(Stage.CONNECTING, Why.WITHDRAWN))
+            dispatcher.enqueue(
+                dispatcher.ended,
+                pending,
+                args[1],
+                ExchangeFailure(ExchangeStage.CONNECTING, FailureReason.WITHDRAWN),
+            )
         if what == "answer":
-            self._reply_with_stored_answer(now, taken, details)
+            self._reply_with_stored_answer(now, pending, details)
         elif what == "unknown":
-            turn.note(turn.reply, taken, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
-            turn.close_visit(now, taken)
+            dispatcher.enqueue(dispatcher.reply, pending, 502, MAY_HAVE_RUN_HEADER, b"it may have run\n")
+            dispatcher.close_visit(now, pending)
         elif what == "lost":
             # another balancer has it: nothing more is sent; a fetch in progress may still be recorded
-            if taken.client is not None:
-                client, taken.client = taken.client, None
-                client.out = None
-                client.drop("another balancer has taken its request over")
-            if not any(e is not None and e.done is not None for e in taken.errands):
-                turn.close_visit(now, taken)
+            if pending.client is not None:
+                client, pending.client = pending.client, None
+                client.current_request = None
+                client.close("another balancer has taken its request over")
+            if not any(e is not None and e.on_end is not None for e in pending.exchanges):
+                dispatcher.close_visit(now, pending)
         elif what == "take":
-            turn.decide(now, taken, max(0.0, deadline - now), details)
+            dispatcher.decide(now, pending, max(0.0, deadline - now), details)
         elif what == "bounce":
-            turn.refuse(taken.tag)
+            dispatcher.refuse(pending.tag)
 
-    def _reply_with_stored_answer(self, now: float, taken: Taken, encoded_answer: bytes) -> None:
-        turn = self._turn
+    def _reply_with_stored_answer(self, now: float, pending: PendingVisit, encoded_answer: bytes) -> None:
+        dispatcher = self._dispatcher
         reply: tuple[int, bytes, bytes] = (502, b"", b"it was answered, and its answer is not kept\n")
         if encoded_answer:
             try:
                 reply = msgspec.msgpack.decode(encoded_answer, type=tuple[int, bytes, bytes])
             except msgspec.MsgspecError:
-                turn.counts["unreadable_answers"] += 1  # invalid data from a peer affects only its visit
+                # invalid data from a peer affects only its visit
+                dispatcher.counts["unreadable_answers"] += 1
         status, head, body = reply
-        turn.note(turn.reply, taken, status, head + ANSWERED_HEADER, body)
-        turn.close_visit(now, taken)
+        dispatcher.enqueue(dispatcher.reply, pending, status, head + ANSWERED_HEADER, body)
+        dispatcher.close_visit(now, pending)
 
     def _adopt(
         self, now: float, tag: int, encoded: bytes, kind: Kind, prior_fetches: list[PriorFetch], left: float
@@ -272,10 +278,10 @@
             stored = msgspec.msgpack.decode(encoded[1:], type=StoredRequest)
         except msgspec.MsgspecError:
             return self.takeover.remove(tag)  # invalid data from a peer is ignored
-        prefix = self._turn.prefixes.get(stored.prefix.encode())
+        prefix = self._dispatcher.prefixes.get(stored.prefix.encode())
         if prefix is None:
             return self.takeover.abandon(now, tag)
         request = Request(
             stored.method, stored.path, stored.fields, stored.body, prefix, stored.trace, None, True
         )
-        self._turn.adopt_visit(now, tag, request, left, prior_fetches)
+        self._dispatcher.adopt_visit(now, tag, request, left, prior_fetches)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,8 +21,8 @@
 from test_clients import play
 
 from ospreyline.net import clients, upstreams
-from ospreyline.net.discovery import Discovery
-from ospreyline.net.listing import News
+from ospreyline.net.discovery import ListClient
+from ospreyline.net.listing import ListUpdate
 
 OWN_DESCRIPTORS = 16  # the most that an idle process has; 14 here
 PATIENT = 30.0  # s, timeout of a process, as others may keep the machine busy
@@ -57,7 +57,7 @@
     # connections were evicted again and again in one pass, but closed only after it: half the limit too many
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             idle = [await caller(service) for _ in range(most // 2)]
             for client in idle:
                 if asked:
@@ -80,7 +80,7 @@
     async def story():
         monkeypatch.setattr(upstreams, "SETTLE_MS", 1e9)  # no connection is reused after its answer
         async with running(Peer(), sockets=64) as service:
-            pool = service.turn.upstreams
+            pool = service.dispatcher.upstreams
             pool.max_open = 4
             callers = [await caller(service) for _ in range(8)]
             for client in callers[:4]:
@@ -106,14 +106,14 @@
 def test_a_send_that_ends_before_its_connection_begins_leaves_nothing_open(turn):
     async def story():
         async with running(Peer(), sockets=64) as service:
-            pool = service.turn.upstreams
+            pool = service.dispatcher.upstreams
             here, ended = descriptors(), []
-            errand = upstreams.Errand(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
-            pool.pools[0].run(errand)
+            exchange = upstreams.Exchange(b"GET / HTTP/1.1\r\n", b"", pool.clock(), 1e3, False, ended.append)
+            pool.pools[0].run(exchange)
             assert len(pool.open) == 1
             if turn == "next":
                 await asyncio.sleep(0)
-            errand.cut(upstreams.Why.CALLED_OFF)
+            exchange.fail(upstreams.FailureReason.CANCELLED)
             await until(lambda: not pool.open and descriptors() == here)
             assert len(ended) == 1
 
@@ -125,7 +125,7 @@
     # after a late pass the listener may be read before a request that waits in a connection's socket
     async def story():
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             held = [await caller(service) for _ in range(most // 2)]
             if asked:
                 for client in held:
@@ -141,7 +141,7 @@
             for client in held[:-1]:
                 assert (await client.answer())[0] == 200
             assert await held[-1].reader.read() == b""
-            assert service.turn.counts["made_room"] == 1
+            assert service.dispatcher.counts["made_room"] == 1
             new[0].close()
 
     play(story)
@@ -151,9 +151,9 @@
     # it was accepted 20 ms later: a request with that much time left was lost
     async def story():
         monkeypatch.setattr(clients, "SILENT_EVICTION_AGE_S", 60.0)
-        monkeypatch.setattr(clients.Clients, "_evict_idle", lambda *_: False)  # all are busy
+        monkeypatch.setattr(clients.ClientListener, "_evict_idle", lambda *_: False)  # all are busy
         async with running(Peer(), sockets=64) as service:
-            most = service.turn.max_clients
+            most = service.dispatcher.max_clients
             held = [await caller(service) for _ in range(most)]
             await until(lambda: len(service.clients.open) == most)
             (sock,) = waiting(service, 1)
@@ -187,7 +187,7 @@
     log, most = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None), 0
     for steps in product(range(11), repeat=5):
         loop = NeverConnectingLoop()
-        calls = Discovery(loop, ("h", 1), 1, log, lambda news: None, lambda wait: None)
+        calls = ListClient(loop, ("h", 1), 1, log, lambda update: None, lambda wait: None)
         calls.watch(True)
 
         def wait(loop=loop, calls=calls):
@@ -195,10 +195,10 @@
             calls.tidy()
 
         for rev, step in enumerate(steps, 2):
-            news = News(rev, False, [])
-            kinds = [partial(calls.watch, True), partial(calls.move, ("h", 2)), wait]
+            update = ListUpdate(rev, False, [])
+            kinds = [partial(calls.watch, True), partial(calls.change_address, ("h", 2)), wait]
             for call in calls._calls:
-                kinds += [partial(calls.update_received, call, news), partial(calls.call_ended, call, "x")]
+                kinds += [partial(calls.update_received, call, update), partial(calls.call_ended, call, "x")]
             if step >= len(kinds):
                 break
             kinds[step]()
--- a/tests/test_list_turned_away.py
+++ b/tests/test_list_turned_away.py
@@ -33,7 +33,7 @@
 )
 
 from ospreyline.lease import ConnectionRefused, LeaseMessage, MessageComplete, UpdateLost, UpdateRead
-from ospreyline.net.discovery import Discovery
+from ospreyline.net.discovery import ListClient
 
 REJECTING_FOR = 8.5  # s for which the service rejects all calls
 
@@ -84,7 +84,7 @@
         registry = Registry()
         await registry.start()
         steps: list[LeaseMessage] = []
-        lists = Discovery(
+        lists = ListClient(
             asyncio.get_running_loop(),
             ("127.0.0.1", registry.port),
             3,
@@ -103,11 +103,11 @@
         # a watch with an unreadable last line has lost an update
         steps.clear()
         await registry.start()
-        lists.move(("127.0.0.1", registry.port))
+        lists.change_address(("127.0.0.1", registry.port))
         await registry.tell(5, target("u0", 1))
-        await wait_for(lambda: lists.told_by_watch)
+        await wait_for(lambda: lists.watch_answered)
         await registry.say(b'{"rev":6}\n')
-        await wait_for(lambda: not lists.watching)
+        await wait_for(lambda: not lists.has_watch)
         assert UpdateLost in map(type, steps) and MessageComplete not in map(type, steps)
         lists.close()
 
@@ -118,9 +118,9 @@
 def test_a_pushed_list_counts_at_once_and_not_by_calls_that_are_turned_away(how, counts_later):
     async def run() -> None:
         async with running(Peer(), registry=Registry(), Discovery=how) as service:
-            lease = service.turn.balancer.lease
-            service.turn._on_lease_message(0.0, UpdateRead(1, 3, False))
-            service.turn._on_lease_message(1.0, MessageComplete(2, False))
+            lease = service.dispatcher.balancer.lease
+            service.dispatcher._on_lease_message(0.0, UpdateRead(1, 3, False))
+            service.dispatcher._on_lease_message(1.0, MessageComplete(2, False))
             assert lease.blocks_sends(600.0) is not counts_later
             assert lease.blocks_sends(NOTIFIED_AFTER * 1e3 + 600.0)
 
