--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from time import perf_counter
 
-from ospreyline.fleet.frames import Say
+from ospreyline.fleet.frames import TakeoverMessage
 from ospreyline.fleet.guard import Acceptor, Proposer
 
 VISIT = "v"
@@ -35,7 +35,7 @@
 
     acceptors: list[Acceptor]
     proposers: dict[str, Proposer]
-    in_flight: list[Say] = field(default_factory=list)
+    in_flight: list[TakeoverMessage] = field(default_factory=list)
     # by balancer: those that wrote the fetch, in order; those that told the client that the visit never ran
     writers: list[str] = field(default_factory=list)
     refusers: list[str] = field(default_factory=list)
@@ -123,7 +123,7 @@
     def steps(self, state: State) -> list[tuple[str, int | str]]:
         """The possible next steps as (kind, target), in a fixed order."""
         out: list[tuple[str, int | str]] = []
-        seen: set[Say] = set()
+        seen: set[TakeoverMessage] = set()
         for i, message in enumerate(state.in_flight):
             if message not in seen:
                 seen.add(message)
@@ -171,7 +171,7 @@
         return description
 
     @staticmethod
-    def still_matters(state: State, message: Say) -> bool:
+    def still_matters(state: State, message: TakeoverMessage) -> bool:
         """Whether a message to a balancer can still change its state."""
         proposer = state.proposers.get(message.to)
         if (
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -21,15 +21,15 @@
     DEAD,
     LEFT,
     SUSPECT,
+    AcceptorSession,
     Entry,
+    Heartbeat,
     Hint,
     Message,
-    Pulse,
     RelayedList,
     RelaySubscribe,
     RelayUnavailable,
-    Say,
-    Sit,
+    TakeoverMessage,
 )
 from ospreyline.fleet.kept import write_atomically
 from ospreyline.fleet.links import Links
@@ -217,7 +217,7 @@
 
     def _on_message(self, name: str, message: Message) -> None:
         now = self._now()
-        if isinstance(message, Sit | Pulse | Say):
+        if isinstance(message, AcceptorSession | Heartbeat | TakeoverMessage):
             if self.takeover is not None:
                 self.takeover.heard(now, name, message)
         elif isinstance(message, Hint):
--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -16,7 +16,7 @@
 
 VERSION = 3
 MAX_MESSAGE_BYTES = 1 << 20
-HEAD = Struct(">2sBxII")  # magic, version, length, checksum
+HEADER = Struct(">2sBxII")  # magic, version, length, checksum
 MAGIC = b"os"
 
 
@@ -120,26 +120,26 @@
     )  # a relay that calls the service until it answers
 
 
-class Sit(_Message, tag="s", kw_only=True):
+class AcceptorSession(_Message, tag="s", kw_only=True):
     """Opens an acceptor session: the sender stores takeover records of the receiver, whose messages on this
     link name this session."""
 
     session: int
 
 
-class Pulse(_Message, tag="u", kw_only=True):
+class Heartbeat(_Message, tag="u", kw_only=True):
     """Heartbeat between an owner of visits and its acceptors; answered by the same with `back` set."""
 
     back: bool = False
 
 
 Ballot = tuple[int, str]  # (round, proposer); the owner of a visit has (0, name)
-NOBODY: Ballot = (-1, "")
+NO_BALLOT: Ballot = (-1, "")
 # a backend fetch that may have been sent: ballot, fetch number, zone, cell, ms since it was recorded
-Permit = tuple[Ballot, int, str, int, float]
+Grant = tuple[Ballot, int, str, int, float]
 
 
-class Say(msgspec.Struct, frozen=True, tag_field="k", tag="g", omit_defaults=True):
+class TakeoverMessage(msgspec.Struct, frozen=True, tag_field="k", tag="g", omit_defaults=True):
     """A takeover message between the proposer of a visit (its owner or a successor) and an acceptor."""
 
     what: str  # request: register, permit, claim or answer; reply: yes or no
@@ -149,7 +149,7 @@
     to: str = ""  # the receiver: an acceptor, or the proposer that is answered
     by: str = ""  # the sender
     body: bytes = b""
-    permits: tuple[Permit, ...] = ()
+    permits: tuple[Grant, ...] = ()
     promised: Ballot = (0, "")
     about: str = ""  # of a reply: the kind of request that it answers
     guards: tuple[str, ...] = ()  # acceptors as the owner chose them; empty in a reply: the visit is unknown
@@ -160,14 +160,14 @@
     left: float = 0.0  # ms until the client gives up
     serial: int = 0  # of a registration on its link; one not greater than the last is refused
     here: bool = False  # of a reply: the holder of a grant is linked to the acceptor
-    closed: Ballot = NOBODY  # of a reply: nothing runs any more under this ballot or earlier ones
+    closed: Ballot = NO_BALLOT  # of a reply: nothing runs any more under this ballot or earlier ones
 
 
 # version of a scope that a subscriber has: (name, epoch, number, digest of its contents)
-Named = tuple[str, int, int, int]
+ScopeVersion = tuple[str, int, int, int]
 
 
-class Item(msgspec.Struct, frozen=True, array_like=True):
+class ScopeItem(msgspec.Struct, frozen=True, array_like=True):
     """A route or an upstream of a scope, as of version `n`; `told`: ms since the source said it drains."""
 
     key: str
@@ -184,7 +184,7 @@
     edition: int  # of the set of scopes; the next one adds and removes scopes, or lists all again (`whole`)
     at: float  # ms on the subscriber's clock
     rate: int  # bytes per second that the subscriber accepts
-    scopes: list[Named] = []
+    scopes: list[ScopeVersion] = []
     drop: list[str] = []
     whole: bool = False
     more: bool = False  # the list of scopes continues in the next edition
@@ -198,19 +198,19 @@
     session: int
 
 
-class Got(_Message, tag="o", kw_only=True):
+class ChangeAck(_Message, tag="o", kw_only=True):
     """Acknowledges changes, and is the heartbeat of a subscriber."""
 
     session: int
     edition: int
     at: float
     holds: int = 0  # digest of the versions of all scopes that the subscriber has
-    scopes: list[Named] = []  # current versions of the scopes that changes were received for
-    answer: bool = True  # whether a `Told` is requested
+    scopes: list[ScopeVersion] = []  # current versions of the scopes that changes were received for
+    answer: bool = True  # whether a `FreshnessReport` is requested
     seen: int = 0
 
 
-class Change(_Message, tag="c", kw_only=True):
+class ScopeChange(_Message, tag="c", kw_only=True):
     """The newest version of a scope: its changes since a version, or all of it (`since` is 0, 0)."""
 
     session: int
@@ -218,7 +218,7 @@
     epoch: int
     n: int
     since: tuple[int, int] = (0, 0)
-    items: list[Item] = []
+    items: list[ScopeItem] = []
     digest: int = 0  # of the scope at the new version
     gone: bool = False  # the scope was removed
     drains: bool = False  # sent before other pending changes: these items are draining
@@ -227,13 +227,14 @@
     echo: float = 0.0  # latest `at` received from the subscriber
 
 
-class Told(_Message, tag="r", kw_only=True):
-    """Answers `Got`: the age of the data that the subscriber has."""
+class FreshnessReport(_Message, tag="r", kw_only=True):
+    """Answers `ChangeAck`: the age of the data that the subscriber has."""
 
     session: int
     edition: int
     echo: float
-    age: float = -1.0  # ms; all versions in the `Got` were current at the source then or later; -1: unknown
+    # ms; all versions in the `ChangeAck` were current at the source then or later; -1: unknown
+    age: float = -1.0
     own: float = -1.0  # likewise for the data of the publisher itself
     clean: bool = False  # no changes are pending
     epoch: int = 0  # the publisher has all changes up to this version
@@ -253,14 +254,14 @@
     | RelaySubscribe
     | RelayedList
     | RelayUnavailable
-    | Sit
-    | Pulse
-    | Say
+    | AcceptorSession
+    | Heartbeat
+    | TakeoverMessage
     | Subscribe
     | Unsubscribe
-    | Got
-    | Change
-    | Told
+    | ChangeAck
+    | ScopeChange
+    | FreshnessReport
 )
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Message)
@@ -269,7 +270,7 @@
 def encode(message: Message) -> bytes:
     """The message as one frame."""
     body = _ENCODER.encode(message)
-    return HEAD.pack(MAGIC, VERSION, len(body), crc32(body)) + body
+    return HEADER.pack(MAGIC, VERSION, len(body), crc32(body)) + body
 
 
 class Reader:
@@ -285,18 +286,18 @@
         buffer = self._buffer
         buffer += data
         messages: list[Message] = []
-        while len(buffer) >= HEAD.size:
-            magic, version, length, checksum = HEAD.unpack_from(buffer)
+        while len(buffer) >= HEADER.size:
+            magic, version, length, checksum = HEADER.unpack_from(buffer)
             if magic != MAGIC:
                 raise FrameError("not a balancer frame")
             if abs(version - VERSION) > 1:
                 raise FrameError(f"unsupported protocol version {version}, ours is {VERSION}")
             if length > MAX_MESSAGE_BYTES:
                 raise FrameError(f"message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")
-            if len(buffer) < HEAD.size + length:
+            if len(buffer) < HEADER.size + length:
                 break
-            body = bytes(buffer[HEAD.size : HEAD.size + length])
-            del buffer[: HEAD.size + length]
+            body = bytes(buffer[HEADER.size : HEADER.size + length])
+            del buffer[: HEADER.size + length]
             if crc32(body) != checksum:
                 raise FrameError("checksum mismatch")
             try:
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/guard.py
@@ -33,7 +33,7 @@
 from hashlib import blake2b
 from math import inf
 
-from ospreyline.fleet.frames import NOBODY, Ballot, Permit, Say
+from ospreyline.fleet.frames import NO_BALLOT, Ballot, Grant, TakeoverMessage
 
 ACCEPTORS_PER_VISIT = 3  # of a visit
 NEVER_RAN = b"\0never ran"  # answer value: the ballot is closed and nothing of it may have run
@@ -69,7 +69,7 @@
     body: bytes = b""
     answer: bytes = b""
     answered: bool = False
-    closed: Ballot = NOBODY
+    closed: Ballot = NO_BALLOT
     grants: dict[tuple[Ballot, int], tuple[str, int, float]] = field(default_factory=dict)
     session: int = 0  # of the link on which it was registered or last claimed
     expires_at: float = 0.0
@@ -77,7 +77,7 @@
 
     def grant_holder(self) -> str:
         """The balancer that may have a fetch of the visit in progress; empty: none."""
-        last = max(self.grants)[0] if self.grants else NOBODY
+        last = max(self.grants)[0] if self.grants else NO_BALLOT
         return last[1] if last > self.closed else ""
 
     @property
@@ -99,7 +99,7 @@
         self.retention_ms = retention_ms
         self.works: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
         self.sessions: dict[str, int] = {}  # by member: session of its current link
-        self.out: list[Say] = []
+        self.out: list[TakeoverMessage] = []
         self.stored_bytes = 0
         self.rejections = 0
         self._serials: dict[str, int] = {}  # by member: serial of its last registration on that link
@@ -120,7 +120,7 @@
             if not record.finished and record.grant_holder() == member:
                 self._notify_claimant(now, visit_id, record, member)
 
-    def receive(self, now: float, say: Say) -> Say:
+    def receive(self, now: float, say: TakeoverMessage) -> TakeoverMessage:
         """Record a message if its session and ballot allow; returns the reply."""
         self.expire(now)
         record = self.works.get(say.work)
@@ -145,7 +145,9 @@
             record.closed = say.ballot
         return self._accept(now, say, record)
 
-    def _register(self, now: float, say: Say, record: TakeoverRecord | None) -> TakeoverRecord | None:
+    def _register(
+        self, now: float, say: TakeoverMessage, record: TakeoverRecord | None
+    ) -> TakeoverRecord | None:
         """The record of a registered visit; None if the registration is refused."""
         if record is not None:
             return record if record.promised == say.ballot else None  # claimed, or owned by another
@@ -166,7 +168,7 @@
         )
         return record
 
-    def _record_answer(self, now: float, say: Say, record: TakeoverRecord) -> Say:
+    def _record_answer(self, now: float, say: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
         """Record the visit's answer, or that its balancer has given it up (MAY_HAVE_RUN)."""
         if not record.answered:
             if say.body == MAY_HAVE_RUN and say.ballot < record.promised:
@@ -178,7 +180,7 @@
             self._notify_claimant(now, say.work, record, say.by)
         return self._accept(now, say, record)
 
-    def _promise(self, now: float, say: Say, record: TakeoverRecord | None) -> Say:
+    def _promise(self, now: float, say: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
         if record is None:
             # Recorded even if unknown, so that a late registration cannot restore the owner's ballot.
             if not self._make_room(0):
@@ -237,12 +239,12 @@
     def _notify_claimant(self, now: float, visit_id: str, record: TakeoverRecord, by: str) -> None:
         name = record.promised[1]
         if record.promised[0] and name != by and name in self.sessions:
-            asked = Say("claim", visit_id, record.promised, self.sessions[name], self.name, name)
+            asked = TakeoverMessage("claim", visit_id, record.promised, self.sessions[name], self.name, name)
             self.out.append(self._accept(now, asked, record))
 
-    def _accept(self, now: float, say: Say, record: TakeoverRecord) -> Say:
+    def _accept(self, now: float, say: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
         if say.what != "claim":
-            return Say(
+            return TakeoverMessage(
                 "yes",
                 say.work,
                 say.ballot,
@@ -260,7 +262,7 @@
                 for (ballot, number), (zone, cell, at) in record.grants.items()
             )
         )
-        return Say(
+        return TakeoverMessage(
             "yes",
             say.work,
             say.ballot,
@@ -278,10 +280,10 @@
             closed=record.closed,
         )
 
-    def _reject(self, say: Say, record: TakeoverRecord | None) -> Say:
+    def _reject(self, say: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
         self.rejections += 1
         promised = record.promised if record is not None else (0, "")
-        return Say(
+        return TakeoverMessage(
             "no",
             say.work,
             say.ballot,
@@ -365,20 +367,20 @@
         self.serials = dict(serials or {})
         self.ballot: Ballot = (0, name)
         self.promised: Ballot = (0, "")  # the highest ballot seen
-        self.out: list[Say] = []
+        self.out: list[TakeoverMessage] = []
         self.has_quorum = self.owned = self.lost = self.may_have_run = self.granted = self.superseded = False
         self.refusal_recorded = self._refusing = self._registered = self._registering = False
         self.known_to_quorum = False  # after a claim: a quorum of acceptors knows the visit
         self.ever_granted = False  # a fetch of ours was granted
         self.unregistered = False  # a quorum refused to register it, so nobody can take it over
         self.grant_holder_linked = False  # a balancer with a grant is still linked to an acceptor
-        self.grants: dict[tuple[Ballot, int], Permit] = {}  # after a claim: grants of other balancers
-        self.client_retried, self.closed = client_retried, NOBODY
+        self.grants: dict[tuple[Ballot, int], Grant] = {}  # after a claim: grants of other balancers
+        self.client_retried, self.closed = client_retried, NO_BALLOT
         self.unreachable: set[str] = set()  # acceptors without a link; a claim does not wait for them
         self.answer: bytes | None = None
         self._requested = ""
         self._fetch_number = 0
-        self._accepts: dict[str, Say] = {}
+        self._accepts: dict[str, TakeoverMessage] = {}
         self._rejects: set[str] = set()
 
     @property
@@ -392,7 +394,7 @@
         first = what in ("register", "permit") and not self._registered and not self.ballot[0]
         self._registered, self._registering = self._registered or first, first
         self.out += [
-            Say(
+            TakeoverMessage(
                 what,
                 self.visit_id,
                 self.ballot,
@@ -426,7 +428,7 @@
         registers."""
         self.owned = self.owned or not (self._registered or self.ballot[0])
         barred = (self.may_have_run and not self.repeatable) or (
-            self.closed > NOBODY and not self.client_retried
+            self.closed > NO_BALLOT and not self.client_retried
         )
         if self.owned and not self.lost and not self._refusing and not barred:
             self.granted = False
@@ -444,7 +446,7 @@
         """Store the visit's answer at the acceptors for clients that ask again."""
         self._broadcast("answer", body)
 
-    def receive(self, say: Say) -> None:
+    def receive(self, say: TakeoverMessage) -> None:
         """Process an acceptor's reply; duplicated, late and foreign replies are ignored."""
         if say.by not in self.acceptors or say.ballot != self.ballot:
             return
--- a/ospreyline/fleet/hollow.py
+++ b/ospreyline/fleet/hollow.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from ospreyline.fleet.frames import ALIVE, Entry, Got, Message, Subscribe
+from ospreyline.fleet.frames import ALIVE, ChangeAck, Entry, Message, Subscribe
 from ospreyline.fleet.links import Links
 from ospreyline.fleet.publisher import MAX_SUBSCRIBERS, Fanout, Publisher, Source
 from ospreyline.fleet.scopes import GONE, LEAVING, PRESENT
@@ -99,7 +99,7 @@
         for to, message in out:
             if to not in self.blocked:
                 self.sent += 1
-                dial = isinstance(message, Subscribe | Got)
+                dial = isinstance(message, Subscribe | ChangeAck)
                 self.links.send(to, self.addresses.get(to) if dial else None, message)
 
 
--- a/ospreyline/fleet/publisher.py
+++ b/ospreyline/fleet/publisher.py
@@ -13,7 +13,16 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ospreyline.fleet.frames import Change, Got, Item, Message, Named, Subscribe, Told, Unsubscribe
+from ospreyline.fleet.frames import (
+    ChangeAck,
+    FreshnessReport,
+    Message,
+    ScopeChange,
+    ScopeItem,
+    ScopeVersion,
+    Subscribe,
+    Unsubscribe,
+)
 from ospreyline.fleet.scopes import (
     GONE,
     LEAVING,
@@ -68,7 +77,7 @@
     refilled_at: float
     complete: bool = True  # the list of its scopes is complete
     # by subscribed scope: the version that it has named
-    acked: dict[str, Named] = field(default_factory=dict)
+    acked: dict[str, ScopeVersion] = field(default_factory=dict)
     acked_digest: int = 0  # digest of the versions in `acked`
     # by scope that is not up to date: our freshness when it fell behind
     behind: dict[str, float] = field(default_factory=dict)
@@ -77,7 +86,8 @@
     drains: dict[tuple[str, str], None] = field(default_factory=dict)  # (scope, key)
     in_flight: dict[str, _InFlight] = field(default_factory=dict)
     unacked_bytes: int = 0
-    parts: deque[Change] = field(default_factory=deque)  # rest of the one change that is being sent in parts
+    # rest of the one change that is being sent in parts
+    parts: deque[ScopeChange] = field(default_factory=deque)
     mismatches: int = 0  # messages in a row whose digest was not the expected one
 
 
@@ -147,13 +157,13 @@
         sub = self._subscribers.get(name)
         if isinstance(message, Subscribe):
             self._subscribe(now, name, sub, message)
-        elif isinstance(message, Got):
+        elif isinstance(message, ChangeAck):
             if sub is None or message.session > sub.session:
                 # its session was with an earlier process of ours, or its `Subscribe` was lost
                 if message.answer:
                     self._request_full_subscription(name, message)
             elif message.session == sub.session:
-                self._handle_got(now, sub, message)
+                self._handle_ack(now, sub, message)
         elif isinstance(message, Unsubscribe) and sub is not None and sub.session == message.session:
             self.remove_subscriber(name)
 
@@ -167,8 +177,10 @@
         for scope in sub.acked:
             self._remove_from_scope(sub, scope)
 
-    def _request_full_subscription(self, name: str, message: Subscribe | Got) -> None:
-        self.out.append((name, Told(session=message.session, edition=0, echo=message.at, again=True)))
+    def _request_full_subscription(self, name: str, message: Subscribe | ChangeAck) -> None:
+        self.out.append(
+            (name, FreshnessReport(session=message.session, edition=0, echo=message.at, again=True))
+        )
 
     def _remove_from_scope(self, sub: _SubscriberState, scope: str) -> None:
         subscribers = self._by_scope.get(scope)
@@ -184,7 +196,9 @@
                 return
             self.remove_subscriber(name)
             if len(self._subscribers) >= MAX_SUBSCRIBERS:
-                self.out.append((name, Told(session=message.session, edition=0, echo=message.at, full=True)))
+                self.out.append(
+                    (name, FreshnessReport(session=message.session, edition=0, echo=message.at, full=True))
+                )
                 return
             rate = min(max(message.rate, MIN_RATE), MAX_RATE)
             sub = _SubscriberState(
@@ -250,7 +264,7 @@
             if sub.parts and sub.parts[0].scope == scope:
                 sub.parts.clear()
 
-    def _acknowledge(self, now: float, sub: _SubscriberState, named: Named) -> None:
+    def _acknowledge(self, now: float, sub: _SubscriberState, named: ScopeVersion) -> None:
         """The subscriber names its version of a scope, which counts, whatever we assumed."""
         scope, version = named[0], (named[1], named[2])
         had = sub.acked.get(scope)
@@ -295,7 +309,7 @@
         newest = max(self._complete_to(), found.version if found is not None else NO_VERSION)
         return newest if newest != NO_VERSION else None
 
-    def _handle_got(self, now: float, sub: _SubscriberState, message: Got) -> None:
+    def _handle_ack(self, now: float, sub: _SubscriberState, message: ChangeAck) -> None:
         sub.last_heard, sub.clock = now, max(sub.clock, message.at)
         if not sub.complete:
             if message.answer:
@@ -328,7 +342,7 @@
         self.out.append(
             (
                 sub.name,
-                Told(
+                FreshnessReport(
                     session=sub.session,
                     edition=sub.edition,
                     echo=sub.clock,
@@ -393,13 +407,13 @@
             self._send_change(now, sub, found)
 
     def _send_drains(self, now: float, sub: _SubscriberState) -> None:
-        by_scope: dict[str, list[Item]] = {}
+        by_scope: dict[str, list[ScopeItem]] = {}
         for scope, key in sub.drains:
             found = self.scopes.get(scope)
             record = found.records.get(key) if found is not None else None
             if record is not None and record.state != 0 and scope in sub.acked:
                 item = to_item(now, record)
-                by_scope.setdefault(scope, []).append(Item(item.key, item.n, item.state, b"", item.told))
+                by_scope.setdefault(scope, []).append(ScopeItem(item.key, item.n, item.state, b"", item.told))
         sub.drains.clear()
         for scope, items in by_scope.items():
             epoch, n = self.scopes[scope].version
@@ -407,7 +421,7 @@
                 self._send(
                     now,
                     sub,
-                    Change(
+                    ScopeChange(
                         session=sub.session,
                         scope=scope,
                         epoch=epoch,
@@ -417,7 +431,7 @@
                     ),
                 )
 
-    def _send(self, now: float, sub: _SubscriberState, change: Change) -> None:
+    def _send(self, now: float, sub: _SubscriberState, change: ScopeChange) -> None:
         change.echo = sub.clock
         size = 80 + len(change.scope) + sum(wire_size(i) for i in change.items)
         sub.tokens -= size
@@ -432,8 +446,8 @@
         newest = self._newest_version(name)
         if newest is None or newest <= base:
             return
-        change = Change(session=sub.session, scope=name, epoch=newest[0], n=newest[1], since=base)
-        items: list[Item] = []
+        change = ScopeChange(session=sub.session, scope=name, epoch=newest[0], n=newest[1], since=base)
+        items: list[ScopeItem] = []
         if held is None or held.version == NO_VERSION or held.gone:
             change.gone, change.since = True, NO_VERSION
         else:
@@ -452,7 +466,7 @@
             change.items = items
             self._send(now, sub, change)
             return
-        parts: list[list[Item]] = [[]]
+        parts: list[list[ScopeItem]] = [[]]
         remaining = PART_BYTES
         for item in items:
             if remaining < 0:
@@ -461,7 +475,7 @@
             parts[-1].append(item)
             remaining -= wire_size(item)
         sub.parts.extend(
-            Change(
+            ScopeChange(
                 session=sub.session,
                 scope=name,
                 epoch=change.epoch,
@@ -522,7 +536,7 @@
         self.publisher.scope_changed(now, name, [], now)
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        if isinstance(message, Subscribe | Got) and self.epoch < message.seen < MAX_EPOCH:
+        if isinstance(message, Subscribe | ChangeAck) and self.epoch < message.seen < MAX_EPOCH:
             # Our clock was set back: our versions must still follow those sent before.
             self.epoch = ((message.seen >> SALT_BITS) + 1) << SALT_BITS | self._salt
             for scope in self.scopes.values():
@@ -561,7 +575,7 @@
         return out
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        if isinstance(message, Subscribe | Got | Unsubscribe):
+        if isinstance(message, Subscribe | ChangeAck | Unsubscribe):
             self.down.receive(now, name, message)
             self.up.max_epoch = max(self.up.max_epoch, self.down.max_epoch)
             return
--- a/ospreyline/fleet/scopes.py
+++ b/ospreyline/fleet/scopes.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from math import inf
 
-from ospreyline.fleet.frames import Item, Named
+from ospreyline.fleet.frames import ScopeItem, ScopeVersion
 
 PRESENT, LEAVING, GONE = range(3)  # states of a record, as encoded
 Version = tuple[int, int]
@@ -64,7 +64,7 @@
     records: dict[str, Record] = field(default_factory=dict)
     tombstones: dict[str, float] = field(default_factory=dict)  # by key: ms, when it was created
 
-    def summary(self) -> Named:
+    def summary(self) -> ScopeVersion:
         return self.name, *self.version, 0 if self.gone else self.digest
 
     def put(
@@ -144,12 +144,12 @@
         return [record for record in self.records.values() if record.state != GONE]
 
 
-def to_item(now: float, record: Record) -> Item:
+def to_item(now: float, record: Record) -> ScopeItem:
     """A record in its wire form; the time since it leaves is given relative to `now`."""
     leaving_ms = max(0.0, now - record.leaving_since) if record.state == LEAVING else 0.0
-    return Item(record.key, record.n, record.state, record.body, leaving_ms)
+    return ScopeItem(record.key, record.n, record.state, record.body, leaving_ms)
 
 
-def wire_size(item: Item) -> int:
+def wire_size(item: ScopeItem) -> int:
     """Approximate bytes on the wire."""
     return 16 + len(item.key) + len(item.body)
--- a/ospreyline/fleet/subscriber.py
+++ b/ospreyline/fleet/subscriber.py
@@ -18,7 +18,16 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ospreyline.fleet.frames import Change, Got, Item, Message, Named, Subscribe, Told, Unsubscribe
+from ospreyline.fleet.frames import (
+    ChangeAck,
+    FreshnessReport,
+    Message,
+    ScopeChange,
+    ScopeItem,
+    ScopeVersion,
+    Subscribe,
+    Unsubscribe,
+)
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.fleet.scopes import (
     GONE,
@@ -90,7 +99,7 @@
     since: Version
     parts: int
     size: int = 0
-    received: dict[int, list[Item]] = field(default_factory=dict)
+    received: dict[int, list[ScopeItem]] = field(default_factory=dict)
 
 
 class Subscriber:
@@ -272,7 +281,7 @@
                 session.heartbeat_at = now + self._heartbeat_ms
                 self._send(
                     session.name,
-                    Got(
+                    ChangeAck(
                         session=session.number,
                         edition=self._edition,
                         at=now,
@@ -290,7 +299,7 @@
             for session in self._sessions.values():
                 self._send(
                     session.name,
-                    Got(
+                    ChangeAck(
                         session=session.number,
                         edition=self._edition,
                         at=now,
@@ -308,10 +317,10 @@
         elif now >= self._search_at and not self._candidate:
             self._try_candidate(now)
 
-    def _ack_summaries(self) -> list[Named]:
+    def _ack_summaries(self) -> list[ScopeVersion]:
         return [self._summary(scope) for scope in sorted(self._pending_acks)[:SCOPES_PER_MESSAGE]]
 
-    def _summary(self, scope: str) -> Named:
+    def _summary(self, scope: str) -> ScopeVersion:
         held = self.scopes.get(scope)
         return (scope, 0, 0, 0) if held is None or scope in self.mismatched else held.summary()
 
@@ -352,7 +361,7 @@
             )
 
     def _send_subscription_change(
-        self, now: float, scopes: list[Named] | None = None, drop: list[str] | None = None
+        self, now: float, scopes: list[ScopeVersion] | None = None, drop: list[str] | None = None
     ) -> None:
         for session in self._sessions.values():
             self._send(
@@ -417,16 +426,20 @@
     def receive(self, now: float, publisher: str, message: Message) -> None:
         """Process a message of a publisher."""
         session = self._sessions.get(publisher)
-        if not isinstance(message, Told | Change) or session is None or message.session != session.number:
+        if (
+            not isinstance(message, FreshnessReport | ScopeChange)
+            or session is None
+            or message.session != session.number
+        ):
             self.ignored += 1  # of an ended session, or of another publisher
             return
         session.last_heard = now
-        if isinstance(message, Told):
+        if isinstance(message, FreshnessReport):
             self._handle_status(now, session, message)
         else:
             self._handle_change(now, message)
 
-    def _handle_status(self, now: float, session: _Session, message: Told) -> None:
+    def _handle_status(self, now: float, session: _Session, message: FreshnessReport) -> None:
         if message.full:
             self.publisher_lost(now, session.name)
             return
@@ -475,7 +488,7 @@
             if not self._at_preferred() and self._search_at == inf and not self._candidate:
                 self._search_at = now + RETURN_INTERVAL_MS * (1 + self._draw())
 
-    def _handle_change(self, now: float, message: Change) -> None:
+    def _handle_change(self, now: float, message: ScopeChange) -> None:
         name, version = message.scope, (message.epoch, message.n)
         if (
             len(name) > MAX_NAME_CHARS
@@ -531,20 +544,20 @@
             version == held.version and since == NO_VERSION and name in self.mismatched
         )
 
-    def _is_applicable(self, message: Change, held: Scope) -> bool:
+    def _is_applicable(self, message: ScopeChange, held: Scope) -> bool:
         """Whether a change can be applied to what we have."""
         if message.since == held.version:
             # under another epoch the contents are the same only if nothing has changed meanwhile
             return message.epoch == held.version[0] or message.digest == held.digest
         return message.since[0] == message.epoch == held.version[0] and message.since[1] < held.version[1]
 
-    def _fits(self, message: Change, held: Scope | None, items: list[Item]) -> bool:
+    def _fits(self, message: ScopeChange, held: Scope | None, items: list[ScopeItem]) -> bool:
         more = sum(200 + len(i.key) + len(i.body) for i in items)
         less = held.size if held is not None and message.since == NO_VERSION else 0
         count = len(items) + (len(held.records) if held is not None and message.since != NO_VERSION else 0)
         return self.held_bytes + self._partial_bytes + more - less <= self._max_bytes and count <= MAX_RECORDS
 
-    def _assemble(self, message: Change, version: Version) -> list[Item] | None:
+    def _assemble(self, message: ScopeChange, version: Version) -> list[ScopeItem] | None:
         """All items once all parts have arrived, else None."""
         partial = self._partial.get(message.scope)
         is_ours = (version, message.since, message.parts)
@@ -572,7 +585,7 @@
             self._partial_bytes -= partial.size
 
     def _apply(
-        self, now: float, message: Change, version: Version, held: Scope | None, items: list[Item]
+        self, now: float, message: ScopeChange, version: Version, held: Scope | None, items: list[ScopeItem]
     ) -> None:
         name = message.scope
         snapshot = message.since == NO_VERSION
@@ -624,9 +637,9 @@
     def _apply_snapshot(
         self,
         now: float,
-        message: Change,
+        message: ScopeChange,
         held: Scope,
-        items: list[Item],
+        items: list[ScopeItem],
         early_drains: dict[str, int],
         changed: list[Record],
     ) -> None:
@@ -648,12 +661,14 @@
         gone = [r for k, r in old.items() if k not in held.records and r.state != GONE]
         changed += [Record(r.key, r.n, GONE, b"", inf, 0) for r in gone]
 
-    def _put_item(self, now: float, message: Change, held: Scope, item: Item, changed: list[Record]) -> None:
+    def _put_item(
+        self, now: float, message: ScopeChange, held: Scope, item: ScopeItem, changed: list[Record]
+    ) -> None:
         leaving_since = message.echo - item.told  # in transit time counts: never later than the truth
         held.put(now, item.key, item.n, item.state, item.body, leaving_since, self.everything)
         changed.append(held.records.get(item.key) or Record(item.key, item.n, GONE, b"", inf, 0))
 
-    def _apply_drains(self, message: Change, held: Scope) -> None:
+    def _apply_drains(self, message: ScopeChange, held: Scope) -> None:
         """Apply drains, which are sent ahead of the rest of their scope."""
         if message.epoch != held.version[0] or self.everything or held.gone:
             return
--- a/ospreyline/fleet/takeover.py
+++ b/ospreyline/fleet/takeover.py
@@ -25,7 +25,7 @@
 from math import ceil, inf, sqrt
 from typing import Any
 
-from ospreyline.fleet.frames import NOBODY, Message, Pulse, Say, Sit
+from ospreyline.fleet.frames import NO_BALLOT, AcceptorSession, Heartbeat, Message, TakeoverMessage
 from ospreyline.fleet.guard import MAY_HAVE_RUN, Acceptor, Proposer, choose_acceptors
 from ospreyline.host import Kind
 
@@ -163,7 +163,7 @@
     def linked(self, now: float, name: str) -> None:
         peer = self.peers.setdefault(name, Peer())
         peer.linked, peer.session, peer.serial, peer.last_heard, peer.unanswered_since = True, 0, 0, now, inf
-        self.out.append((name, Sit(session=self.guardian.start_session(name))))
+        self.out.append((name, AcceptorSession(session=self.guardian.start_session(name))))
 
     def unlinked(self, now: float, name: str) -> None:
         if (peer := self.peers.get(name)) is not None:
@@ -211,7 +211,7 @@
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + HEARTBEAT_MS
             for name in self.links():
-                self.out.append((name, Pulse()))
+                self.out.append((name, Heartbeat()))
         due = [o for o in self._orphans if o[0] <= now]
         if due:
             self._orphans = [o for o in self._orphans if o[0] > now]
@@ -485,7 +485,7 @@
             return self._widen_claim(now, visit)
         if not proposer.owned:
             return
-        if visit.orphan and proposer.closed > NOBODY:
+        if visit.orphan and proposer.closed > NO_BALLOT:
             return self._discard(visit)
         if not proposer.known_to_quorum:
             return self._widen_claim(now, visit)
@@ -506,7 +506,7 @@
         prior_fetches: list[PriorFetch] = [
             (zone, cell, age) for _, _, zone, cell, age in sorted(proposer.grants.values())
         ]
-        if visit.kind is Kind.READ_LIKE and proposer.closed == NOBODY:
+        if visit.kind is Kind.READ_LIKE and proposer.closed == NO_BALLOT:
             # fetches that the owner may have sent without a grant
             prior_fetches += [("", 0, 0.0)] * max(0, self.max_fetches - 1)
         if len(prior_fetches) >= self.max_fetches:
@@ -546,12 +546,12 @@
     def heard(self, now: float, name: str, message: Message) -> None:
         peer = self.peers.setdefault(name, Peer(True))
         peer.last_heard, peer.unanswered_since = now, inf
-        if isinstance(message, Sit):
+        if isinstance(message, AcceptorSession):
             peer.session, peer.serial = message.session, 0
-        elif isinstance(message, Pulse):
+        elif isinstance(message, Heartbeat):
             if not message.back:
-                self.out.append((name, Pulse(back=True)))
-        elif isinstance(message, Say):
+                self.out.append((name, Heartbeat(back=True)))
+        elif isinstance(message, TakeoverMessage):
             if message.by != name:
                 self.counts["foreign_words"] += 1  # a member may only send messages in its own name
             elif message.what in ("yes", "no"):
--- a/tests/scope_net.py
+++ b/tests/scope_net.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ospreyline.fleet.frames import HEAD, Change, Message, encode
+from ospreyline.fleet.frames import HEADER, Message, ScopeChange, encode
 from ospreyline.fleet.publisher import BURST_S, PART_BYTES, Fanout, Source
 from ospreyline.fleet.scopes import GONE, LEAVING, MAX_EPOCH, PRESENT
 from ospreyline.fleet.subscriber import BYTES_PER_S, Subscriber
@@ -209,7 +209,7 @@
     def send(self, out: list[tuple[str, Message]], me: str) -> None:
         for to, message in out:
             frame = encode(message)
-            if me.startswith("f") and to.startswith("b") and isinstance(message, Change):
+            if me.startswith("f") and to.startswith("b") and isinstance(message, ScopeChange):
                 self.sent[to] = self.sent.get(to, 0) + 1
                 if not message.drains:
                     self._check_rate(f"{me} to {to}, {message.session}", len(frame))
@@ -240,7 +240,7 @@
             self.now = max(self.now, at)
             if frozenset((me, to)) in self.cut:
                 continue
-            message = _DECODER.decode(frame[HEAD.size :])
+            message = _DECODER.decode(frame[HEADER.size :])
             if to == "source":
                 self.source.receive(self.now, me, message)
                 self.observe()
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -127,7 +127,7 @@
     ("wire", "why"),
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "not a balancer frame"),
-        (frames.HEAD.pack(frames.MAGIC, frames.VERSION - 1, 1 << 30, 0), "exceeds the limit"),
+        (frames.HEADER.pack(frames.MAGIC, frames.VERSION - 1, 1 << 30, 0), "exceeds the limit"),
         (frames.encode(frames.Ping(sequence=1)), "not a hello"),
         (
             frames.encode(Hello(bank="other", sender=Entry("x", "h:1", "z", 1, 0, ALIVE), to="a")),
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,7 +7,7 @@
 
 from ospreyline.check.guards import ACCEPTORS, VISIT, Explorer
 from ospreyline.fleet import guard
-from ospreyline.fleet.frames import Say
+from ospreyline.fleet.frames import TakeoverMessage
 from ospreyline.fleet.guard import Acceptor, Proposer, choose_acceptors
 
 
@@ -145,8 +145,8 @@
 
 def message(
     what: str, work: str = VISIT, session: int = 0, body: bytes = b"", round_: int = 0, serial: int = 1
-) -> Say:
-    return Say(
+) -> TakeoverMessage:
+    return TakeoverMessage(
         what,
         work,
         (round_, "o"),
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from ospreyline.fleet import hollow as process
-from ospreyline.fleet.frames import Change, Got, encode
+from ospreyline.fleet.frames import ChangeAck, ScopeChange, encode
 from ospreyline.fleet.publisher import Fanout, Source
 from ospreyline.fleet.scopes import LEAVING, PRESENT
 from ospreyline.fleet.subscriber import Subscriber
@@ -85,7 +85,7 @@
                     if not isinstance(one, Fanout):
                         one.out.clear()
                     for to, message in out:
-                        if to.startswith("b") and isinstance(message, Change):
+                        if to.startswith("b") and isinstance(message, ScopeChange):
                             self.messages += 1
                             self.items += len(message.items)
                             self.bytes += len(encode(message))
@@ -132,7 +132,7 @@
         here.links.loop = SimpleNamespace(
             create_connection=late, create_task=loop.create_task, time=loop.time
         )
-        message = Got(session=1, edition=1, at=1.0)
+        message = ChangeAck(session=1, edition=1, at=1.0)
         here.send([("f", message)])
         async with asyncio.timeout(10):
             while not lost:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -408,7 +408,7 @@
 
 def framed(body: bytes, version: int = frames.VERSION, length: int | None = None) -> bytes:
     size = len(body) if length is None else length
-    return frames.HEAD.pack(frames.MAGIC, version, size, frames.crc32(body)) + body
+    return frames.HEADER.pack(frames.MAGIC, version, size, frames.crc32(body)) + body
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -13,7 +13,7 @@
 from ospreyline.fleet import publisher as publishers
 from ospreyline.fleet import scopes
 from ospreyline.fleet import subscriber as subscribers
-from ospreyline.fleet.frames import Change, Got, Item, Subscribe, Told
+from ospreyline.fleet.frames import ChangeAck, FreshnessReport, ScopeChange, ScopeItem, Subscribe
 from ospreyline.fleet.publisher import Fanout, Publisher, Source
 from ospreyline.fleet.scopes import GONE, LEAVING, PRESENT
 from ospreyline.fleet.subscriber import MAX_SCOPES_OF_EVERYTHING, Subscriber
@@ -190,8 +190,8 @@
     def got(self, now, sub, message):
         was(self, now, sub, msgspec.structs.replace(message, edition=sub.edition))
 
-    was = Publisher._handle_got
-    patch.setattr(Publisher, "_handle_got", got)
+    was = Publisher._handle_ack
+    patch.setattr(Publisher, "_handle_ack", got)
 
 
 def _fresh_while_behind(patch):
@@ -279,7 +279,7 @@
             ends[to].receive(self.now, me, message)
 
     def changes(self):
-        found = [m for m in self.received if isinstance(m, Change) and not m.drains]
+        found = [m for m in self.received if isinstance(m, ScopeChange) and not m.drains]
         self.received.clear()
         return found
 
@@ -450,7 +450,7 @@
     session, epoch = pair.sub._sessions["f"].number, pair.source.epoch
     for n in range(100, 3_100):
         items = [
-            Item(
+            ScopeItem(
                 f"k{draw.randrange(10**6)}",
                 draw.randrange(n),
                 draw.randrange(3),
@@ -461,7 +461,7 @@
         pair.sub.receive(
             pair.now,
             "f",
-            Change(
+            ScopeChange(
                 session=session,
                 scope=draw.choice(["s0", "s1", "s2", "s9", "x" * 300]),
                 epoch=draw.choice([epoch, epoch + 9]),
@@ -493,7 +493,7 @@
                 scopes=[(f"t{draw.randrange(10**6)}", draw.randrange(9), 1, 1) for _ in range(3)],
             ),
         )
-        fan.receive(pair.now, f"x{i}", Got(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
+        fan.receive(pair.now, f"x{i}", ChangeAck(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
     assert len(fan) == publishers.MAX_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
     pair.run(ms=1_000.0, times=14)
     assert len(fan) <= 1
@@ -510,10 +510,10 @@
         {"part": -1},
         {"parts": 1 << 20},
         {"scope": "x" * 257},
-        {"items": [Item("k", 1, 7)]},
-        {"items": [Item("k", 1, LEAVING, b"", nan)]},
-        {"items": [Item("k", 1 << 60, PRESENT)]},
-        {"items": [Item("k", 1, PRESENT, bytes(1 << 17))]},
+        {"items": [ScopeItem("k", 1, 7)]},
+        {"items": [ScopeItem("k", 1, LEAVING, b"", nan)]},
+        {"items": [ScopeItem("k", 1 << 60, PRESENT)]},
+        {"items": [ScopeItem("k", 1, PRESENT, bytes(1 << 17))]},
         {"session": 1},
     ],
 )
@@ -526,15 +526,15 @@
         "scope": "s1",
         "epoch": pair.source.epoch,
         "n": 1_000,
-        "items": [Item("k", 1_000, PRESENT, b"")],
+        "items": [ScopeItem("k", 1_000, PRESENT, b"")],
         "echo": pair.now - 50.0,
     }
-    pair.sub.receive(pair.now, "f", Change(**(right | wrong)))
+    pair.sub.receive(pair.now, "f", ScopeChange(**(right | wrong)))
     assert pair.sub.scopes["s1"] is held
     assert (held.records, pair.sub.held_bytes, pair.sub.applied, held.version) == before
     pair.run(times=60)
     pair.sub.receive(
-        pair.now, "f", Told(session=right["session"], edition=pair.sub._edition, echo=nan, age=nan)
+        pair.now, "f", FreshnessReport(session=right["session"], edition=pair.sub._edition, echo=nan, age=nan)
     )
     assert pair.sub.age(pair.now, "s1") < 2_500.0
 
@@ -544,12 +544,12 @@
     session, edition = pair.sub._sessions["f"].number, pair.sub._edition
     pair.sub.subscribe(pair.now, "t")
     pair.sub.out.clear()  # the subscription has not been received yet
-    old = Change(session=session, scope="t", epoch=pair.source.epoch, n=3, echo=pair.now)
+    old = ScopeChange(session=session, scope="t", epoch=pair.source.epoch, n=3, echo=pair.now)
     status = {"session": session, "echo": pair.now, "age": 0.0, "own": 0.0}
     pair.sub.receive(pair.now, "f", old)  # an old state by another path
-    pair.sub.receive(pair.now, "f", Told(edition=edition, **status))
+    pair.sub.receive(pair.now, "f", FreshnessReport(edition=edition, **status))
     assert pair.sub.age(pair.now, "t") == inf and "t" in pair.sub.scopes
-    pair.sub.receive(pair.now, "f", Told(edition=edition + 1, **status))
+    pair.sub.receive(pair.now, "f", FreshnessReport(edition=edition + 1, **status))
     assert pair.sub.age(pair.now, "t") == 0.0
 
 
@@ -571,7 +571,7 @@
     sub.tick(100.0)
     session = sub._sessions[first].number
     sub.out.clear()
-    sub.receive(150.0, first, Told(session=session, edition=0, echo=100.0, full=True))
+    sub.receive(150.0, first, FreshnessReport(session=session, edition=0, echo=100.0, full=True))
     for now in range(200, 4_000, 50):
         sub.tick(float(now))
     assert any(to == other and isinstance(m, Subscribe) for to, m in sub.out)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -12,7 +12,7 @@
 from ospreyline import operator_settings
 from ospreyline.config import ConfigError
 from ospreyline.fleet import takeover
-from ospreyline.fleet.frames import Pulse, Say, encode
+from ospreyline.fleet.frames import Heartbeat, TakeoverMessage, encode
 from ospreyline.fleet.takeover import Takeover, bank_acceptors
 from ospreyline.host import Kind
 
@@ -283,7 +283,7 @@
     # A quorum refuses the grant, yet two of three acceptors know the visit: a claimant would run it, too.
     net = Net()
     net.take("m0", CHANGE)
-    net.lost = lambda a, b, m: b == "m0" and isinstance(m, Say)  # their replies are lost
+    net.lost = lambda a, b, m: b == "m0" and isinstance(m, TakeoverMessage)  # their replies are lost
     net.at["m0"].register_queued(0.0, 1)
     net.run()
     net.lost = lambda a, b, m: False
@@ -324,7 +324,7 @@
     net.run()
     acceptor = net.acceptors()[0]
     session = net.at[acceptor].guardian.sessions["m0"]
-    net.at[acceptor].heard(0.0, "m5", Say("claim", "v", (9, "m0"), session, acceptor, "m0"))
+    net.at[acceptor].heard(0.0, "m5", TakeoverMessage("claim", "v", (9, "m0"), session, acceptor, "m0"))
     assert net.at[acceptor].counts["foreign_words"] == 1
     assert net.at[acceptor].guardian.works["v"].promised == (0, "m0")
 
@@ -367,8 +367,8 @@
     net = Net()
     net.take("m0", CHANGE)
     net.at["m0"].request_send(0.0, 1, 0, "a", 0)
-    assert sum(len(encode(m)) for _, m in net.at["m0"].out if isinstance(m, Say)) < 600
-    assert len(encode(Pulse())) < 25
+    assert sum(len(encode(m)) for _, m in net.at["m0"].out if isinstance(m, TakeoverMessage)) < 600
+    assert len(encode(Heartbeat())) < 25
 
 
 @pytest.mark.parametrize(
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -11,7 +11,7 @@
 from test_takeover import CHANGE, PAY, Net, send_allowed
 
 from ospreyline import operator_settings
-from ospreyline.fleet.frames import Say
+from ospreyline.fleet.frames import TakeoverMessage
 from ospreyline.host import End
 from ospreyline.net.covering import Covering
 from ospreyline.net.upstreams import Stage
@@ -39,7 +39,7 @@
     net = Net()
     kind = CHANGE
     if what == "claim":
-        net.lost = lambda a, b, m: isinstance(m, Say)
+        net.lost = lambda a, b, m: isinstance(m, TakeoverMessage)
         net.at["m4"].claim_for_client(net.now, 1, "v", kind, b"mchange", left)
         owner = "m4"
     else:
@@ -50,7 +50,7 @@
         else:
             net.at[owner].register_queued(net.now, 1)
             net.run()
-        net.lost = lambda a, b, m: isinstance(m, Say)  # from now on all messages are lost
+        net.lost = lambda a, b, m: isinstance(m, TakeoverMessage)  # from now on all messages are lost
         if what == "permit":
             assert not net.at[owner].request_send(net.now, 1, 0, "a", 0)
         elif what == "refuse":
