--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -103,7 +103,9 @@
         self._send_pending(state, "o")
         if self.covered:
             for message in state.in_flight:
-                state.proposers["o"].receive(acceptors[ACCEPTORS.index(message.to)].receive(0.0, message))
+                state.proposers["o"].receive(
+                    acceptors[ACCEPTORS.index(message.receiver)].receive(0.0, message)
+                )
             state.in_flight.clear()
         return state
 
@@ -166,14 +168,14 @@
         state.in_flight = [
             message
             for message in state.in_flight
-            if message.to in ACCEPTORS or self.still_matters(state, message)
+            if message.receiver in ACCEPTORS or self.still_matters(state, message)
         ]
         return description
 
     @staticmethod
     def still_matters(state: State, message: TakeoverMessage) -> bool:
         """Whether a message to a balancer can still change its state."""
-        proposer = state.proposers.get(message.to)
+        proposer = state.proposers.get(message.receiver)
         if (
             proposer is not None
             and message.ballot == proposer.ballot
@@ -190,7 +192,7 @@
             return False
         if message.about == "register" or (message.about == "claim" and proposer.owned):
             return False  # its content is known already, or nobody acts on it
-        return message.by not in (proposer._accepts if message.what == "yes" else proposer._rejects)
+        return message.sender not in (proposer._accepts if message.kind == "yes" else proposer._rejects)
 
     def _apply(self, state: State, kind: str, target: int | str) -> str:
         if kind in ("deliver", "double"):
@@ -200,17 +202,21 @@
                 del state.in_flight[target]
             else:
                 state.doublings_left -= 1
-            if message.to in ACCEPTORS:
-                acceptor = state.acceptors[ACCEPTORS.index(message.to)]
+            if message.receiver in ACCEPTORS:
+                acceptor = state.acceptors[ACCEPTORS.index(message.receiver)]
                 answer = acceptor.receive(0.0, message)
                 state.in_flight += [answer, *acceptor.out]
                 acceptor.out.clear()
-                return f"{message.by} to {message.to}: {message.what} {message.ballot}, {answer.what}"
-            proposer = state.proposers.get(message.to)
+                return (
+                    f"{message.sender} to {message.receiver}: {message.kind} {message.ballot}, {answer.kind}"
+                )
+            proposer = state.proposers.get(message.receiver)
             if proposer is not None:
                 proposer.receive(message)
-                self._send_pending(state, message.to)
-            return f"{message.by} to {message.to}: {message.what} to {message.about} {message.ballot}"
+                self._send_pending(state, message.receiver)
+            return (
+                f"{message.sender} to {message.receiver}: {message.kind} to {message.about} {message.ballot}"
+            )
         if kind in ("restart", "forget"):
             assert isinstance(target, int)
             self._discard_records(state, target, kind)
@@ -314,29 +320,29 @@
             messages = sorted(
                 hash(
                     (
-                        s.what,
+                        s.kind,
                         s.ballot,
                         s.session,
-                        s.to if s.to not in ACCEPTORS else "",
-                        s.by if s.by not in ACCEPTORS else "",
+                        s.receiver if s.receiver not in ACCEPTORS else "",
+                        s.sender if s.sender not in ACCEPTORS else "",
                         s.body,
-                        s.permits,
+                        s.grants,
                         s.promised,
                         s.about,
-                        bool(s.guards),
+                        bool(s.acceptors),
                         s.answered,
                         s.closed,
-                        s.here,
+                        s.grant_holder_linked,
                     )
                 )
                 for s in state.in_flight
-                if acceptor.name in (s.to, s.by)
+                if acceptor.name in (s.receiver, s.sender)
             )
             replies = tuple(
                 (
                     acceptor.name in state.proposers[n]._rejects,
                     (y := state.proposers[n]._accepts.get(acceptor.name))
-                    and (y.permits, bool(y.guards), y.answered, y.body, y.closed),
+                    and (y.grants, bool(y.acceptors), y.answered, y.body, y.closed),
                 )
                 for n in names
             )
--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -142,24 +142,26 @@
 class TakeoverMessage(msgspec.Struct, frozen=True, tag_field="k", tag="g", omit_defaults=True):
     """A takeover message between the proposer of a visit (its owner or a successor) and an acceptor."""
 
-    what: str  # request: register, permit, claim or answer; reply: yes or no
-    work: str  # id of the takeover record
+    kind: str = msgspec.field(name="what")  # request: register, permit, claim or answer; reply: yes or no
+    visit_id: str = msgspec.field(name="work")  # id of the takeover record
     ballot: Ballot
     session: int = 0  # of the link, as its acceptor announced it
-    to: str = ""  # the receiver: an acceptor, or the proposer that is answered
-    by: str = ""  # the sender
+    receiver: str = msgspec.field(default="", name="to")  # an acceptor, or the proposer that is answered
+    sender: str = msgspec.field(default="", name="by")
     body: bytes = b""
-    permits: tuple[Grant, ...] = ()
+    grants: tuple[Grant, ...] = msgspec.field(default=(), name="permits")
     promised: Ballot = (0, "")
     about: str = ""  # of a reply: the kind of request that it answers
-    guards: tuple[str, ...] = ()  # acceptors as the owner chose them; empty in a reply: the visit is unknown
+    # as the owner chose them; empty in a reply: the visit is unknown
+    acceptors: tuple[str, ...] = msgspec.field(default=(), name="guards")
     answered: bool = False
     number: int = 0  # of the fetch that the grant is for
     zone: str = ""  # destination of the fetch
     cell: int = 0
-    left: float = 0.0  # ms until the client gives up
+    time_left_ms: float = msgspec.field(default=0.0, name="left")  # until the client gives up
     serial: int = 0  # of a registration on its link; one not greater than the last is refused
-    here: bool = False  # of a reply: the holder of a grant is linked to the acceptor
+    # of a reply: the holder of a grant is linked to the acceptor
+    grant_holder_linked: bool = msgspec.field(default=False, name="here")
     closed: Ballot = NO_BALLOT  # of a reply: nothing runs any more under this ballot or earlier ones
 
 
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/guard.py
@@ -120,78 +120,82 @@
             if not record.finished and record.grant_holder() == member:
                 self._notify_claimant(now, visit_id, record, member)
 
-    def receive(self, now: float, say: TakeoverMessage) -> TakeoverMessage:
+    def receive(self, now: float, message: TakeoverMessage) -> TakeoverMessage:
         """Record a message if its session and ballot allow; returns the reply."""
         self.expire(now)
-        record = self.works.get(say.work)
-        if self.sessions.get(say.by) != say.session:
-            return self._reject(say, record)
-        if say.what == "claim":
-            return self._promise(now, say, record)
-        if say.guards:
-            record = self._register(now, say, record)
+        record = self.works.get(message.visit_id)
+        if self.sessions.get(message.sender) != message.session:
+            return self._reject(message, record)
+        if message.kind == "claim":
+            return self._promise(now, message, record)
+        if message.acceptors:
+            record = self._register(now, message, record)
             if record is None:
-                return self._reject(say, self.works.get(say.work))
+                return self._reject(message, self.works.get(message.visit_id))
         if record is None:
-            return self._reject(say, record)
-        if say.what == "answer" and say.body != NEVER_RAN:
-            return self._record_answer(now, say, record)
-        if say.ballot < record.promised:
-            return self._reject(say, record)
-        record.promised = say.ballot
-        if say.what == "permit":
-            record.grants[say.ballot, say.number] = (say.zone, say.cell, now)
-        elif say.what == "answer":
-            record.closed = say.ballot
-        return self._accept(now, say, record)
+            return self._reject(message, record)
+        if message.kind == "answer" and message.body != NEVER_RAN:
+            return self._record_answer(now, message, record)
+        if message.ballot < record.promised:
+            return self._reject(message, record)
+        record.promised = message.ballot
+        if message.kind == "permit":
+            record.grants[message.ballot, message.number] = (message.zone, message.cell, now)
+        elif message.kind == "answer":
+            record.closed = message.ballot
+        return self._accept(now, message, record)
 
     def _register(
-        self, now: float, say: TakeoverMessage, record: TakeoverRecord | None
+        self, now: float, message: TakeoverMessage, record: TakeoverRecord | None
     ) -> TakeoverRecord | None:
         """The record of a registered visit; None if the registration is refused."""
         if record is not None:
-            return record if record.promised == say.ballot else None  # claimed, or owned by another
+            return record if record.promised == message.ballot else None  # claimed, or owned by another
         # Without this, a duplicated registration would bring back a visit that was claimed and evicted.
-        if say.serial <= self._serials[say.by]:
+        if message.serial <= self._serials[message.sender]:
             return None
-        self._serials[say.by] = say.serial  # a refused one must not succeed later either
-        if not self._make_room(len(say.body)):
+        self._serials[message.sender] = message.serial  # a refused one must not succeed later either
+        if not self._make_room(len(message.body)):
             return None
-        self.stored_bytes += len(say.body)
-        record = self.works[say.work] = TakeoverRecord(
-            say.ballot,
-            say.guards,
-            say.body,
-            session=say.session,
+        self.stored_bytes += len(message.body)
+        record = self.works[message.visit_id] = TakeoverRecord(
+            message.ballot,
+            message.acceptors,
+            message.body,
+            session=message.session,
             expires_at=now + self.retention_ms,
-            client_deadline=now + say.left,
+            client_deadline=now + message.time_left_ms,
         )
         return record
 
-    def _record_answer(self, now: float, say: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
+    def _record_answer(self, now: float, message: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
         """Record the visit's answer, or that its balancer has given it up (MAY_HAVE_RUN)."""
         if not record.answered:
-            if say.body == MAY_HAVE_RUN and say.ballot < record.promised:
-                return self._reject(say, record)  # only the current owner may give it up
-            if not self._make_room(len(say.body), excluding=say.work):
-                return self._reject(say, record)
-            self.stored_bytes += len(say.body) - len(record.body)
-            record.answer, record.answered, record.body = say.body, True, b""
-            self._notify_claimant(now, say.work, record, say.by)
-        return self._accept(now, say, record)
-
-    def _promise(self, now: float, say: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
+            if message.body == MAY_HAVE_RUN and message.ballot < record.promised:
+                return self._reject(message, record)  # only the current owner may give it up
+            if not self._make_room(len(message.body), excluding=message.visit_id):
+                return self._reject(message, record)
+            self.stored_bytes += len(message.body) - len(record.body)
+            record.answer, record.answered, record.body = message.body, True, b""
+            self._notify_claimant(now, message.visit_id, record, message.sender)
+        return self._accept(now, message, record)
+
+    def _promise(
+        self, now: float, message: TakeoverMessage, record: TakeoverRecord | None
+    ) -> TakeoverMessage:
         if record is None:
             # Recorded even if unknown, so that a late registration cannot restore the owner's ballot.
             if not self._make_room(0):
-                return self._reject(say, record)
-            record = self.works[say.work] = TakeoverRecord(say.ballot, expires_at=now + self.retention_ms)
-        elif say.ballot < record.promised:
-            return self._reject(say, record)
-        record.promised, record.session = say.ballot, say.session
+                return self._reject(message, record)
+            record = self.works[message.visit_id] = TakeoverRecord(
+                message.ballot, expires_at=now + self.retention_ms
+            )
+        elif message.ballot < record.promised:
+            return self._reject(message, record)
+        record.promised, record.session = message.ballot, message.session
         record.expires_at = max(record.expires_at, now + self.retention_ms)
-        self.works.move_to_end(say.work)
-        return self._accept(now, say, record)
+        self.works.move_to_end(message.visit_id)
+        return self._accept(now, message, record)
 
     def _make_room(self, added_bytes: int, excluding: str = "") -> bool:
         """Evict finished records, oldest first, until one more of this size fits; False if it cannot.
@@ -242,19 +246,19 @@
             asked = TakeoverMessage("claim", visit_id, record.promised, self.sessions[name], self.name, name)
             self.out.append(self._accept(now, asked, record))
 
-    def _accept(self, now: float, say: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
-        if say.what != "claim":
+    def _accept(self, now: float, message: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
+        if message.kind != "claim":
             return TakeoverMessage(
                 "yes",
-                say.work,
-                say.ballot,
-                say.session,
-                say.by,
+                message.visit_id,
+                message.ballot,
+                message.session,
+                message.sender,
                 self.name,
                 promised=record.promised,
-                about=say.what,
-                guards=record.acceptors,
-                number=say.number,
+                about=message.kind,
+                acceptors=record.acceptors,
+                number=message.number,
             )
         grants = tuple(
             sorted(
@@ -264,35 +268,35 @@
         )
         return TakeoverMessage(
             "yes",
-            say.work,
-            say.ballot,
-            say.session,
-            say.by,
+            message.visit_id,
+            message.ballot,
+            message.session,
+            message.sender,
             self.name,
             record.answer if record.answered else record.body,
             grants,
             record.promised,
-            say.what,
+            message.kind,
             record.acceptors,
             record.answered,
-            left=max(0.0, record.client_deadline - now),
-            here=record.grant_holder() in self.sessions,
+            time_left_ms=max(0.0, record.client_deadline - now),
+            grant_holder_linked=record.grant_holder() in self.sessions,
             closed=record.closed,
         )
 
-    def _reject(self, say: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
+    def _reject(self, message: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
         self.rejections += 1
         promised = record.promised if record is not None else (0, "")
         return TakeoverMessage(
             "no",
-            say.work,
-            say.ballot,
-            say.session,
-            say.by,
+            message.visit_id,
+            message.ballot,
+            message.session,
+            message.sender,
             self.name,
             promised=promised,
-            about=say.what,
-            number=say.number,
+            about=message.kind,
+            number=message.number,
         )
 
 
@@ -402,11 +406,11 @@
                 g,
                 self.name,
                 self.body if first else body,
-                guards=self.acceptors if first else (),
+                acceptors=self.acceptors if first else (),
                 number=number,
                 zone=zone,
                 cell=cell,
-                left=self.time_left if first else 0.0,
+                time_left_ms=self.time_left if first else 0.0,
                 serial=self.serials.get(g, 0) if first else 0,
             )
             for g in self.acceptors
@@ -446,19 +450,19 @@
         """Store the visit's answer at the acceptors for clients that ask again."""
         self._broadcast("answer", body)
 
-    def receive(self, say: TakeoverMessage) -> None:
+    def receive(self, message: TakeoverMessage) -> None:
         """Process an acceptor's reply; duplicated, late and foreign replies are ignored."""
-        if say.by not in self.acceptors or say.ballot != self.ballot:
+        if message.sender not in self.acceptors or message.ballot != self.ballot:
             return
-        if say.about == "claim" and say.what == "yes" and say.answered:
+        if message.about == "claim" and message.kind == "yes" and message.answered:
             # an answer counts whatever request is pending
-            self.answer = say.body if self.answer is None else self.answer
-        if say.about != self._requested or say.number != self._fetch_number:
+            self.answer = message.body if self.answer is None else self.answer
+        if message.about != self._requested or message.number != self._fetch_number:
             return
-        self.promised = max(self.promised, say.promised)
-        if say.what == "no":
-            self._rejects.add(say.by)
-            self.superseded = self.superseded or say.promised > self.ballot
+        self.promised = max(self.promised, message.promised)
+        if message.kind == "no":
+            self._rejects.add(message.sender)
+            self.superseded = self.superseded or message.promised > self.ballot
             if self.superseded or (len(self._rejects) >= self.quorum and self._requested != "answer"):
                 self.lost = True  # another has it, or too few acceptors are left
                 # Only a refused registration: acceptors that refuse a later message may have registered the
@@ -467,7 +471,7 @@
             elif self._requested == "claim":
                 self._evaluate_claim()
             return
-        self._accepts[say.by] = say
+        self._accepts[message.sender] = message
         if self._requested == "claim":
             self._evaluate_claim()
         elif len(self._accepts) >= self.quorum and not self.lost:
@@ -483,13 +487,13 @@
 
     def _evaluate_claim(self) -> None:
         """Evaluate the replies to a claim: whether a quorum has promised, and which grants were recorded."""
-        knowing = [say for say in self._accepts.values() if say.guards]
-        self.grant_holder_linked = any(say.here for say in self._accepts.values())
+        knowing = [message for message in self._accepts.values() if message.acceptors]
+        self.grant_holder_linked = any(message.grant_holder_linked for message in self._accepts.values())
         if self.lost or self.owned:
             return
-        if knowing and set(knowing[0].guards) != set(self.acceptors):
+        if knowing and set(knowing[0].acceptors) != set(self.acceptors):
             # With different acceptor lists two claimants could each get a quorum of their own.
-            self.acceptors = knowing[0].guards
+            self.acceptors = knowing[0].acceptors
             return self.claim(self.ballot)
         responded = sum(
             g in self._accepts or g in self._rejects or g in self.unreachable for g in self.acceptors
@@ -503,18 +507,18 @@
         self.known_to_quorum = len(knowing) >= self.quorum
         self.may_have_run = not self.known_to_quorum
         # The balancer that closed a ballot sends nothing more under it; nor can any under an earlier one.
-        self.closed = max(say.closed for say in self._accepts.values())
+        self.closed = max(message.closed for message in self._accepts.values())
         time_left = inf
-        for say in self._accepts.values():
-            for grant in say.permits:
+        for message in self._accepts.values():
+            for grant in message.grants:
                 if self.closed < grant[0] != self.ballot:
                     self.may_have_run = True
                     recorded = self.grants.get(grant[:2])
                     # the oldest record is closest to the time of the write
                     self.grants[grant[:2]] = grant if recorded is None or grant[4] > recorded[4] else recorded
-            if say.body and not say.answered:
-                self.body = say.body
-            time_left = min(time_left, say.left) if say.guards else time_left
+            if message.body and not message.answered:
+                self.body = message.body
+            time_left = min(time_left, message.time_left_ms) if message.acceptors else time_left
         self.time_left = time_left if time_left < inf else 0.0
         self.owned = self.has_quorum = True
 
--- a/ospreyline/fleet/takeover.py
+++ b/ospreyline/fleet/takeover.py
@@ -552,10 +552,10 @@
             if not message.back:
                 self.out.append((name, Heartbeat(back=True)))
         elif isinstance(message, TakeoverMessage):
-            if message.by != name:
+            if message.sender != name:
                 self.counts["foreign_words"] += 1  # a member may only send messages in its own name
-            elif message.what in ("yes", "no"):
-                visit = self._by_id.get(message.work)
+            elif message.kind in ("yes", "no"):
+                visit = self._by_id.get(message.visit_id)
                 if visit is not None:
                     visit.proposer.receive(message)
                     self._flush(now, visit)
@@ -566,11 +566,11 @@
     def _deliver_unsolicited(self, now: float) -> None:
         """Route the acceptor's unsolicited messages; those for ourselves are processed at once."""
         out, self.guardian.out = self.guardian.out, []
-        for say in out:
-            if say.to != self.name:
-                self.out.append((say.to, say))
-            elif (visit := self._by_id.get(say.work)) is not None:
-                visit.proposer.receive(say)
+        for message in out:
+            if message.receiver != self.name:
+                self.out.append((message.receiver, message))
+            elif (visit := self._by_id.get(message.visit_id)) is not None:
+                visit.proposer.receive(message)
                 self._check_progress(now, visit)
 
     def _flush(self, now: float, visit: OwnedVisit, last: bool = False) -> None:
@@ -581,12 +581,12 @@
             self._discard(visit)
         while proposer.out:
             out, proposer.out = proposer.out, []
-            for say in out:
-                if say.to == self.name:
-                    proposer.receive(self.guardian.receive(now, say))
+            for message in out:
+                if message.receiver == self.name:
+                    proposer.receive(self.guardian.receive(now, message))
                 else:
-                    self.out.append((say.to, say))
-                    if (peer := self.peers.get(say.to)) is not None:
+                    self.out.append((message.receiver, message))
+                    if (peer := self.peers.get(message.receiver)) is not None:
                         peer.unanswered_since = min(peer.unanswered_since, now)
         if self.guardian.out:
             self._deliver_unsolicited(now)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -35,8 +35,8 @@
     receive = Acceptor.receive
 
     def wrong(self, now, say):
-        kept = self.works.get(say.work)
-        if say.what == "permit" and kept is not None:
+        kept = self.works.get(say.visit_id)
+        if say.kind == "permit" and kept is not None:
             kept.promised = min(kept.promised, say.ballot)
         return receive(self, now, say)
 
@@ -46,7 +46,7 @@
 def permits_not_told(patch):
     accept = Acceptor._accept
     patch.setattr(
-        Acceptor, "_accept", lambda self, now, say, kept: replace(accept(self, now, say, kept), permits=())
+        Acceptor, "_accept", lambda self, now, say, kept: replace(accept(self, now, say, kept), grants=())
     )
 
 
@@ -89,7 +89,7 @@
     patch.setattr(
         Acceptor,
         "_accept",
-        lambda self, now, say, kept: replace(accept(self, now, say, kept), guards=ACCEPTORS),
+        lambda self, now, say, kept: replace(accept(self, now, say, kept), acceptors=ACCEPTORS),
     )
 
 
@@ -154,7 +154,7 @@
         "g0",
         "o",
         body,
-        guards=ACCEPTORS if what == "register" else (),
+        acceptors=ACCEPTORS if what == "register" else (),
         serial=serial,
     )
 
@@ -165,11 +165,11 @@
     one = Acceptor("g0", 1_000.0, 1)
     session = one.start_session("o")
     said = [
-        one.receive(0.0, message("register", f"v{i}", session, b"x" * 30, serial=i + 1)).what
+        one.receive(0.0, message("register", f"v{i}", session, b"x" * 30, serial=i + 1)).kind
         for i in range(100)
     ]
     assert said.count("yes") == 33 and one.stored_bytes <= 1_000
-    assert all(one.receive(0.0, message("claim", f"c{i}", session, round_=1)).what for i in range(100))
+    assert all(one.receive(0.0, message("claim", f"c{i}", session, round_=1)).kind for i in range(100))
     assert len(one.works) <= 50
     one.expire(1_001.0)
     assert not one.works and one.stored_bytes == 0
@@ -178,18 +178,18 @@
 def test_words_of_a_former_session_are_refused():
     one = Acceptor("g0", 1_000.0, 1)
     first = one.start_session("o")
-    assert one.receive(0.0, message("register", session=first)).what == "yes"
+    assert one.receive(0.0, message("register", session=first)).kind == "yes"
     second = one.start_session("o")
-    assert second != first and one.receive(0.0, message("permit", session=first)).what == "no"
+    assert second != first and one.receive(0.0, message("permit", session=first)).kind == "no"
     assert Acceptor("g0", 1_000.0, 2).start_session("o") != first
 
 
 def test_a_register_that_comes_after_a_claim_does_not_bring_the_owner_back():
     one = Acceptor("g0", 1_000.0, 1)
     session = one.start_session("o")
-    assert one.receive(0.0, message("claim", session=session, round_=1)).what == "yes"
-    assert one.receive(0.0, message("register", session=session)).what == "no"
-    assert one.receive(0.0, message("permit", session=session)).what == "no" and not one.works[VISIT].grants
+    assert one.receive(0.0, message("claim", session=session, round_=1)).kind == "yes"
+    assert one.receive(0.0, message("register", session=session)).kind == "no"
+    assert one.receive(0.0, message("permit", session=session)).kind == "no" and not one.works[VISIT].grants
 
 
 def test_one_that_asks_later_is_told_the_kept_answer():
@@ -200,7 +200,7 @@
     def deliver(work):
         out, work.out = work.out, []
         for say in out:
-            work.receive(guards[ACCEPTORS.index(say.to)].receive(0.0, say))
+            work.receive(guards[ACCEPTORS.index(say.receiver)].receive(0.0, say))
 
     owner = Proposer(VISIT, "o", ACCEPTORS, sessions, b"request", serials=dict.fromkeys(ACCEPTORS, 1))
     for call in (owner.register, owner.request_grant, lambda: owner.record_answer(b"the answer")):
