--- a/ospreyline/fleet/frames.py
+++ b/ospreyline/fleet/frames.py
@@ -170,13 +170,13 @@
 
 
 class ScopeItem(msgspec.Struct, frozen=True, array_like=True):
-    """A route or an upstream of a scope, as of version `n`; `told`: ms since the source said it drains."""
+    """A route or an upstream of a scope; `draining_for_ms`: since the source announced that it drains."""
 
     key: str
-    n: int
+    version: int = msgspec.field(name="n")  # change count of the source at its last change
     state: int
     body: bytes = b""
-    told: float = 0.0
+    draining_for_ms: float = msgspec.field(default=0.0, name="told")
 
 
 class Subscribe(_Message, tag="b", kw_only=True):
@@ -184,13 +184,13 @@
 
     session: int  # of the subscriber with this publisher; grows with each session
     edition: int  # of the set of scopes; the next one adds and removes scopes, or lists all again (`whole`)
-    at: float  # ms on the subscriber's clock
+    sent_at: float = msgspec.field(name="at")  # ms on the subscriber's clock
     rate: int  # bytes per second that the subscriber accepts
     scopes: list[ScopeVersion] = []
-    drop: list[str] = []
+    removed: list[str] = msgspec.field(default_factory=list, name="drop")
     whole: bool = False
     more: bool = False  # the list of scopes continues in the next edition
-    everything: bool = False  # all scopes, also those created later
+    all_scopes: bool = msgspec.field(default=False, name="everything")  # also those created later
     seen: int = 0  # greatest epoch that the subscriber knows of
 
 
@@ -205,10 +205,11 @@
 
     session: int
     edition: int
-    at: float
+    sent_at: float = msgspec.field(name="at")
     holds: int = 0  # digest of the versions of all scopes that the subscriber has
     scopes: list[ScopeVersion] = []  # current versions of the scopes that changes were received for
-    answer: bool = True  # whether a `FreshnessReport` is requested
+    # whether a `FreshnessReport` is requested
+    reply_wanted: bool = msgspec.field(default=True, name="answer")
     seen: int = 0
 
 
@@ -222,11 +223,12 @@
     since: tuple[int, int] = (0, 0)
     items: list[ScopeItem] = []
     digest: int = 0  # of the scope at the new version
-    gone: bool = False  # the scope was removed
-    drains: bool = False  # sent before other pending changes: these items are draining
+    removed: bool = msgspec.field(default=False, name="gone")  # the scope was removed
+    # sent before other pending changes: these items are draining
+    drains_only: bool = msgspec.field(default=False, name="drains")
     part: int = 0
     parts: int = 1
-    echo: float = 0.0  # latest `at` received from the subscriber
+    echo: float = 0.0  # latest `sent_at` received from the subscriber
 
 
 class FreshnessReport(_Message, tag="r", kw_only=True):
@@ -237,12 +239,15 @@
     echo: float
     # ms; all versions in the `ChangeAck` were current at the source then or later; -1: unknown
     age: float = -1.0
-    own: float = -1.0  # likewise for the data of the publisher itself
-    clean: bool = False  # no changes are pending
+    # likewise for the data of the publisher itself
+    publisher_age: float = msgspec.field(default=-1.0, name="own")
+    up_to_date: bool = msgspec.field(default=False, name="clean")  # no changes are pending
     epoch: int = 0  # the publisher has all changes up to this version
     n: int = 0
-    again: bool = False  # the subscriber is to list all its scopes and versions again
-    full: bool = False  # the publisher is full: use another one
+    # the subscriber is to list all its scopes and versions again
+    resync: bool = msgspec.field(default=False, name="again")
+    # the publisher serves as many subscribers as it can: use another one
+    overloaded: bool = msgspec.field(default=False, name="full")
 
 
 Message = (
--- a/ospreyline/fleet/publisher.py
+++ b/ospreyline/fleet/publisher.py
@@ -160,7 +160,7 @@
         elif isinstance(message, ChangeAck):
             if sub is None or message.session > sub.session:
                 # its session was with an earlier process of ours, or its `Subscribe` was lost
-                if message.answer:
+                if message.reply_wanted:
                     self._request_full_subscription(name, message)
             elif message.session == sub.session:
                 self._handle_ack(now, sub, message)
@@ -179,7 +179,7 @@
 
     def _request_full_subscription(self, name: str, message: Subscribe | ChangeAck) -> None:
         self.out.append(
-            (name, FreshnessReport(session=message.session, edition=0, echo=message.at, again=True))
+            (name, FreshnessReport(session=message.session, edition=0, echo=message.sent_at, resync=True))
         )
 
     def _remove_from_scope(self, sub: _SubscriberState, scope: str) -> None:
@@ -197,7 +197,12 @@
             self.remove_subscriber(name)
             if len(self._subscribers) >= MAX_SUBSCRIBERS:
                 self.out.append(
-                    (name, FreshnessReport(session=message.session, edition=0, echo=message.at, full=True))
+                    (
+                        name,
+                        FreshnessReport(
+                            session=message.session, edition=0, echo=message.sent_at, overloaded=True
+                        ),
+                    )
                 )
                 return
             rate = min(max(message.rate, MIN_RATE), MAX_RATE)
@@ -205,10 +210,10 @@
                 name,
                 message.session,
                 0,
-                message.at,
+                message.sent_at,
                 now,
                 rate,
-                message.everything,
+                message.all_scopes,
                 min(rate * BURST_S, MAX_BURST_BYTES),
                 now,
             )
@@ -217,7 +222,7 @@
             return  # older than what we have
         elif not message.whole and message.edition != sub.edition + 1:
             return  # an edition in between was lost; the next message shows it, and all is requested again
-        sub.last_heard, sub.clock = now, max(sub.clock, message.at)
+        sub.last_heard, sub.clock = now, max(sub.clock, message.sent_at)
         sub.edition, sub.complete = message.edition, not message.more
         if message.whole:
             for scope in sub.acked:
@@ -231,7 +236,7 @@
             sub.parts.clear()
             sub.acked_digest = sub.unacked_bytes = 0
         max_scopes = MAX_SCOPES_OF_EVERYTHING if sub.everything else MAX_SCOPES
-        for scope in message.drop:
+        for scope in message.removed:
             self._unsubscribe(sub, scope)
         for named in message.scopes:
             if len(named[0]) <= MAX_NAME_CHARS and (named[0] in sub.acked or len(sub.acked) < max_scopes):
@@ -310,9 +315,9 @@
         return newest if newest != NO_VERSION else None
 
     def _handle_ack(self, now: float, sub: _SubscriberState, message: ChangeAck) -> None:
-        sub.last_heard, sub.clock = now, max(sub.clock, message.at)
+        sub.last_heard, sub.clock = now, max(sub.clock, message.sent_at)
         if not sub.complete:
-            if message.answer:
+            if message.reply_wanted:
                 sub.mismatches += 1
                 self._send_status(now, sub, again=sub.mismatches > 2)
             return
@@ -320,7 +325,7 @@
         for named in message.scopes if message.edition == sub.edition else ():
             if named[0] in sub.acked or (sub.everything and len(sub.acked) < MAX_SCOPES_OF_EVERYTHING):
                 self._acknowledge(now, sub, named)
-        if not message.answer:
+        if not message.reply_wanted:
             return
         again = message.edition != sub.edition
         if not again and message.holds != sub.acked_digest and not sub.in_flight:
@@ -333,12 +338,12 @@
 
     def _send_status(self, now: float, sub: _SubscriberState, again: bool = False) -> None:
         fresh = self._fresh_as_of(now)
-        own = now - fresh if fresh > -inf else -1.0
+        publisher_age = now - fresh if fresh > -inf else -1.0
         least = min(sub.behind.values(), default=inf)
         fresh = min(fresh, least)
         known = sub.complete and not again and not sub.mismatches and fresh > -inf
         epoch, n = self._complete_to()
-        clean = known and not sub.behind and epoch > 0
+        up_to_date = known and not sub.behind and epoch > 0
         self.out.append(
             (
                 sub.name,
@@ -347,11 +352,11 @@
                     edition=sub.edition,
                     echo=sub.clock,
                     age=now - fresh if known else -1.0,
-                    own=own,
-                    clean=clean,
+                    publisher_age=publisher_age,
+                    up_to_date=up_to_date,
                     epoch=epoch,
                     n=n,
-                    again=again,
+                    resync=again,
                 ),
             )
         )
@@ -413,7 +418,9 @@
             record = found.records.get(key) if found is not None else None
             if record is not None and record.state != 0 and scope in sub.acked:
                 item = to_item(now, record)
-                by_scope.setdefault(scope, []).append(ScopeItem(item.key, item.n, item.state, b"", item.told))
+                by_scope.setdefault(scope, []).append(
+                    ScopeItem(item.key, item.version, item.state, b"", item.draining_for_ms)
+                )
         sub.drains.clear()
         for scope, items in by_scope.items():
             epoch, n = self.scopes[scope].version
@@ -426,7 +433,7 @@
                         scope=scope,
                         epoch=epoch,
                         n=n,
-                        drains=True,
+                        drains_only=True,
                         items=items[i : i + 256],
                     ),
                 )
@@ -449,7 +456,7 @@
         change = ScopeChange(session=sub.session, scope=name, epoch=newest[0], n=newest[1], since=base)
         items: list[ScopeItem] = []
         if held is None or held.version == NO_VERSION or held.gone:
-            change.gone, change.since = True, NO_VERSION
+            change.removed, change.since = True, NO_VERSION
         else:
             change.digest = held.digest
             records = held.changes_since(base) if base != NO_VERSION else None
@@ -460,7 +467,7 @@
                 records, change.since = held.live_records(), NO_VERSION
             items = [to_item(now, r) for r in records]
         size = 80 + sum(wire_size(i) for i in items)
-        sub.in_flight[name] = _InFlight(newest, base, now, size, change.gone)
+        sub.in_flight[name] = _InFlight(newest, base, now, size, change.removed)
         sub.unacked_bytes += size
         if size <= PART_BYTES:
             change.items = items
--- a/ospreyline/fleet/subscriber.py
+++ b/ospreyline/fleet/subscriber.py
@@ -232,7 +232,7 @@
         self._unsubscribing.discard(scope)
         self._discard(scope)
         self._edition += 1
-        self._send_subscription_change(now, drop=[scope])
+        self._send_subscription_change(now, removed=[scope])
 
     def _discard(self, scope: str) -> None:
         held = self.scopes.pop(scope, None)
@@ -284,7 +284,7 @@
                     ChangeAck(
                         session=session.number,
                         edition=self._edition,
-                        at=now,
+                        sent_at=now,
                         holds=self._held_digest,
                         scopes=self._ack_summaries(),
                         seen=self.max_epoch,
@@ -302,10 +302,10 @@
                     ChangeAck(
                         session=session.number,
                         edition=self._edition,
-                        at=now,
+                        sent_at=now,
                         holds=self._held_digest,
                         scopes=scopes,
-                        answer=False,
+                        reply_wanted=False,
                         seen=self.max_epoch,
                     ),
                 )
@@ -350,18 +350,18 @@
                 Subscribe(
                     session=session.number,
                     edition=self._edition - len(parts) + 1 + i,
-                    at=now,
+                    sent_at=now,
                     rate=self._rate,
                     scopes=[self._summary(n) for n in part],
                     whole=not i,
                     more=i + 1 < len(parts),
-                    everything=self.everything,
+                    all_scopes=self.everything,
                     seen=self.max_epoch,
                 ),
             )
 
     def _send_subscription_change(
-        self, now: float, scopes: list[ScopeVersion] | None = None, drop: list[str] | None = None
+        self, now: float, scopes: list[ScopeVersion] | None = None, removed: list[str] | None = None
     ) -> None:
         for session in self._sessions.values():
             self._send(
@@ -369,10 +369,10 @@
                 Subscribe(
                     session=session.number,
                     edition=self._edition,
-                    at=now,
+                    sent_at=now,
                     rate=self._rate,
                     scopes=scopes or [],
-                    drop=drop or [],
+                    removed=removed or [],
                     seen=self.max_epoch,
                 ),
             )
@@ -440,22 +440,26 @@
             self._handle_change(now, message)
 
     def _handle_status(self, now: float, session: _Session, message: FreshnessReport) -> None:
-        if message.full:
+        if message.overloaded:
             self.publisher_lost(now, session.name)
             return
-        if message.again:
+        if message.resync:
             self._send_full_subscription(now, session)
         if not session.answered and session.name == self._current:
             self._pacer.call_answered()
         session.answered = True
-        session.lag = message.own + now - message.echo if message.own >= 0 and message.echo <= now else inf
+        session.lag = (
+            message.publisher_age + now - message.echo
+            if message.publisher_age >= 0 and message.echo <= now
+            else inf
+        )
         if message.edition == self._edition and message.age >= 0 and message.echo <= now:
             # A message sent before the publisher knew our subscriptions says nothing about them.
             fresh = message.echo - message.age
             if fresh >= self.fresh_as_of:  # an older confirmation says nothing of scopes added since
                 self.fresh_as_of = fresh
                 self._unconfirmed.clear()
-            if self.everything and message.clean and message.epoch <= MAX_EPOCH:
+            if self.everything and message.up_to_date and message.epoch <= MAX_EPOCH:
                 self.complete_to = max(self.complete_to, (message.epoch, message.n))
         self._select_publisher(now, session)
 
@@ -499,8 +503,8 @@
                 len(i.key) > MAX_NAME_CHARS
                 or len(i.body) > MAX_BODY_BYTES
                 or not PRESENT <= i.state <= GONE
-                or not i.told >= 0
-                or i.n > message.n
+                or not i.draining_for_ms >= 0
+                or i.version > message.n
                 for i in message.items
             )
         ):
@@ -512,7 +516,7 @@
         ):
             self.ignored += 1
             return
-        if message.drains:
+        if message.drains_only:
             if held is not None:
                 self._apply_drains(message, held)
             return
@@ -527,7 +531,7 @@
             held is None or name in self.mismatched or held.gone or not self._is_applicable(message, held)
         ):
             return  # the acknowledgement names our version, and the publisher sends the rest
-        if not message.gone and not self._fits(message, held, items):
+        if not message.removed and not self._fits(message, held, items):
             self.refused += 1  # memory is bounded whatever is sent; the contents stay
             return
         self._apply(now, message, version, held, items)
@@ -604,7 +608,7 @@
         early_drains = {k: n for k, n in early_drains.items() if n > version[1]}
         before = held.size
         changed: list[Record] = []
-        if message.gone:
+        if message.removed:
             if self._subscribed.get(name) and not held.gone:
                 pass  # requests in flight are finished with the current contents
             else:
@@ -617,22 +621,22 @@
         else:
             had = held.version[1]
             for item in items:
-                if item.n > had and early_drains.get(item.key, 0) <= item.n:
+                if item.version > had and early_drains.get(item.key, 0) <= item.version:
                     self._put_item(now, message, held, item, changed)
-        held.version, held.gone = version, message.gone
-        held.gone_at = now if message.gone else inf
+        held.version, held.gone = version, message.removed
+        held.gone_at = now if message.removed else inf
         self.max_epoch = max(self.max_epoch, version[0])
         if early_drains:
             self._early_drains[name] = early_drains
         else:
             self._early_drains.pop(name, None)
-            if not message.gone and held.digest != message.digest:
+            if not message.removed and held.digest != message.digest:
                 # The contents were not what they should have been (two sources disagree): request a snapshot.
                 self.mismatched.add(name)
                 self.mismatches += 1
         self._held_digest ^= self._digest_of(held)
         self.held_bytes += held.size - before
-        self.updates.append(ScopeUpdate(name, snapshot, message.gone, changed))
+        self.updates.append(ScopeUpdate(name, snapshot, message.removed, changed))
 
     def _apply_snapshot(
         self,
@@ -664,9 +668,10 @@
     def _put_item(
         self, now: float, message: ScopeChange, held: Scope, item: ScopeItem, changed: list[Record]
     ) -> None:
-        leaving_since = message.echo - item.told  # in transit time counts: never later than the truth
-        held.put(now, item.key, item.n, item.state, item.body, leaving_since, self.everything)
-        changed.append(held.records.get(item.key) or Record(item.key, item.n, GONE, b"", inf, 0))
+        # in transit time counts: never later than the truth
+        leaving_since = message.echo - item.draining_for_ms
+        held.put(now, item.key, item.version, item.state, item.body, leaving_since, self.everything)
+        changed.append(held.records.get(item.key) or Record(item.key, item.version, GONE, b"", inf, 0))
 
     def _apply_drains(self, message: ScopeChange, held: Scope) -> None:
         """Apply drains, which are sent ahead of the rest of their scope."""
@@ -678,11 +683,19 @@
             record = held.records.get(item.key)
             early_drains = self._early_drains.get(message.scope, {})
             known = max(held.version[1], early_drains.get(item.key, 0))
-            if record is None or item.state == PRESENT or item.n <= known:
+            if record is None or item.state == PRESENT or item.version <= known:
                 continue
-            self._early_drains.setdefault(message.scope, early_drains)[item.key] = item.n
+            self._early_drains.setdefault(message.scope, early_drains)[item.key] = item.version
             # It stays, as leaving, so that an older change that arrives later does not bring it back.
-            held.put(message.echo, item.key, item.n, LEAVING, record.body, message.echo - item.told, False)
+            held.put(
+                message.echo,
+                item.key,
+                item.version,
+                LEAVING,
+                record.body,
+                message.echo - item.draining_for_ms,
+                False,
+            )
             changed.append(held.records[item.key])
         self.held_bytes += held.size - before
         if changed:
--- a/tests/scope_net.py
+++ b/tests/scope_net.py
@@ -211,7 +211,7 @@
             frame = encode(message)
             if me.startswith("f") and to.startswith("b") and isinstance(message, ScopeChange):
                 self.sent[to] = self.sent.get(to, 0) + 1
-                if not message.drains:
+                if not message.drains_only:
                     self._check_rate(f"{me} to {to}, {message.session}", len(frame))
             if frozenset((me, to)) in self.cut or self.random.random() < self.loss:
                 continue
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -132,7 +132,7 @@
         here.links.loop = SimpleNamespace(
             create_connection=late, create_task=loop.create_task, time=loop.time
         )
-        message = ChangeAck(session=1, edition=1, at=1.0)
+        message = ChangeAck(session=1, edition=1, sent_at=1.0)
         here.send([("f", message)])
         async with asyncio.timeout(10):
             while not lost:
--- a/tests/test_scopes.py
+++ b/tests/test_scopes.py
@@ -279,7 +279,7 @@
             ends[to].receive(self.now, me, message)
 
     def changes(self):
-        found = [m for m in self.received if isinstance(m, ScopeChange) and not m.drains]
+        found = [m for m in self.received if isinstance(m, ScopeChange) and not m.drains_only]
         self.received.clear()
         return found
 
@@ -469,8 +469,8 @@
                 part=draw.randrange(4),
                 since=draw.choice([(0, 0), (epoch, 5), (epoch + 9, 7)]),
                 parts=draw.choice([1, 3, 900]),
-                drains=draw.random() < 0.2,
-                gone=draw.random() < 0.05,
+                drains_only=draw.random() < 0.2,
+                removed=draw.random() < 0.05,
                 items=items,
             ),
         )
@@ -487,13 +487,15 @@
             Subscribe(
                 session=1,
                 edition=1,
-                at=0.0,
+                sent_at=0.0,
                 rate=10**9,
                 whole=True,
                 scopes=[(f"t{draw.randrange(10**6)}", draw.randrange(9), 1, 1) for _ in range(3)],
             ),
         )
-        fan.receive(pair.now, f"x{i}", ChangeAck(session=1, edition=1, at=0.0, scopes=[(f"v{i}", 1, 1, 1)]))
+        fan.receive(
+            pair.now, f"x{i}", ChangeAck(session=1, edition=1, sent_at=0.0, scopes=[(f"v{i}", 1, 1, 1)])
+        )
     assert len(fan) == publishers.MAX_SUBSCRIBERS and len(fan._by_scope) <= 3 * len(fan) + 5
     pair.run(ms=1_000.0, times=14)
     assert len(fan) <= 1
@@ -545,7 +547,7 @@
     pair.sub.subscribe(pair.now, "t")
     pair.sub.out.clear()  # the subscription has not been received yet
     old = ScopeChange(session=session, scope="t", epoch=pair.source.epoch, n=3, echo=pair.now)
-    status = {"session": session, "echo": pair.now, "age": 0.0, "own": 0.0}
+    status = {"session": session, "echo": pair.now, "age": 0.0, "publisher_age": 0.0}
     pair.sub.receive(pair.now, "f", old)  # an old state by another path
     pair.sub.receive(pair.now, "f", FreshnessReport(edition=edition, **status))
     assert pair.sub.age(pair.now, "t") == inf and "t" in pair.sub.scopes
@@ -571,7 +573,7 @@
     sub.tick(100.0)
     session = sub._sessions[first].number
     sub.out.clear()
-    sub.receive(150.0, first, FreshnessReport(session=session, edition=0, echo=100.0, full=True))
+    sub.receive(150.0, first, FreshnessReport(session=session, edition=0, echo=100.0, overloaded=True))
     for now in range(200, 4_000, 50):
         sub.tick(float(now))
     assert any(to == other and isinstance(m, Subscribe) for to, m in sub.out)
