--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -1,11 +1,11 @@
 """Model checker of the takeover protocol: an owner, balancers that take over and three acceptors; one visit.
 
-Explores `fleet/guard.py` itself, with all orders, losses and duplications of messages. A step is one message
-delivered (it stays for a second delivery while duplications are left; a message that is never delivered is
-lost), one action of a balancer (request a grant, write the fetch, record its answer, refuse, take over), the
-restart of an acceptor, or its discarding of its records. The steps of a balancer that is stopped or has
-crashed come late or never, so stalls between a check and a write are covered. States that differ only by a
-permutation of the acceptors, or in messages that nobody waits for, are merged.
+Explores `fleet/acceptor.py` itself, with all orders, losses and duplications of messages. A step is one
+message delivered (it stays for a second delivery while duplications are left; a message that is never
+delivered is lost), one action of a balancer (request a grant, write the fetch, record its answer, refuse,
+take over), the restart of an acceptor, or its discarding of its records. The steps of a balancer that is
+stopped or has crashed come late or never, so stalls between a check and a write are covered. States that
+differ only by a permutation of the acceptors, or in messages that nobody waits for, are merged.
 
 Invariants, checked in every state:
 
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from time import perf_counter
 
+from ospreyline.fleet.acceptor import Acceptor, Proposer
 from ospreyline.fleet.frames import TakeoverMessage
-from ospreyline.fleet.guard import Acceptor, Proposer
 
 VISIT = "v"
 ACCEPTORS = ("g0", "g1", "g2")
@@ -159,7 +159,7 @@
         if state.restarts_left:
             out += [("restart", i) for i in range(len(ACCEPTORS))]
         if state.forgets_left:
-            out += [("forget", i) for i, acceptor in enumerate(state.acceptors) if VISIT in acceptor.works]
+            out += [("forget", i) for i, acceptor in enumerate(state.acceptors) if VISIT in acceptor.records]
         return out
 
     def step(self, state: State, kind: str, target: int | str) -> str:
@@ -249,7 +249,7 @@
         old = state.acceptors[place]
         if kind == "forget":
             state.forgets_left -= 1
-            old.works.clear()
+            old.records.clear()
             return
         acceptor = state.acceptors[place] = Acceptor(old.name, old.retention_ms, 2)
         for member in ("o", *self.takers):
@@ -307,7 +307,7 @@
         names = sorted(state.proposers)
         each = []
         for acceptor in state.acceptors:
-            stored = acceptor.works.get(VISIT)
+            stored = acceptor.records.get(VISIT)
             record = stored and (
                 stored.promised,
                 stored.acceptors,
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/acceptor.py
@@ -97,7 +97,7 @@
         """`retention_ms` should be well over the longest client timeout; `start`: process start, Unix ms."""
         self.name = name
         self.retention_ms = retention_ms
-        self.works: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
+        self.records: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
         self.sessions: dict[str, int] = {}  # by member: session of its current link
         self.out: list[TakeoverMessage] = []
         self.stored_bytes = 0
@@ -116,14 +116,14 @@
     def end_session(self, now: float, member: str) -> None:
         """The link to a member has ended: notify claimants that wait for its fetch to end."""
         self.sessions.pop(member, None)
-        for visit_id, record in self.works.items():
+        for visit_id, record in self.records.items():
             if not record.finished and record.grant_holder() == member:
                 self._notify_claimant(now, visit_id, record, member)
 
     def receive(self, now: float, message: TakeoverMessage) -> TakeoverMessage:
         """Record a message if its session and ballot allow; returns the reply."""
         self.expire(now)
-        record = self.works.get(message.visit_id)
+        record = self.records.get(message.visit_id)
         if self.sessions.get(message.sender) != message.session:
             return self._reject(message, record)
         if message.kind == "claim":
@@ -131,7 +131,7 @@
         if message.acceptors:
             record = self._register(now, message, record)
             if record is None:
-                return self._reject(message, self.works.get(message.visit_id))
+                return self._reject(message, self.records.get(message.visit_id))
         if record is None:
             return self._reject(message, record)
         if message.kind == "answer" and message.body != NEVER_RAN:
@@ -158,7 +158,7 @@
         if not self._make_room(len(message.body)):
             return None
         self.stored_bytes += len(message.body)
-        record = self.works[message.visit_id] = TakeoverRecord(
+        record = self.records[message.visit_id] = TakeoverRecord(
             message.ballot,
             message.acceptors,
             message.body,
@@ -187,14 +187,14 @@
             # Recorded even if unknown, so that a late registration cannot restore the owner's ballot.
             if not self._make_room(0):
                 return self._reject(message, record)
-            record = self.works[message.visit_id] = TakeoverRecord(
+            record = self.records[message.visit_id] = TakeoverRecord(
                 message.ballot, expires_at=now + self.retention_ms
             )
         elif message.ballot < record.promised:
             return self._reject(message, record)
         record.promised, record.session = message.ballot, message.session
         record.expires_at = max(record.expires_at, now + self.retention_ms)
-        self.works.move_to_end(message.visit_id)
+        self.records.move_to_end(message.visit_id)
         return self._accept(now, message, record)
 
     def _make_room(self, added_bytes: int, excluding: str = "") -> bool:
@@ -203,26 +203,26 @@
 
         def full() -> bool:
             return (
-                len(self.works) >= MAX_RECORDS + bool(excluding)
+                len(self.records) >= MAX_RECORDS + bool(excluding)
                 or self.stored_bytes + added_bytes > MAX_STORED_BYTES
             )
 
         # Bounds the memory used for other balancers, whatever they send.
         while full():
-            done = next((w for w, record in self.works.items() if record.finished and w != excluding), None)
+            done = next((w for w, record in self.records.items() if record.finished and w != excluding), None)
             if done is None:
                 return False
             self._discard(done)
         return True
 
     def _discard(self, visit_id: str) -> None:
-        record = self.works.pop(visit_id)
+        record = self.records.pop(visit_id)
         self.stored_bytes -= len(record.body) + len(record.answer)
 
     def expire(self, now: float) -> None:
         """Remove expired records, oldest first."""
-        while self.works:
-            visit_id, record = next(iter(self.works.items()))
+        while self.records:
+            visit_id, record = next(iter(self.records.items()))
             if record.expires_at > now:
                 return
             self._discard(visit_id)
@@ -233,7 +233,7 @@
         # The member may have restarted already; visits of its new session are its own.
         return [
             visit_id
-            for visit_id, record in self.works.items()
+            for visit_id, record in self.records.items()
             if record.promised[1] == member
             and record.session != session
             and record.acceptors
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -133,9 +133,9 @@
         wanted = set(self.members.neighbours) | set(self.lists.relays if self.lists else ())
         if self.takeover is not None:
             reachable, total = self.members.reachability()
-            self.takeover.meeting = reachable < total
+            self.takeover.bank_incomplete = reachable < total
             self.takeover.tick(now)
-            wanted.update(self.takeover.links())
+            wanted.update(self.takeover.required_links())
         self.carry_out()
         self.links.tidy(wanted, LINK_IDLE_S)
         if self._settings.status and now >= self._status_at:
@@ -152,7 +152,7 @@
         if self.takeover is not None:
             out += self.takeover.out
             self.takeover.out = []
-            if self.takeover.news:
+            if self.takeover.events:
                 self._on_takeover_news()
         for name, message in out:
             self.links.send(name, config.parse_address(self.members.address(name)), message)
@@ -173,7 +173,7 @@
                 "fleet", hears=reachability[0], of=reachability[1], words=reachability_text(*reachability)
             )
         if self.takeover is not None and self._now() >= self._log_due_at:
-            coverage = self.takeover.covered(self._now())
+            coverage = self.takeover.available_acceptors(self._now())
             if coverage != self._last_coverage:
                 self._last_coverage, self._log_due_at = coverage, self._now() + 1e3 * STATUS_PERIOD_S
                 self._log.info("cover", guardians=coverage[0], of=coverage[1])
@@ -181,12 +181,12 @@
     def _update_takeover(self, takeover: Takeover, changes: list[tuple[Entry, int]]) -> None:
         """Passes member changes to takeover: a member that died or was restarted has lost its visits."""
         now, members = self._now(), self.members.members
-        takeover.members(now, [(n, m.entry.zone) for n, m in members.items() if m.entry.state <= SUSPECT])
+        takeover.set_members(now, [(n, m.entry.zone) for n, m in members.items() if m.entry.state <= SUSPECT])
         for entry, _ in changes:
             start = self._starts.get(entry.name, entry.start)
             self._starts[entry.name] = entry.start
             if entry.state == DEAD or entry.start > start:
-                takeover.lost(now, entry.name)
+                takeover.member_lost(now, entry.name)
         for name in [n for n in self._starts if n not in members]:
             del self._starts[name]
 
@@ -211,7 +211,7 @@
         now = self._now()
         self.members.linked_to(now, entry.name)
         if self.takeover is not None:
-            self.takeover.linked(now, entry.name)
+            self.takeover.link_opened(now, entry.name)
         self.members.hello_received(now, entry, accepted)
         self.carry_out()
 
@@ -219,7 +219,7 @@
         now = self._now()
         if isinstance(message, AcceptorSession | Heartbeat | TakeoverMessage):
             if self.takeover is not None:
-                self.takeover.heard(now, name, message)
+                self.takeover.receive(now, name, message)
         elif isinstance(message, Hint):
             self._hinted(message.body)
         elif isinstance(message, RelaySubscribe | RelayedList | RelayUnavailable):
@@ -235,10 +235,11 @@
         now = self._now()
         self.members.unlinked(now, name)
         if self.takeover is not None:
-            self.takeover.unlinked(now, name)
+            self.takeover.link_closed(now, name)
             member = self.members.members.get(name)
             if member is not None and member.entry.state == LEFT:
-                self.takeover.lost(now, name)  # it has left on purpose and will finish no visit any more
+                # it has left on purpose and will finish no visit any more
+                self.takeover.member_lost(now, name)
             self.carry_out()
         if self.lists is not None:
             self.lists.remove_peer(name)
@@ -315,8 +316,8 @@
             "passes_the_list_on": bool(self.lists and self.lists.passing),
             "listens_to": self.lists.relays if self.lists else [],
             "list_rev": self.lists.rev if self.lists else None,
-            "cover": self.takeover.covered(now) if self.takeover else None,
-            "guards": len(self.takeover.guardian.works) if self.takeover else 0,
+            "cover": self.takeover.available_acceptors(now) if self.takeover else None,
+            "guards": len(self.takeover.acceptor.records) if self.takeover else 0,
             "members": [
                 {
                     "name": n,
--- a/ospreyline/fleet/takeover.py
+++ b/ospreyline/fleet/takeover.py
@@ -1,8 +1,8 @@
 """Takeover of visits whose balancer has failed: one balancer's part as owner, acceptor or claimant. Pure.
 
-Input: time, members, links and messages; output: messages (`out`) and events for the proxy (`news`). The
-protocol that makes a fetch run at most once is in `guard.py`; this module decides who the acceptors are, what
-the proxy must wait for, and who takes over when.
+Input: time, members, links and messages; output: messages (`out`) and events for the proxy (`events`). The
+protocol that makes a fetch run at most once is in `acceptor.py`; this module decides who the acceptors are,
+what the proxy must wait for, and who takes over when.
 
 - **Acceptors.** In each zone the first members by hash, the square root of the bank's size, serve as
   acceptors; three of them, of as many zones as possible, store a visit, by a hash of its id. So whichever
@@ -25,8 +25,8 @@
 from math import ceil, inf, sqrt
 from typing import Any
 
+from ospreyline.fleet.acceptor import MAY_HAVE_RUN, Acceptor, Proposer, choose_acceptors
 from ospreyline.fleet.frames import NO_BALLOT, AcceptorSession, Heartbeat, Message, TakeoverMessage
-from ospreyline.fleet.guard import MAY_HAVE_RUN, Acceptor, Proposer, choose_acceptors
 from ospreyline.host import Kind
 
 MIN_ACCEPTORS_PER_ZONE = 4
@@ -104,7 +104,7 @@
 class Takeover:
     """One balancer's part in takeover. `out` holds (member, message).
 
-    `news` holds events (what, tag of the visit, details) for the proxy:
+    `events` holds (what, tag of the visit, details) for the proxy:
 
     - go, no (fetch number): a fetch that waited may be written, or may not;
     - refused: a bounce that waited may be sent;
@@ -130,12 +130,12 @@
         self.name, self.zone = name, zone
         self.wait_ms, self.refuse_without_quorum = wait_ms, refuse_without_quorum
         self.max_fetches = max_fetches
-        self.guardian = Acceptor(name, retention_ms, start)
+        self.acceptor = Acceptor(name, retention_ms, start)
         self.out: list[tuple[str, Message]] = []
-        self.news: list[tuple[str, int, Any]] = []
+        self.events: list[tuple[str, int, Any]] = []
         self.counts: Counter[str] = Counter()
         self.visits: dict[int, OwnedVisit] = {}
-        self.peers: dict[str, Peer] = {name: Peer(True, self.guardian.start_session(name))}
+        self.peers: dict[str, Peer] = {name: Peer(True, self.acceptor.start_session(name))}
         self._acceptors: list[tuple[str, str]] = [(name, zone)]
         self._by_id: dict[str, OwnedVisit] = {}
         self._orphans: list[tuple[float, str, str]] = []  # (ms at which it is adopted, visit id, its owner)
@@ -144,11 +144,11 @@
         self._draw = draw
         self._heartbeat_at = 0.0
         # we do not know all members of the bank: what no acceptor knows may be known to others
-        self.meeting = False
+        self.bank_incomplete = False
 
     # members and links
 
-    def members(self, now: float, alive_members: Iterable[tuple[str, str]]) -> None:
+    def set_members(self, now: float, alive_members: Iterable[tuple[str, str]]) -> None:
         """Set the other members that are considered alive, as (name, zone)."""
         others = list(alive_members)
         self._acceptors = bank_acceptors([*others, (self.name, self.zone)])
@@ -156,19 +156,19 @@
         for name in [n for n, p in self.peers.items() if n not in alive and not p.linked]:
             del self.peers[name]
 
-    def links(self) -> list[str]:
+    def required_links(self) -> list[str]:
         """The members to which links must be kept open."""
         return [name for name, _ in self._acceptors if name != self.name]
 
-    def linked(self, now: float, name: str) -> None:
+    def link_opened(self, now: float, name: str) -> None:
         peer = self.peers.setdefault(name, Peer())
         peer.linked, peer.session, peer.serial, peer.last_heard, peer.unanswered_since = True, 0, 0, now, inf
-        self.out.append((name, AcceptorSession(session=self.guardian.start_session(name))))
+        self.out.append((name, AcceptorSession(session=self.acceptor.start_session(name))))
 
-    def unlinked(self, now: float, name: str) -> None:
+    def link_closed(self, now: float, name: str) -> None:
         if (peer := self.peers.get(name)) is not None:
             peer.linked, peer.session = False, 0
-        self.guardian.end_session(now, name)
+        self.acceptor.end_session(now, name)
         self._deliver_unsolicited(now)
         for visit in [
             h for h in self.visits.values() if h.waiting_for == "claim" and name in h.proposer.acceptors
@@ -177,12 +177,12 @@
             visit.proposer.recheck_claim()
             self._flush(now, visit)
 
-    def lost(self, now: float, name: str) -> None:
+    def member_lost(self, now: float, name: str) -> None:
         """A member is dead or was restarted: its visits go to the other acceptors, in turn."""
-        for visit_id in self.guardian.orphaned_by(name):
+        for visit_id in self.acceptor.orphaned_by(name):
             linked_acceptors = [
                 g
-                for g in self.guardian.works[visit_id].acceptors
+                for g in self.acceptor.records[visit_id].acceptors
                 if g == self.name or (g in self.peers and self.peers[g].linked)
             ]
             if self.name in linked_acceptors:
@@ -191,9 +191,9 @@
                     (now + ADOPTION_STEP_MS * (rank + 0.25 * self._draw() * (rank > 0)), visit_id, name)
                 )
 
-    def covered(self, now: float) -> tuple[int, int]:
+    def available_acceptors(self, now: float) -> tuple[int, int]:
         """(acceptors of the bank that are responsive, all of them), this balancer excluded."""
-        return sum(self._responsive(now, n) for n in self.links()), len(self.links())
+        return sum(self._responsive(now, n) for n in self.required_links()), len(self.required_links())
 
     def _responsive(self, now: float, name: str) -> bool:
         peer = self.peers.get(name)
@@ -210,7 +210,7 @@
     def tick(self, now: float) -> None:
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + HEARTBEAT_MS
-            for name in self.links():
+            for name in self.required_links():
                 self.out.append((name, Heartbeat()))
         due = [o for o in self._orphans if o[0] <= now]
         if due:
@@ -406,7 +406,7 @@
         `bounce` follows."""
         self.counts["asked_again"] += 1
         if visit_id in self._by_id:
-            self.news.append(("unknown" if kind is Kind.MUTATING else "bounce", tag, None))
+            self.events.append(("unknown" if kind is Kind.MUTATING else "bounce", tag, None))
         else:
             self._claim(now, tag, visit_id, kind, body, left, (0, ""))
 
@@ -442,7 +442,7 @@
         self._flush(now, visit)
 
     def _adopt(self, now: float, visit_id: str, owner: str) -> None:
-        record = self.guardian.works.get(visit_id)
+        record = self.acceptor.records.get(visit_id)
         if (
             record is None
             or record.finished
@@ -526,7 +526,12 @@
         if not visit.orphan and not visit.widened and not set(linked_members) <= set(proposer.acceptors):
             visit.widened = True
             self._reclaim(now, visit, linked_members)
-        elif self.meeting and not visit.orphan and visit.waiting_for == "claim" and now < visit.wait_until:
+        elif (
+            self.bank_incomplete
+            and not visit.orphan
+            and visit.waiting_for == "claim"
+            and now < visit.wait_until
+        ):
             visit.reclaim_at = now + RECLAIM_MS
         else:
             self._finish_unknown(visit)
@@ -543,7 +548,7 @@
 
     # messages
 
-    def heard(self, now: float, name: str, message: Message) -> None:
+    def receive(self, now: float, name: str, message: Message) -> None:
         peer = self.peers.setdefault(name, Peer(True))
         peer.last_heard, peer.unanswered_since = now, inf
         if isinstance(message, AcceptorSession):
@@ -560,12 +565,12 @@
                     visit.proposer.receive(message)
                     self._flush(now, visit)
             else:
-                self.out.append((name, self.guardian.receive(now, message)))
+                self.out.append((name, self.acceptor.receive(now, message)))
                 self._deliver_unsolicited(now)
 
     def _deliver_unsolicited(self, now: float) -> None:
         """Route the acceptor's unsolicited messages; those for ourselves are processed at once."""
-        out, self.guardian.out = self.guardian.out, []
+        out, self.acceptor.out = self.acceptor.out, []
         for message in out:
             if message.receiver != self.name:
                 self.out.append((message.receiver, message))
@@ -583,12 +588,12 @@
             out, proposer.out = proposer.out, []
             for message in out:
                 if message.receiver == self.name:
-                    proposer.receive(self.guardian.receive(now, message))
+                    proposer.receive(self.acceptor.receive(now, message))
                 else:
                     self.out.append((message.receiver, message))
                     if (peer := self.peers.get(message.receiver)) is not None:
                         peer.unanswered_since = min(peer.unanswered_since, now)
-        if self.guardian.out:
+        if self.acceptor.out:
             self._deliver_unsolicited(now)
         if not last:
             self._check_progress(now, visit)
@@ -635,7 +640,7 @@
         return not refused
 
     def _emit(self, what: str, visit: OwnedVisit, details: Any = None) -> None:
-        self.news.append((what, visit.tag, details))
+        self.events.append((what, visit.tag, details))
 
     def _finish(self, what: str, visit: OwnedVisit, details: Any = None) -> None:
         self._discard(visit)
--- a/ospreyline/net/covering.py
+++ b/ospreyline/net/covering.py
@@ -206,8 +206,8 @@
 
     def carry_out(self, now: float) -> None:
         """Process takeover's events and send its messages."""
-        while self.takeover.news:
-            news, self.takeover.news = self.takeover.news, []
+        while self.takeover.events:
+            news, self.takeover.events = self.takeover.events, []
             for what, tag, details in news:
                 if what == "adopt":
                     self._adopt(now, tag, *details)
@@ -220,8 +220,8 @@
         """Counters since the last call, and what we store for other balancers."""
         counts = {f"cover_{name}": n for name, n in sorted(self.takeover.counts.items())}
         self.takeover.counts.clear()
-        acceptor = self.takeover.guardian
-        return {**counts, "cover_guards": len(acceptor.works), "cover_bytes": acceptor.stored_bytes}
+        acceptor = self.takeover.acceptor
+        return {**counts, "cover_guards": len(acceptor.records), "cover_bytes": acceptor.stored_bytes}
 
     def _handle_event(self, now: float, taken: Taken, what: str, details: Any) -> None:
         turn = self._turn
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -411,10 +411,10 @@
         }
         everybody = {"m0": self.own, **self.at}
         for name, one in everybody.items():
-            one.members(clock(), [(other, "a") for other in everybody if other != name])
+            one.set_members(clock(), [(other, "a") for other in everybody if other != name])
             for other in everybody:
                 if other != name:
-                    one.linked(clock(), other)
+                    one.link_opened(clock(), other)
         self.deliver()
 
     def deliver(self) -> None:
@@ -424,7 +424,7 @@
             for name, one in everybody.items():
                 out, one.out = one.out, []
                 for to, message in out:
-                    everybody[to].heard(clock(), name, message)
+                    everybody[to].receive(clock(), name, message)
         self.turn.note(self.turn.run_takeover_results)
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,9 +6,9 @@
 from msgspec.structs import replace
 
 from ospreyline.check.guards import ACCEPTORS, VISIT, Explorer
-from ospreyline.fleet import guard
+from ospreyline.fleet import acceptor
+from ospreyline.fleet.acceptor import Acceptor, Proposer, choose_acceptors
 from ospreyline.fleet.frames import TakeoverMessage
-from ospreyline.fleet.guard import Acceptor, Proposer, choose_acceptors
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
     receive = Acceptor.receive
 
     def wrong(self, now, say):
-        kept = self.works.get(say.visit_id)
+        kept = self.records.get(say.visit_id)
         if say.kind == "permit" and kept is not None:
             kept.promised = min(kept.promised, say.ballot)
         return receive(self, now, say)
@@ -160,8 +160,8 @@
 
 
 def test_what_a_guardian_keeps_is_bounded_whatever_others_send(monkeypatch):
-    monkeypatch.setattr(guard, "MAX_RECORDS", 50)
-    monkeypatch.setattr(guard, "MAX_STORED_BYTES", 1_000)
+    monkeypatch.setattr(acceptor, "MAX_RECORDS", 50)
+    monkeypatch.setattr(acceptor, "MAX_STORED_BYTES", 1_000)
     one = Acceptor("g0", 1_000.0, 1)
     session = one.start_session("o")
     said = [
@@ -170,9 +170,9 @@
     ]
     assert said.count("yes") == 33 and one.stored_bytes <= 1_000
     assert all(one.receive(0.0, message("claim", f"c{i}", session, round_=1)).kind for i in range(100))
-    assert len(one.works) <= 50
+    assert len(one.records) <= 50
     one.expire(1_001.0)
-    assert not one.works and one.stored_bytes == 0
+    assert not one.records and one.stored_bytes == 0
 
 
 def test_words_of_a_former_session_are_refused():
@@ -189,7 +189,7 @@
     session = one.start_session("o")
     assert one.receive(0.0, message("claim", session=session, round_=1)).kind == "yes"
     assert one.receive(0.0, message("register", session=session)).kind == "no"
-    assert one.receive(0.0, message("permit", session=session)).kind == "no" and not one.works[VISIT].grants
+    assert one.receive(0.0, message("permit", session=session)).kind == "no" and not one.records[VISIT].grants
 
 
 def test_one_that_asks_later_is_told_the_kept_answer():
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -31,10 +31,10 @@
         for name, zone in self.zones.items():
             self.at[name] = Takeover(name, zone, 1, Random(1).random, 150.0, 30_000.0, refuses, 3)
         for name, one in self.at.items():
-            one.members(0.0, [(n, z) for n, z in self.zones.items() if n != name])
+            one.set_members(0.0, [(n, z) for n, z in self.zones.items() if n != name])
             for other in self.at:
                 if other != name:
-                    one.linked(0.0, other)
+                    one.link_opened(0.0, other)
         self.run()
 
     def run(self, ms: float = 0.0) -> None:
@@ -46,7 +46,7 @@
                     out, one.out = one.out, []
                     for to, message in out:
                         if to in self.at and not self.lost(name, to, message):
-                            self.at[to].heard(self.now, name, message)
+                            self.at[to].receive(self.now, name, message)
             if self.now >= until:
                 return
             self.now += 50.0
@@ -58,18 +58,18 @@
         dead = self.at.pop(name)
         dead.out.clear()
         for one in self.at.values():
-            one.unlinked(self.now, name)
+            one.link_closed(self.now, name)
         if noticed:
             for one in self.at.values():
                 living = [(n, self.zones[n]) for n in self.at if n != one.name]
-                one.members(self.now, living)
-                one.lost(self.now, name)
+                one.set_members(self.now, living)
+                one.member_lost(self.now, name)
 
     def take(self, name: str, kind: Kind, id_: str = "v", left: float = 2_000.0, tag: int = 1) -> bool:
         return self.at[name].admit(self.now, tag, id_, kind, BODY[kind], left)
 
     def news(self, name: str) -> list[tuple[str, Any]]:
-        out, self.at[name].news = self.at[name].news, []
+        out, self.at[name].events = self.at[name].events, []
         return [(what, more) for what, _, more in out]
 
     def ask(self, name: str, kind: Kind, id_: str = "v", left: float = 1_500.0) -> list[tuple[str, Any]]:
@@ -79,7 +79,9 @@
 
     def acceptors(self, id_: str = "v") -> list[str]:
         return [
-            n for n, one in self.at.items() if id_ in one.guardian.works and one.guardian.works[id_].acceptors
+            n
+            for n, one in self.at.items()
+            if id_ in one.acceptor.records and one.acceptor.records[id_].acceptors
         ]
 
 
@@ -234,20 +236,20 @@
     # were taken from it.
     net = Net()
     for one in net.at.values():
-        one.unlinked(0.0, "m0")
+        one.link_closed(0.0, "m0")
     fresh = net.at["m0"] = Takeover("m0", "a", 2, Random(1).random, 150.0, 30_000.0, False, 3)
-    fresh.members(0.0, [(n, z) for n, z in net.zones.items() if n != "m0"])
+    fresh.set_members(0.0, [(n, z) for n, z in net.zones.items() if n != "m0"])
     for name, one in net.at.items():
         if name != "m0":
-            one.linked(0.0, "m0")
-            fresh.linked(0.0, name)
+            one.link_opened(0.0, "m0")
+            fresh.link_opened(0.0, name)
     net.run()
     net.take("m0", CHANGE)
     fresh.register_queued(0.0, 1)
     net.run()
     for name, one in net.at.items():
         if name != "m0":
-            one.lost(net.now, "m0")
+            one.member_lost(net.now, "m0")
     net.run(2_000.0)
     assert all(net.news(n) == [] for n in net.at)
 
@@ -271,7 +273,7 @@
 
 
 def test_guardians_that_are_full_leave_a_visit_without_cover(monkeypatch):
-    monkeypatch.setattr("ospreyline.fleet.guard.MAX_RECORDS", 0)
+    monkeypatch.setattr("ospreyline.fleet.acceptor.MAX_RECORDS", 0)
     net = Net()
     net.take("m0", CHANGE)
     assert (
@@ -288,7 +290,7 @@
     net.run()
     net.lost = lambda a, b, m: False
     for acceptor in net.acceptors():
-        net.at[acceptor].guardian.start_session("m0")  # a new link: the old session has ended
+        net.at[acceptor].acceptor.start_session("m0")  # a new link: the old session has ended
     assert not net.at["m0"].request_send(0.0, 1, 0, "a", 0)
     net.run()
     assert net.news("m0") == [("no", 0)]
@@ -323,10 +325,10 @@
     net.at["m0"].register_queued(0.0, 1)
     net.run()
     acceptor = net.acceptors()[0]
-    session = net.at[acceptor].guardian.sessions["m0"]
-    net.at[acceptor].heard(0.0, "m5", TakeoverMessage("claim", "v", (9, "m0"), session, acceptor, "m0"))
+    session = net.at[acceptor].acceptor.sessions["m0"]
+    net.at[acceptor].receive(0.0, "m5", TakeoverMessage("claim", "v", (9, "m0"), session, acceptor, "m0"))
     assert net.at[acceptor].counts["foreign_words"] == 1
-    assert net.at[acceptor].guardian.works["v"].promised == (0, "m0")
+    assert net.at[acceptor].acceptor.records["v"].promised == (0, "m0")
 
 
 def test_a_large_answer_is_known_and_not_kept():
