--- a/ospreyline/check/guards.py
+++ b/ospreyline/check/guards.py
@@ -1,11 +1,11 @@
 """Model checker of the takeover protocol: an owner, balancers that take over and three acceptors; one visit.
 
-Explores `fleet/guard.py` itself, with all orders, losses and duplications of messages. A step is one message
-delivered (it stays for a second delivery while duplications are left; a message that is never delivered is
-lost), one action of a balancer (request a grant, write the fetch, record its answer, refuse, take over), the
-restart of an acceptor, or its discarding of its records. The steps of a balancer that is stopped or has
-crashed come late or never, so stalls between a check and a write are covered. States that differ only by a
-permutation of the acceptors, or in messages that nobody waits for, are merged.
+Explores `fleet/acceptor.py` itself, with all orders, losses and duplications of messages. A step is one
+message delivered (it stays for a second delivery while duplications are left; a message that is never
+delivered is lost), one action of a balancer (request a grant, write the fetch, record its answer, refuse,
+take over), the restart of an acceptor, or its discarding of its records. The steps of a balancer that is
+stopped or has crashed come late or never, so stalls between a check and a write are covered. States that
+differ only by a permutation of the acceptors, or in messages that nobody waits for, are merged.
 
 Invariants, checked in every state:
 
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from time import perf_counter
 
-from ospreyline.fleet.frames import Say
-from ospreyline.fleet.guard import Acceptor, Proposer
+from ospreyline.fleet.acceptor import Acceptor, Proposer
+from ospreyline.fleet.frames import TakeoverMessage
 
 VISIT = "v"
 ACCEPTORS = ("g0", "g1", "g2")
@@ -35,7 +35,7 @@
 
     acceptors: list[Acceptor]
     proposers: dict[str, Proposer]
-    in_flight: list[Say] = field(default_factory=list)
+    in_flight: list[TakeoverMessage] = field(default_factory=list)
     # by balancer: those that wrote the fetch, in order; those that told the client that the visit never ran
     writers: list[str] = field(default_factory=list)
     refusers: list[str] = field(default_factory=list)
@@ -103,7 +103,9 @@
         self._send_pending(state, "o")
         if self.covered:
             for message in state.in_flight:
-                state.proposers["o"].receive(acceptors[ACCEPTORS.index(message.to)].receive(0.0, message))
+                state.proposers["o"].receive(
+                    acceptors[ACCEPTORS.index(message.receiver)].receive(0.0, message)
+                )
             state.in_flight.clear()
         return state
 
@@ -123,7 +125,7 @@
     def steps(self, state: State) -> list[tuple[str, int | str]]:
         """The possible next steps as (kind, target), in a fixed order."""
         out: list[tuple[str, int | str]] = []
-        seen: set[Say] = set()
+        seen: set[TakeoverMessage] = set()
         for i, message in enumerate(state.in_flight):
             if message not in seen:
                 seen.add(message)
@@ -157,7 +159,7 @@
         if state.restarts_left:
             out += [("restart", i) for i in range(len(ACCEPTORS))]
         if state.forgets_left:
-            out += [("forget", i) for i, acceptor in enumerate(state.acceptors) if VISIT in acceptor.works]
+            out += [("forget", i) for i, acceptor in enumerate(state.acceptors) if VISIT in acceptor.records]
         return out
 
     def step(self, state: State, kind: str, target: int | str) -> str:
@@ -166,14 +168,14 @@
         state.in_flight = [
             message
             for message in state.in_flight
-            if message.to in ACCEPTORS or self.still_matters(state, message)
+            if message.receiver in ACCEPTORS or self.still_matters(state, message)
         ]
         return description
 
     @staticmethod
-    def still_matters(state: State, message: Say) -> bool:
+    def still_matters(state: State, message: TakeoverMessage) -> bool:
         """Whether a message to a balancer can still change its state."""
-        proposer = state.proposers.get(message.to)
+        proposer = state.proposers.get(message.receiver)
         if (
             proposer is not None
             and message.ballot == proposer.ballot
@@ -190,7 +192,7 @@
             return False
         if message.about == "register" or (message.about == "claim" and proposer.owned):
             return False  # its content is known already, or nobody acts on it
-        return message.by not in (proposer._accepts if message.what == "yes" else proposer._rejects)
+        return message.sender not in (proposer._accepts if message.kind == "yes" else proposer._rejects)
 
     def _apply(self, state: State, kind: str, target: int | str) -> str:
         if kind in ("deliver", "double"):
@@ -200,17 +202,21 @@
                 del state.in_flight[target]
             else:
                 state.doublings_left -= 1
-            if message.to in ACCEPTORS:
-                acceptor = state.acceptors[ACCEPTORS.index(message.to)]
+            if message.receiver in ACCEPTORS:
+                acceptor = state.acceptors[ACCEPTORS.index(message.receiver)]
                 answer = acceptor.receive(0.0, message)
                 state.in_flight += [answer, *acceptor.out]
                 acceptor.out.clear()
-                return f"{message.by} to {message.to}: {message.what} {message.ballot}, {answer.what}"
-            proposer = state.proposers.get(message.to)
+                return (
+                    f"{message.sender} to {message.receiver}: {message.kind} {message.ballot}, {answer.kind}"
+                )
+            proposer = state.proposers.get(message.receiver)
             if proposer is not None:
                 proposer.receive(message)
-                self._send_pending(state, message.to)
-            return f"{message.by} to {message.to}: {message.what} to {message.about} {message.ballot}"
+                self._send_pending(state, message.receiver)
+            return (
+                f"{message.sender} to {message.receiver}: {message.kind} to {message.about} {message.ballot}"
+            )
         if kind in ("restart", "forget"):
             assert isinstance(target, int)
             self._discard_records(state, target, kind)
@@ -243,7 +249,7 @@
         old = state.acceptors[place]
         if kind == "forget":
             state.forgets_left -= 1
-            old.works.clear()
+            old.records.clear()
             return
         acceptor = state.acceptors[place] = Acceptor(old.name, old.retention_ms, 2)
         for member in ("o", *self.takers):
@@ -301,7 +307,7 @@
         names = sorted(state.proposers)
         each = []
         for acceptor in state.acceptors:
-            stored = acceptor.works.get(VISIT)
+            stored = acceptor.records.get(VISIT)
             record = stored and (
                 stored.promised,
                 stored.acceptors,
@@ -314,29 +320,29 @@
             messages = sorted(
                 hash(
                     (
-                        s.what,
+                        s.kind,
                         s.ballot,
                         s.session,
-                        s.to if s.to not in ACCEPTORS else "",
-                        s.by if s.by not in ACCEPTORS else "",
+                        s.receiver if s.receiver not in ACCEPTORS else "",
+                        s.sender if s.sender not in ACCEPTORS else "",
                         s.body,
-                        s.permits,
+                        s.grants,
                         s.promised,
                         s.about,
-                        bool(s.guards),
+                        bool(s.acceptors),
                         s.answered,
                         s.closed,
-                        s.here,
+                        s.grant_holder_linked,
                     )
                 )
                 for s in state.in_flight
-                if acceptor.name in (s.to, s.by)
+                if acceptor.name in (s.receiver, s.sender)
             )
             replies = tuple(
                 (
                     acceptor.name in state.proposers[n]._rejects,
                     (y := state.proposers[n]._accepts.get(acceptor.name))
-                    and (y.permits, bool(y.guards), y.answered, y.body, y.closed),
+                    and (y.grants, bool(y.acceptors), y.answered, y.body, y.closed),
                 )
                 for n in names
             )
--- a/ospreyline/fleet/guard.py
+++ b/ospreyline/fleet/acceptor.py
@@ -33,7 +33,7 @@
 from hashlib import blake2b
 from math import inf
 
-from ospreyline.fleet.frames import NOBODY, Ballot, Permit, Say
+from ospreyline.fleet.frames import NO_BALLOT, Ballot, Grant, TakeoverMessage
 
 ACCEPTORS_PER_VISIT = 3  # of a visit
 NEVER_RAN = b"\0never ran"  # answer value: the ballot is closed and nothing of it may have run
@@ -69,7 +69,7 @@
     body: bytes = b""
     answer: bytes = b""
     answered: bool = False
-    closed: Ballot = NOBODY
+    closed: Ballot = NO_BALLOT
     grants: dict[tuple[Ballot, int], tuple[str, int, float]] = field(default_factory=dict)
     session: int = 0  # of the link on which it was registered or last claimed
     expires_at: float = 0.0
@@ -77,7 +77,7 @@
 
     def grant_holder(self) -> str:
         """The balancer that may have a fetch of the visit in progress; empty: none."""
-        last = max(self.grants)[0] if self.grants else NOBODY
+        last = max(self.grants)[0] if self.grants else NO_BALLOT
         return last[1] if last > self.closed else ""
 
     @property
@@ -97,9 +97,9 @@
         """`retention_ms` should be well over the longest client timeout; `start`: process start, Unix ms."""
         self.name = name
         self.retention_ms = retention_ms
-        self.works: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
+        self.records: OrderedDict[str, TakeoverRecord] = OrderedDict()  # by visit id, oldest first
         self.sessions: dict[str, int] = {}  # by member: session of its current link
-        self.out: list[Say] = []
+        self.out: list[TakeoverMessage] = []
         self.stored_bytes = 0
         self.rejections = 0
         self._serials: dict[str, int] = {}  # by member: serial of its last registration on that link
@@ -116,80 +116,86 @@
     def end_session(self, now: float, member: str) -> None:
         """The link to a member has ended: notify claimants that wait for its fetch to end."""
         self.sessions.pop(member, None)
-        for visit_id, record in self.works.items():
+        for visit_id, record in self.records.items():
             if not record.finished and record.grant_holder() == member:
                 self._notify_claimant(now, visit_id, record, member)
 
-    def receive(self, now: float, say: Say) -> Say:
+    def receive(self, now: float, message: TakeoverMessage) -> TakeoverMessage:
         """Record a message if its session and ballot allow; returns the reply."""
         self.expire(now)
-        record = self.works.get(say.work)
-        if self.sessions.get(say.by) != say.session:
-            return self._reject(say, record)
-        if say.what == "claim":
-            return self._promise(now, say, record)
-        if say.guards:
-            record = self._register(now, say, record)
+        record = self.records.get(message.visit_id)
+        if self.sessions.get(message.sender) != message.session:
+            return self._reject(message, record)
+        if message.kind == "claim":
+            return self._promise(now, message, record)
+        if message.acceptors:
+            record = self._register(now, message, record)
             if record is None:
-                return self._reject(say, self.works.get(say.work))
+                return self._reject(message, self.records.get(message.visit_id))
         if record is None:
-            return self._reject(say, record)
-        if say.what == "answer" and say.body != NEVER_RAN:
-            return self._record_answer(now, say, record)
-        if say.ballot < record.promised:
-            return self._reject(say, record)
-        record.promised = say.ballot
-        if say.what == "permit":
-            record.grants[say.ballot, say.number] = (say.zone, say.cell, now)
-        elif say.what == "answer":
-            record.closed = say.ballot
-        return self._accept(now, say, record)
-
-    def _register(self, now: float, say: Say, record: TakeoverRecord | None) -> TakeoverRecord | None:
+            return self._reject(message, record)
+        if message.kind == "answer" and message.body != NEVER_RAN:
+            return self._record_answer(now, message, record)
+        if message.ballot < record.promised:
+            return self._reject(message, record)
+        record.promised = message.ballot
+        if message.kind == "permit":
+            record.grants[message.ballot, message.number] = (message.zone, message.cell, now)
+        elif message.kind == "answer":
+            record.closed = message.ballot
+        return self._accept(now, message, record)
+
+    def _register(
+        self, now: float, message: TakeoverMessage, record: TakeoverRecord | None
+    ) -> TakeoverRecord | None:
         """The record of a registered visit; None if the registration is refused."""
         if record is not None:
-            return record if record.promised == say.ballot else None  # claimed, or owned by another
+            return record if record.promised == message.ballot else None  # claimed, or owned by another
         # Without this, a duplicated registration would bring back a visit that was claimed and evicted.
-        if say.serial <= self._serials[say.by]:
+        if message.serial <= self._serials[message.sender]:
             return None
-        self._serials[say.by] = say.serial  # a refused one must not succeed later either
-        if not self._make_room(len(say.body)):
+        self._serials[message.sender] = message.serial  # a refused one must not succeed later either
+        if not self._make_room(len(message.body)):
             return None
-        self.stored_bytes += len(say.body)
-        record = self.works[say.work] = TakeoverRecord(
-            say.ballot,
-            say.guards,
-            say.body,
-            session=say.session,
+        self.stored_bytes += len(message.body)
+        record = self.records[message.visit_id] = TakeoverRecord(
+            message.ballot,
+            message.acceptors,
+            message.body,
+            session=message.session,
             expires_at=now + self.retention_ms,
-            client_deadline=now + say.left,
+            client_deadline=now + message.time_left_ms,
         )
         return record
 
-    def _record_answer(self, now: float, say: Say, record: TakeoverRecord) -> Say:
+    def _record_answer(self, now: float, message: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
         """Record the visit's answer, or that its balancer has given it up (MAY_HAVE_RUN)."""
         if not record.answered:
-            if say.body == MAY_HAVE_RUN and say.ballot < record.promised:
-                return self._reject(say, record)  # only the current owner may give it up
-            if not self._make_room(len(say.body), excluding=say.work):
-                return self._reject(say, record)
-            self.stored_bytes += len(say.body) - len(record.body)
-            record.answer, record.answered, record.body = say.body, True, b""
-            self._notify_claimant(now, say.work, record, say.by)
-        return self._accept(now, say, record)
-
-    def _promise(self, now: float, say: Say, record: TakeoverRecord | None) -> Say:
+            if message.body == MAY_HAVE_RUN and message.ballot < record.promised:
+                return self._reject(message, record)  # only the current owner may give it up
+            if not self._make_room(len(message.body), excluding=message.visit_id):
+                return self._reject(message, record)
+            self.stored_bytes += len(message.body) - len(record.body)
+            record.answer, record.answered, record.body = message.body, True, b""
+            self._notify_claimant(now, message.visit_id, record, message.sender)
+        return self._accept(now, message, record)
+
+    def _promise(
+        self, now: float, message: TakeoverMessage, record: TakeoverRecord | None
+    ) -> TakeoverMessage:
         if record is None:
             # Recorded even if unknown, so that a late registration cannot restore the owner's ballot.
             if not self._make_room(0):
-                return self._reject(say, record)
-            record = self.works[say.work] = TakeoverRecord(say.ballot, expires_at=now + self.retention_ms)
-        elif say.ballot < record.promised:
-            return self._reject(say, record)
-        record.promised, record.session = say.ballot, say.session
+                return self._reject(message, record)
+            record = self.records[message.visit_id] = TakeoverRecord(
+                message.ballot, expires_at=now + self.retention_ms
+            )
+        elif message.ballot < record.promised:
+            return self._reject(message, record)
+        record.promised, record.session = message.ballot, message.session
         record.expires_at = max(record.expires_at, now + self.retention_ms)
-        self.works.move_to_end(say.work)
-        return self._accept(now, say, record)
+        self.records.move_to_end(message.visit_id)
+        return self._accept(now, message, record)
 
     def _make_room(self, added_bytes: int, excluding: str = "") -> bool:
         """Evict finished records, oldest first, until one more of this size fits; False if it cannot.
@@ -197,26 +203,26 @@
 
         def full() -> bool:
             return (
-                len(self.works) >= MAX_RECORDS + bool(excluding)
+                len(self.records) >= MAX_RECORDS + bool(excluding)
                 or self.stored_bytes + added_bytes > MAX_STORED_BYTES
             )
 
         # Bounds the memory used for other balancers, whatever they send.
         while full():
-            done = next((w for w, record in self.works.items() if record.finished and w != excluding), None)
+            done = next((w for w, record in self.records.items() if record.finished and w != excluding), None)
             if done is None:
                 return False
             self._discard(done)
         return True
 
     def _discard(self, visit_id: str) -> None:
-        record = self.works.pop(visit_id)
+        record = self.records.pop(visit_id)
         self.stored_bytes -= len(record.body) + len(record.answer)
 
     def expire(self, now: float) -> None:
         """Remove expired records, oldest first."""
-        while self.works:
-            visit_id, record = next(iter(self.works.items()))
+        while self.records:
+            visit_id, record = next(iter(self.records.items()))
             if record.expires_at > now:
                 return
             self._discard(visit_id)
@@ -227,7 +233,7 @@
         # The member may have restarted already; visits of its new session are its own.
         return [
             visit_id
-            for visit_id, record in self.works.items()
+            for visit_id, record in self.records.items()
             if record.promised[1] == member
             and record.session != session
             and record.acceptors
@@ -237,22 +243,22 @@
     def _notify_claimant(self, now: float, visit_id: str, record: TakeoverRecord, by: str) -> None:
         name = record.promised[1]
         if record.promised[0] and name != by and name in self.sessions:
-            asked = Say("claim", visit_id, record.promised, self.sessions[name], self.name, name)
+            asked = TakeoverMessage("claim", visit_id, record.promised, self.sessions[name], self.name, name)
             self.out.append(self._accept(now, asked, record))
 
-    def _accept(self, now: float, say: Say, record: TakeoverRecord) -> Say:
-        if say.what != "claim":
-            return Say(
+    def _accept(self, now: float, message: TakeoverMessage, record: TakeoverRecord) -> TakeoverMessage:
+        if message.kind != "claim":
+            return TakeoverMessage(
                 "yes",
-                say.work,
-                say.ballot,
-                say.session,
-                say.by,
+                message.visit_id,
+                message.ballot,
+                message.session,
+                message.sender,
                 self.name,
                 promised=record.promised,
-                about=say.what,
-                guards=record.acceptors,
-                number=say.number,
+                about=message.kind,
+                acceptors=record.acceptors,
+                number=message.number,
             )
         grants = tuple(
             sorted(
@@ -260,37 +266,37 @@
                 for (ballot, number), (zone, cell, at) in record.grants.items()
             )
         )
-        return Say(
+        return TakeoverMessage(
             "yes",
-            say.work,
-            say.ballot,
-            say.session,
-            say.by,
+            message.visit_id,
+            message.ballot,
+            message.session,
+            message.sender,
             self.name,
             record.answer if record.answered else record.body,
             grants,
             record.promised,
-            say.what,
+            message.kind,
             record.acceptors,
             record.answered,
-            left=max(0.0, record.client_deadline - now),
-            here=record.grant_holder() in self.sessions,
+            time_left_ms=max(0.0, record.client_deadline - now),
+            grant_holder_linked=record.grant_holder() in self.sessions,
             closed=record.closed,
         )
 
-    def _reject(self, say: Say, record: TakeoverRecord | None) -> Say:
+    def _reject(self, message: TakeoverMessage, record: TakeoverRecord | None) -> TakeoverMessage:
         self.rejections += 1
         promised = record.promised if record is not None else (0, "")
-        return Say(
+        return TakeoverMessage(
             "no",
-            say.work,
-            say.ballot,
-            say.session,
-            say.by,
+            message.visit_id,
+            message.ballot,
+            message.session,
+            message.sender,
             self.name,
             promised=promised,
-            about=say.what,
-            number=say.number,
+            about=message.kind,
+            number=message.number,
         )
 
 
@@ -365,20 +371,20 @@
         self.serials = dict(serials or {})
         self.ballot: Ballot = (0, name)
         self.promised: Ballot = (0, "")  # the highest ballot seen
-        self.out: list[Say] = []
+        self.out: list[TakeoverMessage] = []
         self.has_quorum = self.owned = self.lost = self.may_have_run = self.granted = self.superseded = False
         self.refusal_recorded = self._refusing = self._registered = self._registering = False
         self.known_to_quorum = False  # after a claim: a quorum of acceptors knows the visit
         self.ever_granted = False  # a fetch of ours was granted
         self.unregistered = False  # a quorum refused to register it, so nobody can take it over
         self.grant_holder_linked = False  # a balancer with a grant is still linked to an acceptor
-        self.grants: dict[tuple[Ballot, int], Permit] = {}  # after a claim: grants of other balancers
-        self.client_retried, self.closed = client_retried, NOBODY
+        self.grants: dict[tuple[Ballot, int], Grant] = {}  # after a claim: grants of other balancers
+        self.client_retried, self.closed = client_retried, NO_BALLOT
         self.unreachable: set[str] = set()  # acceptors without a link; a claim does not wait for them
         self.answer: bytes | None = None
         self._requested = ""
         self._fetch_number = 0
-        self._accepts: dict[str, Say] = {}
+        self._accepts: dict[str, TakeoverMessage] = {}
         self._rejects: set[str] = set()
 
     @property
@@ -392,7 +398,7 @@
         first = what in ("register", "permit") and not self._registered and not self.ballot[0]
         self._registered, self._registering = self._registered or first, first
         self.out += [
-            Say(
+            TakeoverMessage(
                 what,
                 self.visit_id,
                 self.ballot,
@@ -400,11 +406,11 @@
                 g,
                 self.name,
                 self.body if first else body,
-                guards=self.acceptors if first else (),
+                acceptors=self.acceptors if first else (),
                 number=number,
                 zone=zone,
                 cell=cell,
-                left=self.time_left if first else 0.0,
+                time_left_ms=self.time_left if first else 0.0,
                 serial=self.serials.get(g, 0) if first else 0,
             )
             for g in self.acceptors
@@ -426,7 +432,7 @@
         registers."""
         self.owned = self.owned or not (self._registered or self.ballot[0])
         barred = (self.may_have_run and not self.repeatable) or (
-            self.closed > NOBODY and not self.client_retried
+            self.closed > NO_BALLOT and not self.client_retried
         )
         if self.owned and not self.lost and not self._refusing and not barred:
             self.granted = False
@@ -444,19 +450,19 @@
         """Store the visit's answer at the acceptors for clients that ask again."""
         self._broadcast("answer", body)
 
-    def receive(self, say: Say) -> None:
+    def receive(self, message: TakeoverMessage) -> None:
         """Process an acceptor's reply; duplicated, late and foreign replies are ignored."""
-        if say.by not in self.acceptors or say.ballot != self.ballot:
+        if message.sender not in self.acceptors or message.ballot != self.ballot:
             return
-        if say.about == "claim" and say.what == "yes" and say.answered:
+        if message.about == "claim" and message.kind == "yes" and message.answered:
             # an answer counts whatever request is pending
-            self.answer = say.body if self.answer is None else self.answer
-        if say.about != self._requested or say.number != self._fetch_number:
+            self.answer = message.body if self.answer is None else self.answer
+        if message.about != self._requested or message.number != self._fetch_number:
             return
-        self.promised = max(self.promised, say.promised)
-        if say.what == "no":
-            self._rejects.add(say.by)
-            self.superseded = self.superseded or say.promised > self.ballot
+        self.promised = max(self.promised, message.promised)
+        if message.kind == "no":
+            self._rejects.add(message.sender)
+            self.superseded = self.superseded or message.promised > self.ballot
             if self.superseded or (len(self._rejects) >= self.quorum and self._requested != "answer"):
                 self.lost = True  # another has it, or too few acceptors are left
                 # Only a refused registration: acceptors that refuse a later message may have registered the
@@ -465,7 +471,7 @@
             elif self._requested == "claim":
                 self._evaluate_claim()
             return
-        self._accepts[say.by] = say
+        self._accepts[message.sender] = message
         if self._requested == "claim":
             self._evaluate_claim()
         elif len(self._accepts) >= self.quorum and not self.lost:
@@ -481,13 +487,13 @@
 
     def _evaluate_claim(self) -> None:
         """Evaluate the replies to a claim: whether a quorum has promised, and which grants were recorded."""
-        knowing = [say for say in self._accepts.values() if say.guards]
-        self.grant_holder_linked = any(say.here for say in self._accepts.values())
+        knowing = [message for message in self._accepts.values() if message.acceptors]
+        self.grant_holder_linked = any(message.grant_holder_linked for message in self._accepts.values())
         if self.lost or self.owned:
             return
-        if knowing and set(knowing[0].guards) != set(self.acceptors):
+        if knowing and set(knowing[0].acceptors) != set(self.acceptors):
             # With different acceptor lists two claimants could each get a quorum of their own.
-            self.acceptors = knowing[0].guards
+            self.acceptors = knowing[0].acceptors
             return self.claim(self.ballot)
         responded = sum(
             g in self._accepts or g in self._rejects or g in self.unreachable for g in self.acceptors
@@ -501,18 +507,18 @@
         self.known_to_quorum = len(knowing) >= self.quorum
         self.may_have_run = not self.known_to_quorum
         # The balancer that closed a ballot sends nothing more under it; nor can any under an earlier one.
-        self.closed = max(say.closed for say in self._accepts.values())
+        self.closed = max(message.closed for message in self._accepts.values())
         time_left = inf
-        for say in self._accepts.values():
-            for grant in say.permits:
+        for message in self._accepts.values():
+            for grant in message.grants:
                 if self.closed < grant[0] != self.ballot:
                     self.may_have_run = True
                     recorded = self.grants.get(grant[:2])
                     # the oldest record is closest to the time of the write
                     self.grants[grant[:2]] = grant if recorded is None or grant[4] > recorded[4] else recorded
-            if say.body and not say.answered:
-                self.body = say.body
-            time_left = min(time_left, say.left) if say.guards else time_left
+            if message.body and not message.answered:
+                self.body = message.body
+            time_left = min(time_left, message.time_left_ms) if message.acceptors else time_left
         self.time_left = time_left if time_left < inf else 0.0
         self.owned = self.has_quorum = True
 
--- a/ospreyline/fleet/publisher.py
+++ b/ospreyline/fleet/publisher.py
@@ -13,7 +13,16 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ospreyline.fleet.frames import Change, Got, Item, Message, Named, Subscribe, Told, Unsubscribe
+from ospreyline.fleet.frames import (
+    ChangeAck,
+    FreshnessReport,
+    Message,
+    ScopeChange,
+    ScopeItem,
+    ScopeVersion,
+    Subscribe,
+    Unsubscribe,
+)
 from ospreyline.fleet.scopes import (
     GONE,
     LEAVING,
@@ -68,7 +77,7 @@
     refilled_at: float
     complete: bool = True  # the list of its scopes is complete
     # by subscribed scope: the version that it has named
-    acked: dict[str, Named] = field(default_factory=dict)
+    acked: dict[str, ScopeVersion] = field(default_factory=dict)
     acked_digest: int = 0  # digest of the versions in `acked`
     # by scope that is not up to date: our freshness when it fell behind
     behind: dict[str, float] = field(default_factory=dict)
@@ -77,7 +86,8 @@
     drains: dict[tuple[str, str], None] = field(default_factory=dict)  # (scope, key)
     in_flight: dict[str, _InFlight] = field(default_factory=dict)
     unacked_bytes: int = 0
-    parts: deque[Change] = field(default_factory=deque)  # rest of the one change that is being sent in parts
+    # rest of the one change that is being sent in parts
+    parts: deque[ScopeChange] = field(default_factory=deque)
     mismatches: int = 0  # messages in a row whose digest was not the expected one
 
 
@@ -147,13 +157,13 @@
         sub = self._subscribers.get(name)
         if isinstance(message, Subscribe):
             self._subscribe(now, name, sub, message)
-        elif isinstance(message, Got):
+        elif isinstance(message, ChangeAck):
             if sub is None or message.session > sub.session:
                 # its session was with an earlier process of ours, or its `Subscribe` was lost
-                if message.answer:
+                if message.reply_wanted:
                     self._request_full_subscription(name, message)
             elif message.session == sub.session:
-                self._handle_got(now, sub, message)
+                self._handle_ack(now, sub, message)
         elif isinstance(message, Unsubscribe) and sub is not None and sub.session == message.session:
             self.remove_subscriber(name)
 
@@ -167,8 +177,10 @@
         for scope in sub.acked:
             self._remove_from_scope(sub, scope)
 
-    def _request_full_subscription(self, name: str, message: Subscribe | Got) -> None:
-        self.out.append((name, Told(session=message.session, edition=0, echo=message.at, again=True)))
+    def _request_full_subscription(self, name: str, message: Subscribe | ChangeAck) -> None:
+        self.out.append(
+            (name, FreshnessReport(session=message.session, edition=0, echo=message.sent_at, resync=True))
+        )
 
     def _remove_from_scope(self, sub: _SubscriberState, scope: str) -> None:
         subscribers = self._by_scope.get(scope)
@@ -184,17 +196,24 @@
                 return
             self.remove_subscriber(name)
             if len(self._subscribers) >= MAX_SUBSCRIBERS:
-                self.out.append((name, Told(session=message.session, edition=0, echo=message.at, full=True)))
+                self.out.append(
+                    (
+                        name,
+                        FreshnessReport(
+                            session=message.session, edition=0, echo=message.sent_at, overloaded=True
+                        ),
+                    )
+                )
                 return
             rate = min(max(message.rate, MIN_RATE), MAX_RATE)
             sub = _SubscriberState(
                 name,
                 message.session,
                 0,
-                message.at,
+                message.sent_at,
                 now,
                 rate,
-                message.everything,
+                message.all_scopes,
                 min(rate * BURST_S, MAX_BURST_BYTES),
                 now,
             )
@@ -203,7 +222,7 @@
             return  # older than what we have
         elif not message.whole and message.edition != sub.edition + 1:
             return  # an edition in between was lost; the next message shows it, and all is requested again
-        sub.last_heard, sub.clock = now, max(sub.clock, message.at)
+        sub.last_heard, sub.clock = now, max(sub.clock, message.sent_at)
         sub.edition, sub.complete = message.edition, not message.more
         if message.whole:
             for scope in sub.acked:
@@ -217,7 +236,7 @@
             sub.parts.clear()
             sub.acked_digest = sub.unacked_bytes = 0
         max_scopes = MAX_SCOPES_OF_EVERYTHING if sub.everything else MAX_SCOPES
-        for scope in message.drop:
+        for scope in message.removed:
             self._unsubscribe(sub, scope)
         for named in message.scopes:
             if len(named[0]) <= MAX_NAME_CHARS and (named[0] in sub.acked or len(sub.acked) < max_scopes):
@@ -250,7 +269,7 @@
             if sub.parts and sub.parts[0].scope == scope:
                 sub.parts.clear()
 
-    def _acknowledge(self, now: float, sub: _SubscriberState, named: Named) -> None:
+    def _acknowledge(self, now: float, sub: _SubscriberState, named: ScopeVersion) -> None:
         """The subscriber names its version of a scope, which counts, whatever we assumed."""
         scope, version = named[0], (named[1], named[2])
         had = sub.acked.get(scope)
@@ -295,10 +314,10 @@
         newest = max(self._complete_to(), found.version if found is not None else NO_VERSION)
         return newest if newest != NO_VERSION else None
 
-    def _handle_got(self, now: float, sub: _SubscriberState, message: Got) -> None:
-        sub.last_heard, sub.clock = now, max(sub.clock, message.at)
+    def _handle_ack(self, now: float, sub: _SubscriberState, message: ChangeAck) -> None:
+        sub.last_heard, sub.clock = now, max(sub.clock, message.sent_at)
         if not sub.complete:
-            if message.answer:
+            if message.reply_wanted:
                 sub.mismatches += 1
                 self._send_status(now, sub, again=sub.mismatches > 2)
             return
@@ -306,7 +325,7 @@
         for named in message.scopes if message.edition == sub.edition else ():
             if named[0] in sub.acked or (sub.everything and len(sub.acked) < MAX_SCOPES_OF_EVERYTHING):
                 self._acknowledge(now, sub, named)
-        if not message.answer:
+        if not message.reply_wanted:
             return
         again = message.edition != sub.edition
         if not again and message.holds != sub.acked_digest and not sub.in_flight:
@@ -319,25 +338,25 @@
 
     def _send_status(self, now: float, sub: _SubscriberState, again: bool = False) -> None:
         fresh = self._fresh_as_of(now)
-        own = now - fresh if fresh > -inf else -1.0
+        publisher_age = now - fresh if fresh > -inf else -1.0
         least = min(sub.behind.values(), default=inf)
         fresh = min(fresh, least)
         known = sub.complete and not again and not sub.mismatches and fresh > -inf
         epoch, n = self._complete_to()
-        clean = known and not sub.behind and epoch > 0
+        up_to_date = known and not sub.behind and epoch > 0
         self.out.append(
             (
                 sub.name,
-                Told(
+                FreshnessReport(
                     session=sub.session,
                     edition=sub.edition,
                     echo=sub.clock,
                     age=now - fresh if known else -1.0,
-                    own=own,
-                    clean=clean,
+                    publisher_age=publisher_age,
+                    up_to_date=up_to_date,
                     epoch=epoch,
                     n=n,
-                    again=again,
+                    resync=again,
                 ),
             )
         )
@@ -393,13 +412,15 @@
             self._send_change(now, sub, found)
 
     def _send_drains(self, now: float, sub: _SubscriberState) -> None:
-        by_scope: dict[str, list[Item]] = {}
+        by_scope: dict[str, list[ScopeItem]] = {}
         for scope, key in sub.drains:
             found = self.scopes.get(scope)
             record = found.records.get(key) if found is not None else None
             if record is not None and record.state != 0 and scope in sub.acked:
                 item = to_item(now, record)
-                by_scope.setdefault(scope, []).append(Item(item.key, item.n, item.state, b"", item.told))
+                by_scope.setdefault(scope, []).append(
+                    ScopeItem(item.key, item.version, item.state, b"", item.draining_for_ms)
+                )
         sub.drains.clear()
         for scope, items in by_scope.items():
             epoch, n = self.scopes[scope].version
@@ -407,17 +428,17 @@
                 self._send(
                     now,
                     sub,
-                    Change(
+                    ScopeChange(
                         session=sub.session,
                         scope=scope,
                         epoch=epoch,
                         n=n,
-                        drains=True,
+                        drains_only=True,
                         items=items[i : i + 256],
                     ),
                 )
 
-    def _send(self, now: float, sub: _SubscriberState, change: Change) -> None:
+    def _send(self, now: float, sub: _SubscriberState, change: ScopeChange) -> None:
         change.echo = sub.clock
         size = 80 + len(change.scope) + sum(wire_size(i) for i in change.items)
         sub.tokens -= size
@@ -432,10 +453,10 @@
         newest = self._newest_version(name)
         if newest is None or newest <= base:
             return
-        change = Change(session=sub.session, scope=name, epoch=newest[0], n=newest[1], since=base)
-        items: list[Item] = []
+        change = ScopeChange(session=sub.session, scope=name, epoch=newest[0], n=newest[1], since=base)
+        items: list[ScopeItem] = []
         if held is None or held.version == NO_VERSION or held.gone:
-            change.gone, change.since = True, NO_VERSION
+            change.removed, change.since = True, NO_VERSION
         else:
             change.digest = held.digest
             records = held.changes_since(base) if base != NO_VERSION else None
@@ -446,13 +467,13 @@
                 records, change.since = held.live_records(), NO_VERSION
             items = [to_item(now, r) for r in records]
         size = 80 + sum(wire_size(i) for i in items)
-        sub.in_flight[name] = _InFlight(newest, base, now, size, change.gone)
+        sub.in_flight[name] = _InFlight(newest, base, now, size, change.removed)
         sub.unacked_bytes += size
         if size <= PART_BYTES:
             change.items = items
             self._send(now, sub, change)
             return
-        parts: list[list[Item]] = [[]]
+        parts: list[list[ScopeItem]] = [[]]
         remaining = PART_BYTES
         for item in items:
             if remaining < 0:
@@ -461,7 +482,7 @@
             parts[-1].append(item)
             remaining -= wire_size(item)
         sub.parts.extend(
-            Change(
+            ScopeChange(
                 session=sub.session,
                 scope=name,
                 epoch=change.epoch,
@@ -522,7 +543,7 @@
         self.publisher.scope_changed(now, name, [], now)
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        if isinstance(message, Subscribe | Got) and self.epoch < message.seen < MAX_EPOCH:
+        if isinstance(message, Subscribe | ChangeAck) and self.epoch < message.seen < MAX_EPOCH:
             # Our clock was set back: our versions must still follow those sent before.
             self.epoch = ((message.seen >> SALT_BITS) + 1) << SALT_BITS | self._salt
             for scope in self.scopes.values():
@@ -561,7 +582,7 @@
         return out
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        if isinstance(message, Subscribe | Got | Unsubscribe):
+        if isinstance(message, Subscribe | ChangeAck | Unsubscribe):
             self.down.receive(now, name, message)
             self.up.max_epoch = max(self.up.max_epoch, self.down.max_epoch)
             return
--- a/ospreyline/fleet/subscriber.py
+++ b/ospreyline/fleet/subscriber.py
@@ -18,7 +18,16 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ospreyline.fleet.frames import Change, Got, Item, Message, Named, Subscribe, Told, Unsubscribe
+from ospreyline.fleet.frames import (
+    ChangeAck,
+    FreshnessReport,
+    Message,
+    ScopeChange,
+    ScopeItem,
+    ScopeVersion,
+    Subscribe,
+    Unsubscribe,
+)
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.fleet.scopes import (
     GONE,
@@ -90,7 +99,7 @@
     since: Version
     parts: int
     size: int = 0
-    received: dict[int, list[Item]] = field(default_factory=dict)
+    received: dict[int, list[ScopeItem]] = field(default_factory=dict)
 
 
 class Subscriber:
@@ -223,7 +232,7 @@
         self._unsubscribing.discard(scope)
         self._discard(scope)
         self._edition += 1
-        self._send_subscription_change(now, drop=[scope])
+        self._send_subscription_change(now, removed=[scope])
 
     def _discard(self, scope: str) -> None:
         held = self.scopes.pop(scope, None)
@@ -272,10 +281,10 @@
                 session.heartbeat_at = now + self._heartbeat_ms
                 self._send(
                     session.name,
-                    Got(
+                    ChangeAck(
                         session=session.number,
                         edition=self._edition,
-                        at=now,
+                        sent_at=now,
                         holds=self._held_digest,
                         scopes=self._ack_summaries(),
                         seen=self.max_epoch,
@@ -290,13 +299,13 @@
             for session in self._sessions.values():
                 self._send(
                     session.name,
-                    Got(
+                    ChangeAck(
                         session=session.number,
                         edition=self._edition,
-                        at=now,
+                        sent_at=now,
                         holds=self._held_digest,
                         scopes=scopes,
-                        answer=False,
+                        reply_wanted=False,
                         seen=self.max_epoch,
                     ),
                 )
@@ -308,10 +317,10 @@
         elif now >= self._search_at and not self._candidate:
             self._try_candidate(now)
 
-    def _ack_summaries(self) -> list[Named]:
+    def _ack_summaries(self) -> list[ScopeVersion]:
         return [self._summary(scope) for scope in sorted(self._pending_acks)[:SCOPES_PER_MESSAGE]]
 
-    def _summary(self, scope: str) -> Named:
+    def _summary(self, scope: str) -> ScopeVersion:
         held = self.scopes.get(scope)
         return (scope, 0, 0, 0) if held is None or scope in self.mismatched else held.summary()
 
@@ -341,18 +350,18 @@
                 Subscribe(
                     session=session.number,
                     edition=self._edition - len(parts) + 1 + i,
-                    at=now,
+                    sent_at=now,
                     rate=self._rate,
                     scopes=[self._summary(n) for n in part],
                     whole=not i,
                     more=i + 1 < len(parts),
-                    everything=self.everything,
+                    all_scopes=self.everything,
                     seen=self.max_epoch,
                 ),
             )
 
     def _send_subscription_change(
-        self, now: float, scopes: list[Named] | None = None, drop: list[str] | None = None
+        self, now: float, scopes: list[ScopeVersion] | None = None, removed: list[str] | None = None
     ) -> None:
         for session in self._sessions.values():
             self._send(
@@ -360,10 +369,10 @@
                 Subscribe(
                     session=session.number,
                     edition=self._edition,
-                    at=now,
+                    sent_at=now,
                     rate=self._rate,
                     scopes=scopes or [],
-                    drop=drop or [],
+                    removed=removed or [],
                     seen=self.max_epoch,
                 ),
             )
@@ -417,32 +426,40 @@
     def receive(self, now: float, publisher: str, message: Message) -> None:
         """Process a message of a publisher."""
         session = self._sessions.get(publisher)
-        if not isinstance(message, Told | Change) or session is None or message.session != session.number:
+        if (
+            not isinstance(message, FreshnessReport | ScopeChange)
+            or session is None
+            or message.session != session.number
+        ):
             self.ignored += 1  # of an ended session, or of another publisher
             return
         session.last_heard = now
-        if isinstance(message, Told):
+        if isinstance(message, FreshnessReport):
             self._handle_status(now, session, message)
         else:
             self._handle_change(now, message)
 
-    def _handle_status(self, now: float, session: _Session, message: Told) -> None:
-        if message.full:
+    def _handle_status(self, now: float, session: _Session, message: FreshnessReport) -> None:
+        if message.overloaded:
             self.publisher_lost(now, session.name)
             return
-        if message.again:
+        if message.resync:
             self._send_full_subscription(now, session)
         if not session.answered and session.name == self._current:
             self._pacer.call_answered()
         session.answered = True
-        session.lag = message.own + now - message.echo if message.own >= 0 and message.echo <= now else inf
+        session.lag = (
+            message.publisher_age + now - message.echo
+            if message.publisher_age >= 0 and message.echo <= now
+            else inf
+        )
         if message.edition == self._edition and message.age >= 0 and message.echo <= now:
             # A message sent before the publisher knew our subscriptions says nothing about them.
             fresh = message.echo - message.age
             if fresh >= self.fresh_as_of:  # an older confirmation says nothing of scopes added since
                 self.fresh_as_of = fresh
                 self._unconfirmed.clear()
-            if self.everything and message.clean and message.epoch <= MAX_EPOCH:
+            if self.everything and message.up_to_date and message.epoch <= MAX_EPOCH:
                 self.complete_to = max(self.complete_to, (message.epoch, message.n))
         self._select_publisher(now, session)
 
@@ -475,7 +492,7 @@
             if not self._at_preferred() and self._search_at == inf and not self._candidate:
                 self._search_at = now + RETURN_INTERVAL_MS * (1 + self._draw())
 
-    def _handle_change(self, now: float, message: Change) -> None:
+    def _handle_change(self, now: float, message: ScopeChange) -> None:
         name, version = message.scope, (message.epoch, message.n)
         if (
             len(name) > MAX_NAME_CHARS
@@ -486,8 +503,8 @@
                 len(i.key) > MAX_NAME_CHARS
                 or len(i.body) > MAX_BODY_BYTES
                 or not PRESENT <= i.state <= GONE
-                or not i.told >= 0
-                or i.n > message.n
+                or not i.draining_for_ms >= 0
+                or i.version > message.n
                 for i in message.items
             )
         ):
@@ -499,7 +516,7 @@
         ):
             self.ignored += 1
             return
-        if message.drains:
+        if message.drains_only:
             if held is not None:
                 self._apply_drains(message, held)
             return
@@ -514,7 +531,7 @@
             held is None or name in self.mismatched or held.gone or not self._is_applicable(message, held)
         ):
             return  # the acknowledgement names our version, and the publisher sends the rest
-        if not message.gone and not self._fits(message, held, items):
+        if not message.removed and not self._fits(message, held, items):
             self.refused += 1  # memory is bounded whatever is sent; the contents stay
             return
         self._apply(now, message, version, held, items)
@@ -531,20 +548,20 @@
             version == held.version and since == NO_VERSION and name in self.mismatched
         )
 
-    def _is_applicable(self, message: Change, held: Scope) -> bool:
+    def _is_applicable(self, message: ScopeChange, held: Scope) -> bool:
         """Whether a change can be applied to what we have."""
         if message.since == held.version:
             # under another epoch the contents are the same only if nothing has changed meanwhile
             return message.epoch == held.version[0] or message.digest == held.digest
         return message.since[0] == message.epoch == held.version[0] and message.since[1] < held.version[1]
 
-    def _fits(self, message: Change, held: Scope | None, items: list[Item]) -> bool:
+    def _fits(self, message: ScopeChange, held: Scope | None, items: list[ScopeItem]) -> bool:
         more = sum(200 + len(i.key) + len(i.body) for i in items)
         less = held.size if held is not None and message.since == NO_VERSION else 0
         count = len(items) + (len(held.records) if held is not None and message.since != NO_VERSION else 0)
         return self.held_bytes + self._partial_bytes + more - less <= self._max_bytes and count <= MAX_RECORDS
 
-    def _assemble(self, message: Change, version: Version) -> list[Item] | None:
+    def _assemble(self, message: ScopeChange, version: Version) -> list[ScopeItem] | None:
         """All items once all parts have arrived, else None."""
         partial = self._partial.get(message.scope)
         is_ours = (version, message.since, message.parts)
@@ -572,7 +589,7 @@
             self._partial_bytes -= partial.size
 
     def _apply(
-        self, now: float, message: Change, version: Version, held: Scope | None, items: list[Item]
+        self, now: float, message: ScopeChange, version: Version, held: Scope | None, items: list[ScopeItem]
     ) -> None:
         name = message.scope
         snapshot = message.since == NO_VERSION
@@ -591,7 +608,7 @@
         early_drains = {k: n for k, n in early_drains.items() if n > version[1]}
         before = held.size
         changed: list[Record] = []
-        if message.gone:
+        if message.removed:
             if self._subscribed.get(name) and not held.gone:
                 pass  # requests in flight are finished with the current contents
             else:
@@ -604,29 +621,29 @@
         else:
             had = held.version[1]
             for item in items:
-                if item.n > had and early_drains.get(item.key, 0) <= item.n:
+                if item.version > had and early_drains.get(item.key, 0) <= item.version:
                     self._put_item(now, message, held, item, changed)
-        held.version, held.gone = version, message.gone
-        held.gone_at = now if message.gone else inf
+        held.version, held.gone = version, message.removed
+        held.gone_at = now if message.removed else inf
         self.max_epoch = max(self.max_epoch, version[0])
         if early_drains:
             self._early_drains[name] = early_drains
         else:
             self._early_drains.pop(name, None)
-            if not message.gone and held.digest != message.digest:
+            if not message.removed and held.digest != message.digest:
                 # The contents were not what they should have been (two sources disagree): request a snapshot.
                 self.mismatched.add(name)
                 self.mismatches += 1
         self._held_digest ^= self._digest_of(held)
         self.held_bytes += held.size - before
-        self.updates.append(ScopeUpdate(name, snapshot, message.gone, changed))
+        self.updates.append(ScopeUpdate(name, snapshot, message.removed, changed))
 
     def _apply_snapshot(
         self,
         now: float,
-        message: Change,
+        message: ScopeChange,
         held: Scope,
-        items: list[Item],
+        items: list[ScopeItem],
         early_drains: dict[str, int],
         changed: list[Record],
     ) -> None:
@@ -648,12 +665,15 @@
         gone = [r for k, r in old.items() if k not in held.records and r.state != GONE]
         changed += [Record(r.key, r.n, GONE, b"", inf, 0) for r in gone]
 
-    def _put_item(self, now: float, message: Change, held: Scope, item: Item, changed: list[Record]) -> None:
-        leaving_since = message.echo - item.told  # in transit time counts: never later than the truth
-        held.put(now, item.key, item.n, item.state, item.body, leaving_since, self.everything)
-        changed.append(held.records.get(item.key) or Record(item.key, item.n, GONE, b"", inf, 0))
+    def _put_item(
+        self, now: float, message: ScopeChange, held: Scope, item: ScopeItem, changed: list[Record]
+    ) -> None:
+        # in transit time counts: never later than the truth
+        leaving_since = message.echo - item.draining_for_ms
+        held.put(now, item.key, item.version, item.state, item.body, leaving_since, self.everything)
+        changed.append(held.records.get(item.key) or Record(item.key, item.version, GONE, b"", inf, 0))
 
-    def _apply_drains(self, message: Change, held: Scope) -> None:
+    def _apply_drains(self, message: ScopeChange, held: Scope) -> None:
         """Apply drains, which are sent ahead of the rest of their scope."""
         if message.epoch != held.version[0] or self.everything or held.gone:
             return
@@ -663,11 +683,19 @@
             record = held.records.get(item.key)
             early_drains = self._early_drains.get(message.scope, {})
             known = max(held.version[1], early_drains.get(item.key, 0))
-            if record is None or item.state == PRESENT or item.n <= known:
+            if record is None or item.state == PRESENT or item.version <= known:
                 continue
-            self._early_drains.setdefault(message.scope, early_drains)[item.key] = item.n
+            self._early_drains.setdefault(message.scope, early_drains)[item.key] = item.version
             # It stays, as leaving, so that an older change that arrives later does not bring it back.
-            held.put(message.echo, item.key, item.n, LEAVING, record.body, message.echo - item.told, False)
+            held.put(
+                message.echo,
+                item.key,
+                item.version,
+                LEAVING,
+                record.body,
+                message.echo - item.draining_for_ms,
+                False,
+            )
             changed.append(held.records[item.key])
         self.held_bytes += held.size - before
         if changed:
