--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -427,7 +427,7 @@
     def process_takeover_events(self, now: float) -> None:
         """Carry out what takeover has decided."""
         if self.takeover_adapter is not None:
-            self.takeover_adapter.carry_out(now)
+            self.takeover_adapter.process_events(now)
 
     def prefix_name(self, prefix: int) -> str:
         return self._config.prefix_names[prefix]
@@ -439,7 +439,9 @@
     def accept_request(self, request: Request, client: ClientConnection) -> bool:
         """Start a visit for a request, or join it to its open visit; False if its id is in use otherwise."""
         if request.request_id in self._open_ids:
-            return self.takeover_adapter is not None and self.takeover_adapter.joins(request, client)
+            return self.takeover_adapter is not None and self.takeover_adapter.join_visit_in_progress(
+                request, client
+            )
         self._open_ids.add(request.request_id)
         self._last_tag += 1
         prefix_settings = self._config.deployment.prefixes[request.prefix_index]
@@ -486,7 +488,7 @@
         pending.backstop_timer = self._loop.call_later(
             max(0.0, time_left + BACKSTOP_DELAY_MS) / 1e3, self.enqueue, self._on_overdue, pending
         )
-        if self.takeover_adapter is None or self.takeover_adapter.begins(
+        if self.takeover_adapter is None or self.takeover_adapter.admit(
             now, pending, time_left, prefix_settings.kind
         ):
             self.decide(now, pending, time_left, ())
@@ -513,7 +515,7 @@
             now, pending.tag, prefix, time_left, request.is_repeat, before
         )
         if self.takeover_adapter is not None and len(pending.exchanges) == len(before):
-            self.takeover_adapter.decided(now, pending)
+            self.takeover_adapter.register_if_queued(now, pending)
         self._discard_if_settled(pending)
 
     def adopt_visit(
@@ -550,7 +552,7 @@
         if not pending.client_left:
             return  # another connection of its client has joined it since
         if self.takeover_adapter is not None and not pending.answered:
-            if self.takeover_adapter.goes_on(now, pending, pending.prefix_settings.kind):
+            if self.takeover_adapter.continue_without_client(now, pending, pending.prefix_settings.kind):
                 return  # open fetches continue; no new one starts unless the client asks again
             if pending.decision is None:
                 self._discard_visit(pending)
@@ -561,7 +563,9 @@
             for number, exchange in enumerate(pending.exchanges):
                 if exchange is not None:
                     exchange.withdraw()
-                elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
+                elif self.takeover_adapter is not None and self.takeover_adapter.cancel_waiting_fetch(
+                    pending, number
+                ):
                     # Its acceptors were told that it is over and will not reply, so its end is reported here;
                     # otherwise the visit would stay open forever.
                     self.enqueue(
@@ -575,7 +579,7 @@
     def _on_overdue(self, now: float, pending: PendingVisit) -> None:
         """Backstop: answer a visit that has none yet, whatever went wrong."""
         if pending.answered and not (
-            self.takeover_adapter is not None and self.takeover_adapter.overdue(pending.tag)
+            self.takeover_adapter is not None and self.takeover_adapter.cancel_waiting_reply(pending.tag)
         ):
             return self._discard_if_settled(pending)
         self.counts["overdue"] += 1
@@ -608,7 +612,7 @@
                 pending.answered = True
                 self.latencies_ms.append(now - pending.arrived_at)
                 reply = pending, 200, outcome.head, outcome.body
-                if self.takeover_adapter is None or self.takeover_adapter.may_tell(now, pending, reply):
+                if self.takeover_adapter is None or self.takeover_adapter.store_answer(now, pending, reply):
                     self._pending_actions.append((self.reply, reply))
         if pending.decision is not None:
             pending.decision.fetch_ended(now, number, reported, elapsed, pending.answered, report)
@@ -631,7 +635,7 @@
         self.upstreams.close()
 
     def _discard_if_settled(self, pending: PendingVisit) -> None:
-        if self.takeover_adapter is not None and self.takeover_adapter.holds(pending.tag):
+        if self.takeover_adapter is not None and self.takeover_adapter.has_waiting_action(pending.tag):
             return
         if (
             pending.decision.settled
@@ -644,7 +648,7 @@
         if self.visits.pop(pending.tag, None) is not None:
             self._open_ids.discard(pending.request.request_id)
             if self.takeover_adapter is not None:
-                self.takeover_adapter.forget(pending.tag)
+                self.takeover_adapter.remove(pending.tag)
         if pending.backstop_timer is not None:
             pending.backstop_timer.cancel()
 
@@ -662,7 +666,7 @@
     def _start_fetch(
         self, now: float, pending: PendingVisit, number: int, upstream: int, generation: int, until: float
     ) -> None:
-        if self.takeover_adapter is None or self.takeover_adapter.may_write(
+        if self.takeover_adapter is None or self.takeover_adapter.may_write_fetch(
             now, pending, number, upstream, generation, until
         ):
             self.write(now, pending, number, upstream, generation, until)
@@ -696,7 +700,9 @@
         exchange = pending.exchanges[number]
         if exchange is not None:
             exchange.fail(FailureReason.CANCELLED)
-        elif self.takeover_adapter is not None and self.takeover_adapter.called_off(pending, number):
+        elif self.takeover_adapter is not None and self.takeover_adapter.cancel_waiting_fetch(
+            pending, number
+        ):
             self.enqueue(
                 self.ended,
                 pending,
@@ -978,7 +984,7 @@
         pending.answered = True
         self._log_refusal("failed", pending)
         if self.takeover_adapter is not None:
-            self.takeover_adapter.failed(self._last_batch_at, pending)
+            self.takeover_adapter.report_failure(self._last_batch_at, pending)
         self._pending_actions.append(
             (self.reply, (pending, 504 if pending.last_timed_out else 502, b"", b"no answer\n"))
         )
--- a/ospreyline/net/takeover_adapter.py
+++ b/ospreyline/net/takeover_adapter.py
@@ -83,7 +83,7 @@
             )
         )
 
-    def joins(self, request: Request, client: ClientConnection) -> bool:
+    def join_visit_in_progress(self, request: Request, client: ClientConnection) -> bool:
         """Whether a client that asks again is joined to its visit in progress here."""
         if not request.asks_for_outcome:
             return False
@@ -97,7 +97,7 @@
                 return True
         return False
 
-    def begins(self, now: float, pending: PendingVisit, left: float, kind: Kind) -> bool:
+    def admit(self, now: float, pending: PendingVisit, left: float, kind: Kind) -> bool:
         """A visit has arrived; returns whether the decision module gets it now."""
         request = pending.request
         if request.asks_for_outcome:
@@ -114,12 +114,12 @@
             return False
         return True
 
-    def decided(self, now: float, pending: PendingVisit) -> None:
+    def register_if_queued(self, now: float, pending: PendingVisit) -> None:
         """The decision module has decided on a visit: one that is queued is registered at its acceptors."""
         if not pending.answered and not pending.exchanges:
             self.takeover.register_queued(now, pending.tag)
 
-    def may_write(
+    def may_write_fetch(
         self, now: float, pending: PendingVisit, number: int, upstream: int, times: int, until: float
     ) -> bool:
         """Whether a fetch may be written now; else it is written when its grant arrives."""
@@ -131,7 +131,7 @@
         self._send_messages()
         return False
 
-    def called_off(self, pending: PendingVisit, number: int) -> bool:
+    def cancel_waiting_fetch(self, pending: PendingVisit, number: int) -> bool:
         """Whether a cancelled fetch still waited here for its grant, and so is never sent."""
         action, args = self._waiting.get(pending.tag, (None, ()))
         if action != self._dispatcher.write or args[1] != number:
@@ -148,7 +148,7 @@
         self._send_messages()
         return False
 
-    def may_tell(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
+    def store_answer(self, now: float, pending: PendingVisit, reply: tuple[Any, ...]) -> bool:
         """A visit is delivered: store its answer for clients that ask again; returns whether its client is
         answered now."""
         _, status, head, body = reply
@@ -160,11 +160,11 @@
         self._send_messages()
         return at_once
 
-    def failed(self, now: float, pending: PendingVisit) -> None:
+    def report_failure(self, now: float, pending: PendingVisit) -> None:
         self.takeover.fail(now, pending.tag)
         self._send_messages()
 
-    def goes_on(self, now: float, pending: PendingVisit, kind: Kind) -> bool:
+    def continue_without_client(self, now: float, pending: PendingVisit, kind: Kind) -> bool:
         """The client has left; returns whether the visit continues, so that its answer can be asked for."""
         fetches = pending.decision.fetches if pending.decision is not None else []
         # An end that is still queued behind the client's leaving is not decided yet, and may be the answer.
@@ -179,7 +179,7 @@
         self._send_messages()
         return False
 
-    def forget(self, tag: int) -> None:
+    def remove(self, tag: int) -> None:
         self.takeover.remove(tag)
         self._waiting.pop(tag, None)
         self._retry_deadlines.pop(tag, None)
@@ -191,7 +191,7 @@
         if self._dispatcher.bank is not None:
             self._dispatcher.bank.carry_out()
 
-    def overdue(self, tag: int) -> bool:
+    def cancel_waiting_reply(self, tag: int) -> bool:
         """The client's deadline has passed; returns whether its answer still waited here for an event that
         did not come."""
         action, _ = self._waiting.get(tag, (None, ()))
@@ -200,11 +200,11 @@
         del self._waiting[tag]
         return True
 
-    def holds(self, tag: int) -> bool:
+    def has_waiting_action(self, tag: int) -> bool:
         """Whether an action of the visit waits here for an event."""
         return tag in self._waiting
 
-    def carry_out(self, now: float) -> None:
+    def process_events(self, now: float) -> None:
         """Process takeover's events and send its messages."""
         while self.takeover.news:
             news, self.takeover.news = self.takeover.news, []
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -49,11 +49,11 @@
         self.kinds: list[Kind] = []
         self.waiting: list = []
 
-    def begins(self, now, pending, left, kind):
+    def admit(self, now, pending, left, kind):
         self.waiting.append((pending, left))
         return False
 
-    def goes_on(self, now, pending, kind):
+    def continue_without_client(self, now, pending, kind):
         self.kinds.append(kind)
         return False
 
@@ -61,7 +61,7 @@
         return {}
 
     def __getattr__(self, name):
-        return lambda *_: name.startswith("may")
+        return lambda *_: name in ("may_write_fetch", "may_bounce", "store_answer")
 
 
 @pytest.mark.parametrize("ran", [False, True])
@@ -131,7 +131,7 @@
             again = replace(old.current_request, asks_for_outcome=True)
             old._notify_left()  # its end is read, and no event batch has run since
             new.current_request = again
-            assert TakeoverAdapter.joins(SimpleNamespace(_dispatcher=dispatcher), again, new)
+            assert TakeoverAdapter.join_visit_in_progress(SimpleNamespace(_dispatcher=dispatcher), again, new)
             peer.writers[0].write(ok(b"once"))
             assert (await second.answer())[2] == b"once" and len(peer.requests) == 1
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -102,7 +102,7 @@
     takeover_adapter.takeover = net.at["m0"]
     exchanges = [f and SimpleNamespace(stage=f[0], on_end=None if f[1] else print) for f in fetches]
     decision = SimpleNamespace(fetches=[SimpleNamespace(end=f and f[2]) for f in fetches])
-    went_on = takeover_adapter.goes_on(
+    went_on = takeover_adapter.continue_without_client(
         net.now, SimpleNamespace(tag=1, exchanges=exchanges, decision=decision), CHANGE
     )
     net.run()
