--- a/ospreyline/capacity/model.py
+++ b/ospreyline/capacity/model.py
@@ -16,7 +16,7 @@
 from ospreyline.decide import MIN_BALANCERS_PER_UPSTREAM, MIN_UPSTREAMS_IN_USE
 from ospreyline.fleet.frames import MAX_MESSAGE_BYTES
 from ospreyline.fleet.links import MAX_LINKS
-from ospreyline.fleet.lists import HEARTBEAT_MS, RELAYS_USED
+from ospreyline.fleet.list_relay import HEARTBEAT_MS, RELAYS_USED
 from ospreyline.fleet.members import MAX_MEMBERS
 from ospreyline.fleet.publisher import MAX_SUBSCRIBERS
 from ospreyline.net.list_call import MAX_LINE_BYTES
--- a/ospreyline/fleet/bank.py
+++ b/ospreyline/fleet/bank.py
@@ -1,6 +1,6 @@
 """Connects one balancer to the others of its bank: membership, list relaying, hints and takeover over links.
 
-Thin, without decisions: it reads the clock, passes messages to the pure modules (`members`, `lists`,
+Thin, without decisions: it reads the clock, passes messages to the pure modules (`members`, `list_relay`,
 `takeover`), and sends the messages that these return.
 """
 
@@ -31,9 +31,9 @@
     RelayUnavailable,
     TakeoverMessage,
 )
-from ospreyline.fleet.kept import write_atomically
 from ospreyline.fleet.links import Links
-from ospreyline.fleet.lists import Lists, ListUpdate
+from ospreyline.fleet.list_cache import write_atomically
+from ospreyline.fleet.list_relay import ListRelay, ListUpdate
 from ospreyline.fleet.members import STATE_NAMES, Members
 from ospreyline.fleet.takeover import Takeover
 
@@ -69,7 +69,7 @@
         # after the clock was set back we seem older than our former process: `_on_name_conflict` detects that
         me = Entry(name, settings.address or settings.listen, zone, int(time() * 1e3), 0, ALIVE)
         self.members = Members(me, seeds, draw, self._now(), settings.watched())
-        self.lists = Lists(name, zone, me.start, draw, self._now()) if settings.lists else None
+        self.lists = ListRelay(name, zone, me.start, draw, self._now()) if settings.lists else None
         self.links = Links(
             loop,
             settings.bank,
@@ -126,7 +126,7 @@
             before = self.lists.passing or self._alone
             self.lists.tick(now)
             self._alone = self.lists.unserved(now)
-            was_spared, self._spared = self._spared, self.lists.asked_for_us(now)
+            was_spared, self._spared = self._spared, self.lists.served_by_relays(now)
             # the relay that polled a failed service for us may itself be gone before the service is back
             if ((self.lists.passing or self._alone) and not before) or (was_spared and not self._spared):
                 self._hasten()
@@ -137,7 +137,7 @@
             self.takeover.tick(now)
             wanted.update(self.takeover.required_links())
         self.carry_out()
-        self.links.tidy(wanted, LINK_IDLE_S)
+        self.links.run_maintenance(wanted, LINK_IDLE_S)
         if self._settings.status and now >= self._status_at:
             self._status_at = now + 1e3 * STATUS_PERIOD_S
             self._write_status()
@@ -274,7 +274,7 @@
             return False
         self.lists.service_lost(self._now())
         self.carry_out()
-        return not self.lists.passing and self.lists.asked_for_us(self._now())
+        return not self.lists.passing and self.lists.served_by_relays(self._now())
 
     def counts(self) -> dict[str, Any]:
         """Values for the periodic `counts` log line."""
--- a/ospreyline/fleet/hollow.py
+++ b/ospreyline/fleet/hollow.py
@@ -307,7 +307,7 @@
 
     def status(self) -> dict[str, Any]:
         down: Publisher = self.fanout.down
-        self.node.links.tidy(set(self.node.links.by_name), 1e9)
+        self.node.links.run_maintenance(set(self.node.links.by_name), 1e9)
         return {
             **self.link_bytes(self.node.links),
             "said": self.node.sent,
@@ -443,7 +443,7 @@
         if now >= self._maintenance_at:
             self._maintenance_at = now + 2_000.0
             for one in self.balancers:
-                one.node.links.tidy(set(one.sub.publishers), 5.0)
+                one.node.links.run_maintenance(set(one.sub.publishers), 5.0)
 
     def handle_command(self, command: dict[str, Any]) -> None:
         super().handle_command(command)
--- a/ospreyline/fleet/links.py
+++ b/ospreyline/fleet/links.py
@@ -241,7 +241,7 @@
             del self.by_name[link.name]
             self._on_lost(link.name)
 
-    def tidy(self, wanted: set[str], idle: float) -> None:
+    def run_maintenance(self, wanted: set[str], idle: float) -> None:
         """Closes links that received nothing for too long or no hello in time, and those not in `wanted` that
         carried nothing for `idle` s."""
         now = self.loop.time()
--- a/ospreyline/fleet/kept.py
+++ b/ospreyline/fleet/list_cache.py
@@ -101,7 +101,7 @@
             temporary.unlink(missing_ok=True)
 
 
-class Keeping:
+class ListCache:
     """Saves the list of one balancer to a file; the file is written on a thread beside the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, path: str, keep_for: float, log: Any) -> None:
@@ -113,7 +113,7 @@
         self._service_heard_at = self._saved_at = 0.0  # Unix time in ms
         self._writing: asyncio.Future[None] | None = None
 
-    def known(self, configured: bytes) -> bytes:
+    def initial_list(self, configured: bytes) -> bytes:
         """The list to start from: the cached one, or the configured one if that is newer or the only one."""
         try:
             cached = read(self._path, time() * 1e3, self._keep_for)
@@ -135,12 +135,12 @@
         )
         return configured if newer else cached.body
 
-    def told(self, changed: bool) -> None:
+    def service_update(self, changed: bool) -> None:
         """The list service has sent something; `changed`: the list may have changed."""
         self._changed = self._changed or changed
         self._service_heard_at = time() * 1e3
 
-    def tidy(self, rev: int, targets: Callable[[], list[bytes]]) -> None:
+    def run_maintenance(self, rev: int, targets: Callable[[], list[bytes]]) -> None:
         """Saves the list if it has changed, or if the saved one has aged while the service kept sending."""
         if self._writing is not None or not (
             self._changed or self._service_heard_at > self._saved_at + REFRESH_MS
--- a/ospreyline/fleet/lists.py
+++ b/ospreyline/fleet/list_relay.py
@@ -49,7 +49,7 @@
     state: str = "active"
 
 
-class Lists:
+class ListRelay:
     """One member's copy of the list, and its part in relaying it. `out` holds messages to send."""
 
     def __init__(self, name: str, zone: str, start: int, draw: Callable[[], float], now: float) -> None:
@@ -101,7 +101,7 @@
         """Whether no relay serves us: a member without relays does what it would do alone."""
         return now - self._begun > STARTUP_WAIT_MS and not self.receiving(now)
 
-    def asked_for_us(self, now: float) -> bool:
+    def served_by_relays(self, now: float) -> bool:
         """Whether a relay serves us or, while the service is down, polls it and will notify us."""
         return self.receiving(now) or any(now - at < FRESH_MS for at in self._polling_at.values())
 
--- a/ospreyline/net/turn.py
+++ b/ospreyline/net/turn.py
@@ -43,7 +43,7 @@
 
 if TYPE_CHECKING:
     from ospreyline.fleet.bank import Bank
-    from ospreyline.fleet.kept import Keeping
+    from ospreyline.fleet.list_cache import ListCache
     from ospreyline.fleet.pace import CallPacer
     from ospreyline.net.covering import Covering
     from ospreyline.operator_settings import OperatorSettings
@@ -116,7 +116,7 @@
         self.logger: Any = structlog.get_logger()
         self._operator: OperatorSettings | None = None
         self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
-        self._list_cache: Keeping | None = None  # cached list on disk, if enabled
+        self._list_cache: ListCache | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
         self.covering: Covering | None = None  # takeover of visits between balancers, if enabled
         self.closing = False
@@ -172,7 +172,7 @@
         if operator is not None:
             self._enable_features(operator)
         kept = (
-            self._list_cache.known(config.initial_list)
+            self._list_cache.initial_list(config.initial_list)
             if self._list_cache is not None
             else config.initial_list
         )
@@ -222,9 +222,9 @@
                 self.balancer.list_call_failed
             )  # the decisions schedule list calls themselves from now on
         if lists.keep and self._list_cache is None:
-            from ospreyline.fleet.kept import Keeping
+            from ospreyline.fleet.list_cache import ListCache
 
-            self._list_cache = Keeping(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
+            self._list_cache = ListCache(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
         if operator.fleet.bank and self.bank is None:
             from ospreyline.fleet.bank import Bank
 
@@ -782,7 +782,7 @@
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
-            self._list_cache.told(changed=True)
+            self._list_cache.service_update(changed=True)
 
     def _on_list_update(self, now: float, update: News) -> None:
         self._watch_retry_ms = WATCH_RETRY_MS
@@ -793,7 +793,7 @@
         if self._pace is not None and from_watch:
             self._pace.call_answered()
         if self._list_cache is not None:
-            self._list_cache.told(changed=update.whole or bool(update.targets))
+            self._list_cache.service_update(changed=update.whole or bool(update.targets))
         if self.bank is not None:
             self.bank.told(
                 update.rev,
@@ -871,7 +871,7 @@
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
             whole = self.discovery.complete and not self.balancer.lease.has_lost_update
-            self._list_cache.tidy(
+            self._list_cache.run_maintenance(
                 self.discovery.rev if whole else 0,
                 lambda: [
                     json.encode(target) for target in self._target_by_uid.values() if target.state != "left"
--- a/ospreyline/rig/scale.py
+++ b/ospreyline/rig/scale.py
@@ -809,10 +809,10 @@
 
 def measure_forwarding(results: Measurements, count: int) -> None:
     """Processor time of a relay for each message to a subscribed listener; pure, with frames encoded."""
-    from ospreyline.fleet import lists
+    from ospreyline.fleet import list_relay
     from ospreyline.fleet.frames import RelaySubscribe
 
-    relay = lists.Lists("n0", "a", 1, lambda: 0.5, 0.0)
+    relay = list_relay.ListRelay("n0", "a", 1, lambda: 0.5, 0.0)
     relay.set_members(0.0, [])
     relay.tick(1_000.0)
     body = msgspec.json.encode(list_entry(1))
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -17,7 +17,7 @@
 from ospreyline import operator_settings
 from ospreyline.__main__ import main
 from ospreyline.config import ConfigError
-from ospreyline.fleet import kept
+from ospreyline.fleet import list_cache
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.lab.turns import Turns
 from ospreyline.net.turn import clock
@@ -134,18 +134,18 @@
 
 
 def test_a_kept_list_comes_back_as_it_was():
-    found = kept.decode(kept.encode(1_000.0, 7, TARGETS), 61_000.0, 86_400e3)
+    found = list_cache.decode(list_cache.encode(1_000.0, 7, TARGETS), 61_000.0, 86_400e3)
     assert (found.rev, found.age, found.count) == (7, 60_000.0, 3)
     assert json.loads(found.body) == {"rev": 7, "all": True, "targets": [json.loads(t) for t in TARGETS]}
 
 
-WHOLE = kept.encode(1_000.0, 7, TARGETS)
+WHOLE = list_cache.encode(1_000.0, 7, TARGETS)
 
 
 def test_a_kept_list_that_was_cut_short_anywhere_is_not_taken():
     for cut in range(len(WHOLE)):
-        with pytest.raises(kept.CachedListError):
-            kept.decode(WHOLE[:cut], 2_000.0, 86_400e3)
+        with pytest.raises(list_cache.CachedListError):
+            list_cache.decode(WHOLE[:cut], 2_000.0, 86_400e3)
 
 
 @pytest.mark.parametrize(
@@ -158,8 +158,8 @@
     ],
 )
 def test_a_kept_list_that_is_damaged_or_old_is_taken_not_at_all(text, now, why):
-    with pytest.raises(kept.CachedListError, match=why):
-        kept.decode(text, now, 86_400e3)
+    with pytest.raises(list_cache.CachedListError, match=why):
+        list_cache.decode(text, now, 86_400e3)
 
 
 @pytest.fixture
@@ -219,7 +219,7 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("text", [b"", b"nonsense", WHOLE[:50], kept.encode(5.0, 41, TARGETS)])
+@pytest.mark.parametrize("text", [b"", b"nonsense", WHOLE[:50], list_cache.encode(5.0, 41, TARGETS)])
 def test_a_kept_list_that_cannot_be_used_costs_a_line_of_the_log_and_nothing_else(text, settings, tmp_path):
     async def scenario():
         (tmp_path / "kept").write_bytes(text)
@@ -236,7 +236,7 @@
 
 def test_a_configured_list_that_is_newer_wins(settings, tmp_path):
     async def scenario():
-        (tmp_path / "kept").write_bytes(kept.encode(time() * 1e3, 2, TARGETS))
+        (tmp_path / "kept").write_bytes(list_cache.encode(time() * 1e3, 2, TARGETS))
         async with running(operator=settings, known=[target("s-1", 9_001)]) as service:  # version 3
             assert list(service.turn._target_by_uid) == ["s-1"]
 
--- a/tests/test_fleet_runs.py
+++ b/tests/test_fleet_runs.py
@@ -15,7 +15,7 @@
 from ospreyline import operator_settings
 from ospreyline.__main__ import main
 from ospreyline.config import ConfigError
-from ospreyline.fleet import frames, lists
+from ospreyline.fleet import frames, list_relay
 from ospreyline.fleet.bank import Bank, reachability_text
 from ospreyline.fleet.frames import ALIVE, Entry, Hello
 from ospreyline.rig.run import ROOT
@@ -335,7 +335,7 @@
 
 
 def test_those_that_pass_the_list_on_are_killed_at_the_moment_of_a_drain(tmp_path):
-    assert lists.RELAYS_PER_ZONE == 2  # of zone a: b0 and b2, the oldest there
+    assert list_relay.RELAYS_PER_ZONE == 2  # of zone a: b0 and b2, the oldest there
     day = JudgedRun(
         tmp_path,
         seconds=9.0,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ospreyline.fleet import frames, lists, members
+from ospreyline.fleet import frames, list_relay, members
 from ospreyline.fleet.frames import (
     ALIVE,
     DEAD,
@@ -22,7 +22,7 @@
     RelaySubscribe,
     RelayUnavailable,
 )
-from ospreyline.fleet.lists import Lists
+from ospreyline.fleet.list_relay import ListRelay
 from ospreyline.lab.mesh import Mesh
 
 
@@ -220,15 +220,15 @@
 # lists
 
 
-def three(now: float = -1_000.0) -> tuple[Lists, Lists, Lists]:
+def three(now: float = -1_000.0) -> tuple[ListRelay, ListRelay, ListRelay]:
     """Three members of one zone: two relays, which started first, and one that subscribes to them."""
     starts = {"m2": 1, "m0": 2, "m1": 3}
-    found = {n: Lists(n, "z", at, Random(1).random, now) for n, at in starts.items()}
+    found = {n: ListRelay(n, "z", at, Random(1).random, now) for n, at in starts.items()}
     for name, one in found.items():
         one.set_members(now, [(n, "z", at) for n, at in starts.items() if n != name])
         one.tick(now)
         assert not one.passing  # not before it has settled
-        one.tick(now + lists.SETTLE_MS + 1.0)
+        one.tick(now + list_relay.SETTLE_MS + 1.0)
         one.out.clear()
         one._subscribed_at.clear()
     relays = [one for one in found.values() if one.passing]
@@ -237,7 +237,7 @@
     return relays[0], relays[1], subscriber
 
 
-def exchange(now: float, *nodes: Lists) -> list[Any]:
+def exchange(now: float, *nodes: ListRelay) -> list[Any]:
     """Delivers messages between the nodes until none is left; returns the accepted list updates."""
     taken = []
     by = {n.name: n for n in nodes}
@@ -338,11 +338,11 @@
     # With relays chosen by a hash each new member may become one: on the rig 27 of 100 called for the others.
     ages = list(range(1, 31))
     Random(3).shuffle(ages)
-    found: dict[str, Lists] = {}
+    found: dict[str, ListRelay] = {}
     chosen = set()
     for i, at in enumerate(sorted(ages)):
         name = f"m{ages[i]}"
-        found[name] = Lists(name, "z", at, Random(i).random, 100.0 * i)
+        found[name] = ListRelay(name, "z", at, Random(i).random, 100.0 * i)
         for one in found.values():
             one.set_members(100.0 * i, [(n, "z", o._start) for n, o in found.items() if n != one.name])
             one.tick(100.0 * i)
@@ -357,11 +357,11 @@
     a, b, c = three()
     c.tick(200.0)
     exchange(210.0, a, b, c)
-    assert not c.receiving(210.0) and c.asked_for_us(210.0)
+    assert not c.receiving(210.0) and c.served_by_relays(210.0)
     for now in range(700, 4_000, 500):  # repeated with each heartbeat; expires without
         a.tick(float(now))
         exchange(float(now), a, c)
-    assert c.asked_for_us(4_000.0) and not c.asked_for_us(4_000.0 + lists.FRESH_MS)
+    assert c.served_by_relays(4_000.0) and not c.served_by_relays(4_000.0 + list_relay.FRESH_MS)
     a.service_update(9_000.0, 5, True, [entry("s1")])
     exchange(9_010.0, a, c)
     assert c.rev == 5 and c.receiving(9_010.0) and a.name not in c._polling_at
@@ -383,7 +383,7 @@
 
 
 def test_own_watches_open_spread_over_the_time_that_is_allowed():
-    waits = sorted(Lists(f"m{i}", "z", i, Random(i).random, 0.0).late(10_000.0) for i in range(200))
+    waits = sorted(ListRelay(f"m{i}", "z", i, Random(i).random, 0.0).late(10_000.0) for i in range(200))
     assert waits[0] >= 3_000 and waits[-1] <= 7_000
     assert max(b - a for a, b in itertools.pairwise(waits)) < 400
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,7 @@
     StateSync,
     encode,
 )
-from ospreyline.fleet.lists import Lists
+from ospreyline.fleet.list_relay import ListRelay
 from ospreyline.fleet.members import MAX_MEMBERS, Members
 from ospreyline.host import Readiness
 from ospreyline.lab.mesh import Mesh
@@ -131,7 +131,7 @@
 
 def passing(entries, listeners):
     """The frames in which a relay forwards one change of a list with `entries` to its `listeners`."""
-    lists = Lists("n0", "a", 1, lambda: 0.5, 0.0)
+    lists = ListRelay("n0", "a", 1, lambda: 0.5, 0.0)
     lists.set_members(0.0, [])
     lists.tick(1_000.0)
     bodies = [(f"u{i}", False, msgspec.json.encode(scale.list_entry(i))) for i in range(entries)]
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -30,7 +30,7 @@
 from ospreyline import call_schedule, config, operator_settings
 from ospreyline.call_schedule import CallSchedule
 from ospreyline.fleet import pace
-from ospreyline.fleet.lists import Lists
+from ospreyline.fleet.list_relay import ListRelay
 from ospreyline.fleet.pace import CallPacer
 from ospreyline.net import service as service_module
 from ospreyline.net.discovery import CallFailure, Discovery
@@ -547,8 +547,8 @@
         stand.bank._hasten = lambda: hastened.append(1)
         stand.bank.lists._begun = -inf  # it started long ago, and receives nothing
         stand.bank._alone, asks = True, [True]
-        monkeypatch.setattr(Lists, "asked_for_us", lambda self, now: asks[0])
-        monkeypatch.setattr(Lists, "tick", lambda self, now: None)
+        monkeypatch.setattr(ListRelay, "served_by_relays", lambda self, now: asks[0])
+        monkeypatch.setattr(ListRelay, "tick", lambda self, now: None)
         while not stand.bank._spared:
             await asyncio.sleep(0)
         assert not hastened
