--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -43,7 +43,7 @@
 
 if TYPE_CHECKING:
     from ospreyline.fleet.bank import Bank
-    from ospreyline.fleet.kept import Keeping
+    from ospreyline.fleet.list_cache import ListCache
     from ospreyline.fleet.pace import CallPacer
     from ospreyline.net.takeover_adapter import TakeoverAdapter
     from ospreyline.operator_settings import OperatorSettings
@@ -118,7 +118,7 @@
         self.logger: Any = structlog.get_logger()
         self._operator: OperatorSettings | None = None
         self._pace: CallPacer | None = None  # paces calls to the list service, if enabled
-        self._list_cache: Keeping | None = None  # cached list on disk, if enabled
+        self._list_cache: ListCache | None = None  # cached list on disk, if enabled
         self.bank: Bank | None = None  # links to the other balancers, if enabled
         # takeover of visits between balancers, if enabled
         self.takeover_adapter: TakeoverAdapter | None = None
@@ -175,7 +175,7 @@
         if operator is not None:
             self._enable_features(operator)
         kept = (
-            self._list_cache.known(config.initial_list)
+            self._list_cache.initial_list(config.initial_list)
             if self._list_cache is not None
             else config.initial_list
         )
@@ -224,9 +224,9 @@
             # the decisions schedule list calls themselves from now on
             self.enqueue(self.balancer.list_call_failed)
         if lists.keep and self._list_cache is None:
-            from ospreyline.fleet.kept import Keeping
+            from ospreyline.fleet.list_cache import ListCache
 
-            self._list_cache = Keeping(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
+            self._list_cache = ListCache(self._loop, lists.keep, 1e3 * lists.keep_for_s, self.logger)
         if operator.fleet.bank and self.bank is None:
             from ospreyline.fleet.bank import Bank
 
@@ -833,7 +833,7 @@
         else:
             self.balancer.apply_list_changes(now, entries, from_own_watch=False)
         if self._list_cache is not None:
-            self._list_cache.told(changed=True)
+            self._list_cache.service_update(changed=True)
 
     def _on_list_update(self, now: float, update: ListUpdate) -> None:
         self._watch_retry_ms = WATCH_RETRY_MS
@@ -844,7 +844,7 @@
         if self._pace is not None and from_watch:
             self._pace.call_answered()
         if self._list_cache is not None:
-            self._list_cache.told(changed=update.is_full or bool(update.entries))
+            self._list_cache.service_update(changed=update.is_full or bool(update.entries))
         if self.bank is not None:
             self.bank.told(
                 update.rev,
@@ -922,7 +922,7 @@
             # A version is cached only with the complete list. After a restart, updates up to that version
             # would never be requested again.
             whole = self.discovery.list_complete and not self.balancer.lease.has_lost_update
-            self._list_cache.tidy(
+            self._list_cache.run_maintenance(
                 self.discovery.rev if whole else 0,
                 lambda: [
                     json.encode(target) for target in self._target_by_uid.values() if target.state != "left"
