--- a/ospreyline/host.py
+++ b/ospreyline/host.py
@@ -111,7 +111,7 @@
     """What the host does for the decisions. None of these calls back before it returns."""
 
     def start_fetch(self, tag: int, upstream: int, timeout_ms: float) -> None:
-        """Start a backend fetch of the visit, for `time_out` ms; a visit's fetches are numbered from 0."""
+        """Start a backend fetch of the visit, for `timeout_ms` ms; a visit's fetches are numbered from 0."""
 
     def cancel_fetch(self, tag: int, fetch: int) -> None:
         """Cancel one backend fetch: stop waiting for its answer."""
--- a/ospreyline/net/dispatcher.py
+++ b/ospreyline/net/dispatcher.py
@@ -50,7 +50,7 @@
 
 BACKSTOP_DELAY_MS = 15.0  # after its client timeout a visit without an answer is answered anyway
 LATE_TIMER_MS = 20.0  # if a timer fires later than this, sockets are read before due timers run
-# time without a batch that means this process was stalled: three generation the decisions' 200 ms tick
+# time without a batch that means this process was stalled: three times the decisions' 200 ms tick
 STALL_MS = 600.0
 STALL_RECOVERY_MS = 100.0  # after a stall, time until all data that waited in sockets has been read
 # a possibly lost update must have lasted this long for the lease renewal to be logged
@@ -145,7 +145,7 @@
         self._batch_scheduled = False
         self._update_queued = False  # a list update is queued and not yet passed to the decisions
         self._actions_deferred = False  # pending actions wait until the sockets have been read once more
-        # computed once, so that converted start generation do not drift with the wall clock
+        # computed once, so that converted start times do not drift with the wall clock
         self._unix_offset = time.time() * 1e3 - clock()
         self._index_by_uid: dict[str, int] = {}
         self._readiness: dict[str, Readiness] = {}
