--- a/ospreyline/fleet/pace.py
+++ b/ospreyline/fleet/pace.py
@@ -15,9 +15,7 @@
 from ospreyline.call_schedule import CallSchedule
 
 CALL_RATE_SHARE = 0.8  # of the service's call rate, that the bank as a whole uses
-MAX_RETRY_AFTER_MS = (
-    2_800.0  # limit for a Retry-After of the service: its updates count as received after 6 s
-)
+MAX_RETRY_AFTER_MS = 2_800.0  # limit for the service's Retry-After: an update counts as received after 6 s
 RARE_CALL_SHARE = 0.75  # of the allowed time without a call: the wait where relays serve us
 
 
